--- a/packages/core/src/ownership/cluster_agent.ts
+++ b/packages/core/src/ownership/cluster_agent.ts
@@ -18,45 +18,45 @@
   rendezvousChoice,
 } from "../shared/mod.ts";
 import type { Result } from "neverthrow";
-import { ClusterLogState, type OffsetText } from "./cluster_log_state.ts";
+import { ClusterLogState, type LogEntry } from "./cluster_log_state.ts";
 import type { ClusterRecord } from "./cluster_record.ts";
-import type { ControlledEngine } from "./designation.ts";
+import type { ControlledEngine } from "./controller_candidates.ts";
 import { OwnershipAgent } from "./ownership_agent.ts";
-import type { PromiseAnswer, PromiseAsk } from "./promise_message.ts";
+import type { PromiseRequest, PromiseResponse } from "./promise_message.ts";
 import type { OwnershipRules } from "./rules.ts";
 import type { Tenure } from "./tenure.ts";
 import type { OwnershipTiming } from "./timing.ts";
 
-/** How many records are applied before the state is appended again. */
-const SNAPSHOT_RECORDS = 200;
-/** How long the last snapshot may be followed by records at most. */
-const SNAPSHOT_MILLISECONDS = 60_000;
+/** Number of applied records after which a new snapshot is appended. */
+const SNAPSHOT_INTERVAL_RECORDS = 200;
+/** Maximum time between two snapshots. */
+const SNAPSHOT_INTERVAL_MILLISECONDS = 60_000;
 
-/** What one node tells another about membership and ownership. */
-export type ClusterMessage = Heartbeat | PromiseAsk | PromiseAnswer;
+/** A message between nodes about membership or ownership. */
+export type ClusterMessage = Heartbeat | PromiseRequest | PromiseResponse;
 
-/** A message and where it goes. */
+/** A message and its recipient. */
 export interface OutgoingMessage {
   readonly to: Contact;
   readonly message: ClusterMessage;
 }
 
-/** What is to be done. */
+/** The messages to send and the records to append. */
 export interface ClusterActions {
   readonly messages: readonly OutgoingMessage[];
-  /** Records, each to be appended on its own. */
+  /** Records, each to be appended separately. */
   readonly appends: readonly ClusterRecord[];
 }
 
-/** A piece of the log that was read. */
+/** The result of one read of the log. */
 export interface ClusterLogPage {
   readonly startedAt: Instant;
-  readonly records: readonly OffsetText[];
+  readonly records: readonly LogEntry[];
   readonly tail: LogOffset;
   readonly firstKept: LogOffset;
 }
 
-/** What a cluster agent starts with. */
+/** Options of a {@link ClusterAgent}. */
 export interface ClusterAgentOptions {
   readonly self: Member;
   readonly membershipTiming: MembershipTiming;
@@ -65,15 +65,18 @@
   readonly startedAt: Instant;
 }
 
-/** One node's membership and ownership: events in, messages and records out. */
+/**
+ * Combines membership and ownership of one node: takes events, returns
+ * messages to send and records to append.
+ */
 export class ClusterAgent {
   readonly #state: ClusterLogState;
   readonly #membership: MembershipAgent;
   readonly #ownership: OwnershipAgent;
   readonly #run: NodeRun;
-  #confirmedAt: Instant | undefined;
+  #tailConfirmedAt: Instant | undefined;
   #snapshotAt: Instant;
-  #snapshots = 0;
+  #snapshotCount = 0;
   readonly #lease: number;
 
   constructor(options: ClusterAgentOptions) {
@@ -97,60 +100,60 @@
     });
   }
 
-  /** The first offset that is to be read. */
+  /** The next log offset to read. */
   get nextOffset(): LogOffset {
-    return this.#state.next;
+    return this.#state.nextOffset;
   }
 
-  /** The view in force. */
+  /** The current view. */
   get view(): View {
     return this.#state.view;
   }
 
-  /** Whether the view in force lists this run. */
+  /** Whether the current view lists this run. */
   get isMember(): boolean {
     return this.#membership.isMember;
   }
 
-  /** The members that neither leave nor are suspected. */
+  /** The members that are neither leaving nor suspected. */
   get live(): readonly Member[] {
     return this.#state.view.members.filter((member) =>
       this.#membership.isLive(member)
     );
   }
 
-  /** The engines that this run controls, or is about to. */
+  /** The engines that this run controls or is about to control. */
   get controlled(): readonly EngineId[] {
     return this.#ownership.controlled;
   }
 
   /**
-   * Finds who controls an engine, as far as the log was read.
+   * Finds an engine's tenure, based on the log as read so far.
    * @param engine The engine.
-   * @returns The tenure, or nothing where nobody has claimed the engine.
+   * @returns The tenure, or undefined if no node has claimed the engine.
    */
   tenureOf(engine: EngineId): Tenure | undefined {
     return this.#state.tenures.tenureOf(engine);
   }
 
   /**
-   * Takes the platform's list of entry VMs as a hint.
+   * Sets the contacts from the platform's list of entry VMs, as a hint.
    * @param contacts The nodes.
    */
   setContacts(contacts: readonly Contact[]): void {
     this.#membership.setContacts(contacts);
   }
 
-  /** Says from now on that this node leaves, and hands its engines over. */
+  /** Announces that this node is leaving, and hands over its engines. */
   leave(): void {
     this.#membership.leave();
   }
 
   /**
-   * Takes in a message.
+   * Handles a received message.
    * @param now The present time.
    * @param message The message.
-   * @returns The answers.
+   * @returns The replies to send.
    */
   receive(now: Instant, message: ClusterMessage): readonly OutgoingMessage[] {
     switch (message.kind) {
@@ -158,56 +161,57 @@
         this.#membership.heard(now, message);
         return [];
       case "promise":
-        this.#ownership.promised(now, message);
+        this.#ownership.onPromiseResponse(now, message);
         return [];
       case "ask": {
-        const answer = this.#ownership.answer(now, message);
-        return this.#address(message.from.node, answer);
+        const response = this.#ownership.answerPromiseRequest(now, message);
+        return this.#messagesTo(message.from.node, response);
       }
     }
   }
 
   /**
-   * Applies what was read from the log.
+   * Applies records read from the log.
    * @param now The present time, at the end of the read.
-   * @param page What was read.
+   * @param page The records that were read.
    */
   onLogPage(now: Instant, page: ClusterLogPage): void {
-    this.#state.skipLost(page.firstKept);
-    for (const text of page.records) {
+    this.#state.skipTruncated(page.firstKept);
+    for (const entry of page.records) {
       const wasComplete = this.#state.isComplete();
-      const applied = this.#state.apply(text);
+      const applied = this.#state.apply(entry);
       for (const { record } of applied) {
         if (record?.kind === "snapshot") this.#snapshotAt = now;
       }
       if (!wasComplete && this.#state.isComplete()) {
-        this.#ownership.followAll(now);
+        this.#ownership.onStateRestored(now);
       }
-      this.#ownership.follow(now, applied);
+      this.#ownership.onRecordsApplied(now, applied);
     }
-    const isTail = this.#state.isComplete() && this.#state.next >= page.tail;
+    const isTail = this.#state.isComplete() &&
+      this.#state.nextOffset >= page.tail;
     if (!isTail) return;
     this.#ownership.confirmTail({ startedAt: page.startedAt, endedAt: now });
-    this.#confirmedAt = page.startedAt;
+    this.#tailConfirmedAt = page.startedAt;
   }
 
   /**
-   * Notes that the log refused a record for certain.
+   * Handles the confirmation that a record was not appended.
    * @param id The record's id.
    */
   notAppended(id: string): void {
-    this.#ownership.notAppended(id);
+    this.#ownership.appendRejected(id);
   }
 
   /**
-   * Does what is due.
+   * Runs the periodic work that is due.
    * @param now The present time.
-   * @param engines The engines that the platform lists.
-   * @returns What is to be sent and appended.
+   * @param engines The engines listed by the platform.
+   * @returns The messages to send and the records to append.
    */
   tick(now: Instant, engines: readonly ControlledEngine[]): ClusterActions {
-    const logIsRead = this.#confirmedAt !== undefined &&
-      elapsed(this.#confirmedAt, now) < this.#lease;
+    const logIsRead = this.#tailConfirmedAt !== undefined &&
+      elapsed(this.#tailConfirmedAt, now) < this.#lease;
     const membership = this.#membership.tick(now, { logIsRead });
     const ownership = this.#ownership.tick(now, {
       engines,
@@ -221,33 +225,33 @@
       to: one.to,
       message: one.heartbeat,
     }));
-    for (const { to, ask } of ownership.asks) {
-      messages.push(...this.#address(to, ask));
+    for (const { to, request } of ownership.promiseRequests) {
+      messages.push(...this.#messagesTo(to, request));
     }
     return { messages, appends };
   }
 
   /**
-   * Decides whether a destructive order may be given now.
+   * Checks whether a destructive order may be sent now.
    * @param engine The engine.
    * @param now The present time.
-   * @returns The order's fencing number, or why none may be given.
+   * @returns The order's fencing number, or why no order may be sent.
    */
   current(engine: EngineId, now: Instant): Result<FencingNumber, Failure> {
-    return this.#ownership.current(engine, now);
+    return this.#ownership.authorizeOrder(engine, now);
   }
 
   /**
-   * Tells whether this run controls an engine and the waits are over.
+   * Checks whether this run controls an engine and the takeover wait is over.
    * @param engine The engine.
    * @param now The present time.
-   * @returns Whether it does.
+   * @returns Whether this run's tenure is active.
    */
   isActive(engine: EngineId, now: Instant): boolean {
     return this.#ownership.isActive(engine, now);
   }
 
-  #address(
+  #messagesTo(
     node: NodeRun["node"],
     message: ClusterMessage,
   ): readonly OutgoingMessage[] {
@@ -256,21 +260,23 @@
   }
 
   #isSnapshotDue(now: Instant): boolean {
-    const records = this.#state.recordsSinceSnapshot;
+    const recordCount = this.#state.recordsSinceSnapshot;
     if (!listsRun(this.view, this.#run)) return false;
-    const isLate = elapsed(this.#snapshotAt, now) >= SNAPSHOT_MILLISECONDS;
-    if (records < SNAPSHOT_RECORDS && !isLate) return false;
+    const isLate =
+      elapsed(this.#snapshotAt, now) >= SNAPSHOT_INTERVAL_MILLISECONDS;
+    if (recordCount < SNAPSHOT_INTERVAL_RECORDS && !isLate) return false;
     const nodes = this.live.map((one) => one.node);
-    const isTurn = rendezvousChoice("snapshot", nodes) === this.#run.node;
-    if (isTurn) this.#snapshotAt = now;
-    return isTurn;
+    const isResponsible =
+      rendezvousChoice("snapshot", nodes) === this.#run.node;
+    if (isResponsible) this.#snapshotAt = now;
+    return isResponsible;
   }
 
   #snapshot(): ClusterRecord {
-    this.#snapshots += 1;
+    this.#snapshotCount += 1;
     const { node, incarnation } = this.#run;
     return this.#state.snapshot(
-      `${node}/${incarnation}/snapshot/${String(this.#snapshots)}`,
+      `${node}/${incarnation}/snapshot/${String(this.#snapshotCount)}`,
     );
   }
 }
--- a/packages/core/src/ownership/cluster_log_state.ts
+++ b/packages/core/src/ownership/cluster_log_state.ts
@@ -8,80 +8,87 @@
 import type { OwnershipRules } from "./rules.ts";
 import { TenureRegister } from "./tenure_register.ts";
 
-/** A record's text at its offset. */
-export interface OffsetText {
+/** A serialized record and its log offset. */
+export interface LogEntry {
   readonly offset: LogOffset;
   readonly data: string;
 }
 
-/** What applying a record did. */
+/** The outcome of applying a record. */
 export interface AppliedRecord {
   readonly offset: LogOffset;
-  /** The record; absent where its text cannot be read. */
+  /** The record; absent if it cannot be parsed. */
   readonly record?: ClusterRecord;
   readonly accepted: boolean;
 }
 
-/** Views and tenures, as the log's records decide them up to one offset. */
+/** Views and tenures, computed by applying the log's records in order. */
 export class ClusterLogState {
   readonly views = new ViewRegister();
   readonly tenures: TenureRegister;
   readonly #rules: OwnershipRules;
-  #next = logOffset(0);
-  /** Records before the first usable snapshot, where older ones are gone. */
-  #buffered: OffsetText[] | undefined;
-  #lastSnapshot: LogOffset = NO_OFFSET;
+  #nextOffset = logOffset(0);
+  /**
+   * Records read before the first usable snapshot, after older records were
+   * truncated from the log.
+   */
+  #buffered: LogEntry[] | undefined;
+  #lastSnapshotOffset: LogOffset = NO_OFFSET;
 
   constructor(rules: OwnershipRules) {
     this.#rules = rules;
     this.tenures = new TenureRegister(rules);
   }
 
-  /** The first offset that is not applied yet. */
-  get next(): LogOffset {
+  /** The first offset that has not been read yet. */
+  get nextOffset(): LogOffset {
     const buffered = this.#buffered?.at(-1);
-    return buffered === undefined ? this.#next : logOffset(buffered.offset + 1);
+    return buffered === undefined
+      ? this.#nextOffset
+      : logOffset(buffered.offset + 1);
   }
 
-  /** The view in force. */
+  /** The current view. */
   get view(): View {
     return this.views.view;
   }
 
-  /** Whether the records read so far give the state. */
+  /** Whether the records read so far determine the full state. */
   isComplete(): boolean {
     return this.#buffered === undefined;
   }
 
-  /** How many records were applied since the last snapshot. */
+  /** Number of offsets applied since the last snapshot. */
   get recordsSinceSnapshot(): number {
-    return this.#next - 1 - this.#lastSnapshot;
+    return this.#nextOffset - 1 - this.#lastSnapshotOffset;
   }
 
   /**
-   * Takes in that older records are gone from the log.
-   * @param firstKept The oldest offset that is still kept.
+   * Skips records that were truncated from the log; the state is rebuilt from
+   * the next usable snapshot.
+   * @param firstKept The oldest offset still in the log.
    */
-  skipLost(firstKept: LogOffset): void {
-    if (firstKept <= this.next) return;
+  skipTruncated(firstKept: LogOffset): void {
+    if (firstKept <= this.nextOffset) return;
     this.#buffered = [];
-    this.#next = firstKept;
+    this.#nextOffset = firstKept;
   }
 
   /**
-   * Applies the next record.
-   * @param text The record.
-   * @returns What it did, one entry for each record that is now applied.
+   * Applies the next log entry.
+   * @param entry The serialized record.
+   * @returns One outcome for each record that was applied.
    */
-  apply(text: OffsetText): readonly AppliedRecord[] {
-    if (!this.#rules.appliesOffset(text.offset, this.next)) return [];
-    if (this.#buffered === undefined) return [this.#applyNow(text)];
-    this.#buffered.push(text);
-    return this.#tryRestore(text);
+  apply(entry: LogEntry): readonly AppliedRecord[] {
+    if (!this.#rules.appliesOffset(entry.offset, this.nextOffset)) return [];
+    if (this.#buffered === undefined) return [this.#applyNow(entry)];
+    this.#buffered.push(entry);
+    return this.#tryRestore(entry);
   }
 
   /**
-   * Describes the whole state, to be appended ahead of retention.
+   * Creates a snapshot of the whole state, so that log retention may remove
+   * older records.
    * @param id The new record's id.
    * @returns The snapshot.
    */
@@ -91,27 +98,27 @@
     return {
       kind: "snapshot",
       id,
-      covers: logOffset(this.#next - 1),
+      covers: logOffset(this.#nextOffset - 1),
       views: this.views.state,
       tenures,
     };
   }
 
-  #applyNow(text: OffsetText): AppliedRecord {
-    const { offset } = text;
+  #applyNow(entry: LogEntry): AppliedRecord {
+    const { offset } = entry;
     assertInvariant(
-      offset >= this.#next,
+      offset >= this.#nextOffset,
       "offsets_never_fall",
-      () => `record ${offset} is applied after ${this.#next - 1}`,
+      () => `record ${offset} is applied after ${this.#nextOffset - 1}`,
     );
-    this.#next = logOffset(offset + 1);
-    const parsed = parseClusterRecord(text.data);
+    this.#nextOffset = logOffset(offset + 1);
+    const parsed = parseClusterRecord(entry.data);
     if (parsed.isErr()) return { offset, accepted: false };
     const record = parsed.value;
-    return { offset, record, accepted: this.#decide(offset, record) };
+    return { offset, record, accepted: this.#applyRecord(offset, record) };
   }
 
-  #decide(offset: LogOffset, record: ClusterRecord): boolean {
+  #applyRecord(offset: LogOffset, record: ClusterRecord): boolean {
     switch (record.kind) {
       case "view": {
         const current = this.views.view.offset;
@@ -121,22 +128,22 @@
       case "tenure":
         return this.tenures.apply(record, { offset, view: this.view });
       case "snapshot":
-        this.#lastSnapshot = offset;
+        this.#lastSnapshotOffset = offset;
         return true;
     }
   }
 
-  #tryRestore(text: OffsetText): readonly AppliedRecord[] {
-    const parsed = parseClusterRecord(text.data);
+  #tryRestore(entry: LogEntry): readonly AppliedRecord[] {
+    const parsed = parseClusterRecord(entry.data);
     if (parsed.isErr() || parsed.value.kind !== "snapshot") return [];
     const snapshot = parsed.value;
     const buffered = this.#buffered ?? [];
-    const firstBuffered = buffered[0]?.offset ?? text.offset;
+    const firstBuffered = buffered[0]?.offset ?? entry.offset;
     if (snapshot.covers + 1 < firstBuffered) return [];
     this.#buffered = undefined;
     this.views.restore(snapshot.views);
     this.tenures.restore(snapshot.tenures);
-    this.#next = logOffset(snapshot.covers + 1);
+    this.#nextOffset = logOffset(snapshot.covers + 1);
     return buffered.filter((one) => one.offset > snapshot.covers)
       .map((one) => this.#applyNow(one));
   }
--- a/packages/core/src/ownership/cluster_record.ts
+++ b/packages/core/src/ownership/cluster_record.ts
@@ -15,10 +15,10 @@
 } from "../shared/mod.ts";
 import type { Tenure, TenureRecord } from "./tenure.ts";
 
-/** The log's stream of views and tenures. */
+/** The name of the log stream that holds views and tenures. */
 export const MEMBERSHIP_STREAM = "membership";
 
-/** A record that repeats the whole state, ahead of the log's retention. */
+/** A record of the whole state, so that log retention may remove older ones. */
 export interface SnapshotRecord {
   readonly kind: "snapshot";
   readonly id: string;
@@ -88,18 +88,18 @@
 ]);
 
 /**
- * Writes a record as the log keeps it.
+ * Serializes a record for the log.
  * @param record The record.
- * @returns Its text.
+ * @returns The JSON text.
  */
 export function formatClusterRecord(record: ClusterRecord): string {
   return JSON.stringify(record);
 }
 
 /**
- * Reads a record from its text.
- * @param text The text.
- * @returns The record, or why it cannot be read.
+ * Parses a record.
+ * @param text The JSON text.
+ * @returns The record, or why it cannot be parsed.
  */
 export function parseClusterRecord(
   text: string,
--- a/packages/core/src/ownership/promise_keeper.ts
+++ b/packages/core/src/ownership/granted_promises.ts
@@ -7,11 +7,11 @@
 import type { OwnershipRules } from "./rules.ts";
 import type { OwnershipTiming } from "./timing.ts";
 
-/** The promises that this run has given, and keeps. */
-export class PromiseKeeper {
+/** Tracks the promises that this run has granted to controllers. */
+export class GrantedPromises {
   readonly #rules: OwnershipRules;
   readonly #timing: OwnershipTiming;
-  readonly #freeFrom: Instant;
+  readonly #claimsAllowedFrom: Instant;
   readonly #promisedUntil = new Map<EngineId, Instant>();
 
   constructor(
@@ -24,15 +24,15 @@
     this.#rules = rules;
     this.#timing = options.timing;
     const wait = rules.restartWait(options.timing);
-    this.#freeFrom = later(options.startedAt, wait);
+    this.#claimsAllowedFrom = later(options.startedAt, wait);
   }
 
   /**
-   * Promises not to claim an engine for the usual time.
+   * Grants a promise not to claim an engine for the configured time.
    * @param engine The engine.
    * @param now The present time.
    */
-  promise(engine: EngineId, now: Instant): void {
+  grant(engine: EngineId, now: Instant): void {
     const until = later(now, this.#rules.promiseKept(this.#timing));
     const known = this.#promisedUntil.get(engine);
     if (known === undefined || known < until) {
@@ -41,25 +41,26 @@
   }
 
   /**
-   * Tells whether no promise, also of a run before, forbids a claim.
+   * Checks that no promise forbids a claim, including those that an earlier
+   * run of this node may have granted.
    * @param engine The engine.
    * @param now The present time.
    * @returns Whether this run may claim the engine.
    */
-  isFree(engine: EngineId, now: Instant): boolean {
-    if (now < this.#freeFrom) return false;
+  mayClaim(engine: EngineId, now: Instant): boolean {
+    if (now < this.#claimsAllowedFrom) return false;
     const until = this.#promisedUntil.get(engine);
     return until === undefined || now >= until;
   }
 
   /**
-   * Asserts that a claim breaks no promise.
-   * @param engine The engine that is claimed.
+   * Asserts that claiming an engine breaks no promise.
+   * @param engine The engine to claim.
    * @param now The present time.
    */
-  assertFree(engine: EngineId, now: Instant): void {
+  assertMayClaim(engine: EngineId, now: Instant): void {
     assertInvariant(
-      this.isFree(engine, now),
+      this.mayClaim(engine, now),
       "claims_break_no_promise",
       () => `engine ${engine} is claimed at ${now}`,
     );
--- a/packages/core/src/ownership/ownership_agent.ts
+++ b/packages/core/src/ownership/ownership_agent.ts
@@ -12,20 +12,20 @@
   type NodeId,
 } from "../shared/mod.ts";
 import type { Result } from "neverthrow";
-import { ClaimLedger } from "./claim_ledger.ts";
+import { TenureRecordTracker } from "./tenure_record_tracker.ts";
 import type { AppliedRecord, ClusterLogState } from "./cluster_log_state.ts";
-import type { ControlledEngine } from "./designation.ts";
-import { RightHolder } from "./order_right.ts";
-import { PromiseBook } from "./promise_book.ts";
-import { PromiseKeeper } from "./promise_keeper.ts";
-import type { PromiseAnswer, PromiseAsk } from "./promise_message.ts";
+import type { ControlledEngine } from "./controller_candidates.ts";
+import { OrderAuthority } from "./order_authority.ts";
+import { HeldPromises } from "./held_promises.ts";
+import { GrantedPromises } from "./granted_promises.ts";
+import type { PromiseRequest, PromiseResponse } from "./promise_message.ts";
 import type { Exchange, OwnershipRules } from "./rules.ts";
-import { SuccessionWatch } from "./succession_watch.ts";
+import { SuccessionTimers } from "./succession_timers.ts";
 import type { TenureRecord } from "./tenure.ts";
 import { type OwnershipTick, TenureDecider } from "./tenure_decider.ts";
 import type { OwnershipTiming } from "./timing.ts";
 
-/** What an ownership agent starts with. */
+/** Options of an {@link OwnershipAgent}. */
 export interface OwnershipAgentOptions {
   readonly self: Member;
   readonly timing: OwnershipTiming;
@@ -34,217 +34,233 @@
   readonly state: ClusterLogState;
 }
 
-/** An ask and the node that it goes to. */
-export interface OutgoingAsk {
+/** A promise request and its recipient. */
+export interface OutgoingPromiseRequest {
   readonly to: NodeId;
-  readonly ask: PromiseAsk;
+  readonly request: PromiseRequest;
 }
 
-/** What the ownership wants done after a tick. */
+/** The records to append and the promise requests to send. */
 export interface OwnershipActions {
   readonly records: readonly TenureRecord[];
-  readonly asks: readonly OutgoingAsk[];
+  readonly promiseRequests: readonly OutgoingPromiseRequest[];
 }
 
-/** One node's part in deciding which node controls each engine. */
+/** Runs one node's part of the protocol that assigns engines to nodes. */
 export class OwnershipAgent {
   readonly #options: OwnershipAgentOptions;
-  readonly #ledger = new ClaimLedger();
-  readonly #promises: PromiseBook;
-  readonly #keeper: PromiseKeeper;
-  readonly #watch: SuccessionWatch;
-  readonly #holder: RightHolder;
+  readonly #recordTracker = new TenureRecordTracker();
+  readonly #heldPromises: HeldPromises;
+  readonly #grantedPromises: GrantedPromises;
+  readonly #timers: SuccessionTimers;
+  readonly #authority: OrderAuthority;
   readonly #decider: TenureDecider;
-  readonly #kinds = new Map<EngineId, ControlledEngine>();
-  #lastAsk: Instant | undefined;
+  readonly #knownEngines = new Map<EngineId, ControlledEngine>();
+  #lastRequestAt: Instant | undefined;
 
   constructor(options: OwnershipAgentOptions) {
     this.#options = options;
     const { self, timing, rules, startedAt, state } = options;
-    this.#promises = new PromiseBook(rules, timing);
-    this.#keeper = new PromiseKeeper(rules, { timing, startedAt });
-    this.#watch = new SuccessionWatch(timing, startedAt);
-    this.#holder = new RightHolder({
+    this.#heldPromises = new HeldPromises(rules, timing);
+    this.#grantedPromises = new GrantedPromises(rules, { timing, startedAt });
+    this.#timers = new SuccessionTimers(timing, startedAt);
+    this.#authority = new OrderAuthority({
       self,
       rules,
       timing,
       tenures: state.tenures,
-      promises: this.#promises,
-      ledger: this.#ledger,
+      heldPromises: this.#heldPromises,
+      recordTracker: this.#recordTracker,
     });
     this.#decider = new TenureDecider({
       self,
       rules,
       timing,
       state,
-      ledger: this.#ledger,
-      keeper: this.#keeper,
-      watch: this.#watch,
-      holder: this.#holder,
+      recordTracker: this.#recordTracker,
+      grantedPromises: this.#grantedPromises,
+      timers: this.#timers,
+      authority: this.#authority,
     });
   }
 
-  /** The engines that this run controls, or is about to. */
+  /** The engines that this run controls or is about to control. */
   get controlled(): readonly EngineId[] {
-    return this.#holder.engines;
+    return this.#authority.controlledEngines;
   }
 
   /**
-   * Follows records that were applied.
+   * Updates the state after records were applied.
    * @param now The present time.
    * @param applied The records.
    */
-  follow(now: Instant, applied: readonly AppliedRecord[]): void {
+  onRecordsApplied(now: Instant, applied: readonly AppliedRecord[]): void {
     for (const { record, accepted } of applied) {
       if (record?.kind !== "tenure") continue;
-      this.#ledger.close(record.id);
-      if (accepted) this.#followTenure(now, record.engine);
+      this.#recordTracker.settle(record.id);
+      if (accepted) this.#onTenureChanged(now, record.engine);
     }
   }
 
   /**
-   * Follows all tenures, as after a snapshot.
+   * Updates the state of all engines after a snapshot was restored.
    * @param now The present time.
    */
-  followAll(now: Instant): void {
+  onStateRestored(now: Instant): void {
     for (const tenure of this.#options.state.tenures.tenures) {
-      this.#followTenure(now, tenure.engine);
+      this.#onTenureChanged(now, tenure.engine);
     }
   }
 
   /**
-   * Notes a read that reached the log's tail, after its records were applied.
-   * @param read When it began and ended.
+   * Renews the lease after a read that reached the log's tail. Call this after
+   * its records were applied.
+   * @param read The start and end of the read.
    */
   confirmTail(read: Exchange): void {
-    this.#holder.confirmTail(read);
+    this.#authority.confirmTail(read);
   }
 
   /**
-   * Notes that the log refused a record for certain.
+   * Handles the confirmation that a record was not appended.
    * @param id The record's id.
    */
-  notAppended(id: string): void {
-    this.#ledger.close(id);
+  appendRejected(id: string): void {
+    this.#recordTracker.settle(id);
   }
 
   /**
-   * Answers a controller that asks for promises.
+   * Answers a controller's promise request.
    * @param now The present time.
-   * @param ask The ask.
-   * @returns The answer.
+   * @param request The request.
+   * @returns The response, with the engines for which a promise is granted.
    */
-  answer(now: Instant, ask: PromiseAsk): PromiseAnswer {
+  answerPromiseRequest(now: Instant, request: PromiseRequest): PromiseResponse {
     const { state, self, rules, timing } = this.#options;
-    const mayPromise = ask.duration <= timing.promise &&
+    const mayPromise = request.duration <= timing.promise &&
       (listsRun(state.view, self) || rules.promisesAsStranger());
     const granted: EngineId[] = [];
-    for (const { engine, tenure: asked } of ask.engines) {
+    for (const { engine, tenure: requestedTenure } of request.engines) {
       const tenure = state.tenures.tenureOf(engine);
-      const known = tenure?.offset ?? NO_OFFSET;
+      const knownTenure = tenure?.offset ?? NO_OFFSET;
       const isController = tenure !== undefined &&
-        sameRun(tenure.controller, ask.from);
-      if (isController) this.#watch.heard(engine, now);
-      const isOutdated = known > asked || (known === asked && !isController);
-      const claims = this.#ledger.mayClaim(engine) &&
+        sameRun(tenure.controller, request.from);
+      if (isController) this.#timers.controllerHeard(engine, now);
+      const isOutdated = knownTenure > requestedTenure ||
+        (knownTenure === requestedTenure && !isController);
+      const hasConflictingClaim = this.#recordTracker.hasPendingClaim(engine) &&
         !rules.promisesDuringClaim();
-      if (!mayPromise || isOutdated || claims) continue;
-      this.#keeper.promise(engine, now);
+      if (!mayPromise || isOutdated || hasConflictingClaim) continue;
+      this.#grantedPromises.grant(engine, now);
       granted.push(engine);
     }
     const { node, incarnation } = self;
     return {
       kind: "promise",
       from: { node, incarnation },
-      to: ask.from,
-      number: ask.number,
+      to: request.from,
+      number: request.number,
       engines: granted,
     };
   }
 
   /**
-   * Takes in a successor's answer.
+   * Handles a successor's response to a promise request.
    * @param now The present time.
-   * @param answer The answer.
+   * @param response The response.
    */
-  promised(now: Instant, answer: PromiseAnswer): void {
-    if (!sameRun(answer.to, this.#options.self)) return;
-    this.#promises.noteAnswer(now, answer);
+  onPromiseResponse(now: Instant, response: PromiseResponse): void {
+    if (!sameRun(response.to, this.#options.self)) return;
+    this.#heldPromises.recordResponse(now, response);
   }
 
   /**
-   * Decides whether a destructive order may be given now.
+   * Checks whether a destructive order may be sent now.
    * @param engine The engine.
    * @param now The present time.
-   * @returns The order's fencing number, or why none may be given.
+   * @returns The order's fencing number, or why no order may be sent.
    */
-  current(engine: EngineId, now: Instant): Result<FencingNumber, Failure> {
-    return this.#holder.current(engine, now);
+  authorizeOrder(
+    engine: EngineId,
+    now: Instant,
+  ): Result<FencingNumber, Failure> {
+    return this.#authority.authorizeOrder(engine, now);
   }
 
   /**
-   * Tells whether this run controls an engine and the waits are over.
+   * Checks whether this run controls an engine and the takeover wait is over.
    * @param engine The engine.
    * @param now The present time.
-   * @returns Whether it does.
+   * @returns Whether this run's tenure is active.
    */
   isActive(engine: EngineId, now: Instant): boolean {
-    return this.#holder.isActive(engine, now);
+    return this.#authority.isActive(engine, now);
   }
 
   /**
-   * Decides claims, hand-overs and asks that are due.
+   * Determines the claims, hand-overs and promise requests that are due.
    * @param now The present time.
-   * @param tick What the decisions are made from.
-   * @returns What is to be done.
+   * @param tick The engines and members to decide from.
+   * @returns The records to append and the requests to send.
    */
   tick(now: Instant, tick: OwnershipTick): OwnershipActions {
-    this.#watch.tick(now);
-    for (const engine of tick.engines) this.#kinds.set(engine.engine, engine);
-    const asks = this.#asks(now);
-    if (!this.#holder.isLogFresh(now)) return { records: [], asks };
+    this.#timers.tick(now);
+    for (const engine of tick.engines) {
+      this.#knownEngines.set(engine.engine, engine);
+    }
+    const promiseRequests = this.#duePromiseRequests(now);
+    if (!this.#authority.isLogFresh(now)) {
+      return { records: [], promiseRequests };
+    }
     const records = tick.engines.flatMap((engine) => {
       const record = this.#decider.decide(now, { engine, tick });
       return record === undefined ? [] : [record];
     });
-    return { records, asks };
+    return { records, promiseRequests };
   }
 
-  #followTenure(now: Instant, engine: EngineId): void {
+  #onTenureChanged(now: Instant, engine: EngineId): void {
     const tenure = this.#options.state.tenures.tenureOf(engine);
     if (tenure === undefined) return;
-    this.#ledger.drop(engine, tenure.offset);
-    this.#watch.heard(engine, now);
-    const checksFencing = this.#kinds.get(engine)?.checksFencing ?? false;
-    this.#holder.follow(now, { tenure, checksFencing });
+    this.#recordTracker.dropStale(engine, tenure.offset);
+    this.#timers.controllerHeard(engine, now);
+    const checksFencing = this.#knownEngines.get(engine)?.checksFencing ??
+      false;
+    this.#authority.onTenureChanged(now, { tenure, checksFencing });
   }
 
-  #asks(now: Instant): readonly OutgoingAsk[] {
+  #duePromiseRequests(now: Instant): readonly OutgoingPromiseRequest[] {
     const { timing, self, state, rules } = this.#options;
-    const last = this.#lastAsk;
-    if (last !== undefined && now - last < timing.askInterval) return [];
-    this.#lastAsk = now;
-    const byPeer = new Map<NodeId, PromiseAsk["engines"][number][]>();
-    for (const engine of this.#holder.engines) {
+    const lastRequestAt = this.#lastRequestAt;
+    if (
+      lastRequestAt !== undefined &&
+      now - lastRequestAt < timing.promiseRequestInterval
+    ) return [];
+    this.#lastRequestAt = now;
+    const enginesByPeer = new Map<
+      NodeId,
+      PromiseRequest["engines"][number][]
+    >();
+    for (const engine of this.#authority.controlledEngines) {
       const tenure = state.tenures.tenureOf(engine);
       if (tenure === undefined) continue;
       const peers = rules.requiredPromisers(
         tenure.successors,
-        this.#ledger.proposedSuccessors(engine),
+        this.#recordTracker.proposedSuccessors(engine),
       );
       for (const peer of peers) {
-        const asked = byPeer.get(peer) ?? [];
-        asked.push({ engine, tenure: tenure.offset });
-        byPeer.set(peer, asked);
+        const peerEngines = enginesByPeer.get(peer) ?? [];
+        peerEngines.push({ engine, tenure: tenure.offset });
+        enginesByPeer.set(peer, peerEngines);
       }
     }
     const { node, incarnation } = self;
-    return [...byPeer].map(([to, engines]) => ({
+    return [...enginesByPeer].map(([to, engines]) => ({
       to,
-      ask: {
+      request: {
         kind: "ask" as const,
         from: { node, incarnation },
-        number: this.#promises.noteAsk(now),
+        number: this.#heldPromises.recordRequest(now),
         duration: timing.promise,
         engines,
       },
--- a/packages/core/src/ownership/promise_message.ts
+++ b/packages/core/src/ownership/promise_message.ts
@@ -1,28 +1,29 @@
 import type { NodeRun } from "../membership/mod.ts";
 import type { Duration, EngineId, LogOffset } from "../shared/mod.ts";
 
-/** An engine for which a promise is asked, and the tenure the asker knows. */
-export interface AskedEngine {
+/** An engine for which a promise is requested. */
+export interface RequestedPromise {
   readonly engine: EngineId;
+  /** The offset of the engine's tenure as known to the requester. */
   readonly tenure: LogOffset;
 }
 
-/** A controller asks a successor not to claim its engines for a while. */
-export interface PromiseAsk {
+/** A controller's request to a successor not to claim its engines. */
+export interface PromiseRequest {
   readonly kind: "ask";
   readonly from: NodeRun;
-  /** Counts the asks of one run. */
+  /** Sequence number of the request within one run. */
   readonly number: number;
-  /** How long the promise is to last. */
+  /** The requested duration of the promise. */
   readonly duration: Duration;
-  readonly engines: readonly AskedEngine[];
+  readonly engines: readonly RequestedPromise[];
 }
 
-/** A successor's answer: the engines for which it promises. */
-export interface PromiseAnswer {
+/** A successor's response, with the engines for which it grants a promise. */
+export interface PromiseResponse {
   readonly kind: "promise";
   readonly from: NodeRun;
-  /** The run that asked. */
+  /** The run that sent the request. */
   readonly to: NodeRun;
   readonly number: number;
   readonly engines: readonly EngineId[];
--- a/packages/core/src/ownership/rules.ts
+++ b/packages/core/src/ownership/rules.ts
@@ -10,36 +10,40 @@
   type NodeId,
 } from "../shared/mod.ts";
 import type { Tenure, TenureReason, TenureWait } from "./tenure.ts";
-import { atLeast, atMost, type OwnershipTiming } from "./timing.ts";
+import {
+  lengthenByClockMargin,
+  type OwnershipTiming,
+  shortenByClockMargin,
+} from "./timing.ts";
 
-/** When an exchange began and ended, by the asker's clock. */
+/** Start and end of a request, by the requester's clock. */
 export interface Exchange {
   readonly startedAt: Instant;
   readonly endedAt: Instant;
 }
 
 /**
- * The rules on which the safety of ownership rests, one method each, so that
- * a test can replace one rule and see that the invariants notice.
+ * The rules that make ownership safe, one per method, so that a test can
+ * replace a single rule and check that the invariants detect it.
  */
 export abstract class OwnershipRules {
   /** The instant from which a tail read renews the lease. */
   abstract leaseStart(read: Exchange): Instant;
-  /** The instant from which a granted promise counts for its holder. */
-  abstract promiseStart(exchange: Exchange): Instant;
-  /** When a lease that was renewed at `start` lapses. */
+  /** The instant from which a granted promise is valid for its holder. */
+  abstract promiseStart(request: Exchange): Instant;
+  /** When a lease that was renewed at `start` expires. */
   abstract leaseEnd(start: Instant, timing: OwnershipTiming): Instant;
-  /** When a promise that counts from `start` lapses for its holder. */
+  /** When a promise that is valid from `start` expires for its holder. */
   abstract promiseEnd(start: Instant, timing: OwnershipTiming): Instant;
-  /** When promises stop to carry a holder that read the log at `start`. */
+  /** When promises stop replacing the lease of a holder that read at `start`. */
   abstract horizonEnd(start: Instant, timing: OwnershipTiming): Instant;
-  /** How long a giver keeps a promise. */
+  /** How long the granting node honors a promise. */
   abstract promiseKept(timing: OwnershipTiming): Duration;
-  /** How long a fresh run, which has forgotten its promises, claims nothing. */
+  /** How long a new run, which has lost its granted promises, may not claim. */
   abstract restartWait(timing: OwnershipTiming): Duration;
-  /** Whether a giver that may have an own claim under way promises. */
+  /** Whether a node grants a promise while its own claim may be pending. */
   abstract promisesDuringClaim(): boolean;
-  /** Whether a run gives promises that the view it has read does not list. */
+  /** Whether a run grants promises while its view does not list it. */
   abstract promisesAsStranger(): boolean;
   /** How long a new controller waits before its first order. */
   abstract takeoverWait(
@@ -49,17 +53,17 @@
       readonly checksFencing: boolean;
     },
   ): Duration;
-  /** The wait that a new tenure needs. */
+  /** The kind of wait that a new tenure requires. */
   abstract waitOf(reason: TenureReason, before: Tenure | undefined): TenureWait;
-  /** Whether a record's base is the record in force. */
+  /** Whether a record is based on the current record. */
   abstract acceptsBase(base: LogOffset, current: LogOffset): boolean;
-  /** Whether a record at an offset is applied after those before `next`. */
+  /** Whether a record at `offset` is applied when `next` is expected. */
   abstract appliesOffset(offset: LogOffset, next: LogOffset): boolean;
-  /** Whether a run may append claims, given the view in force. */
+  /** Whether a run may append claims under the current view. */
   abstract acceptsClaimant(view: View, run: NodeRun): boolean;
-  /** Whether a node may take over from a tenure. */
+  /** Whether a node may take over an engine from its current tenure. */
   abstract mayTakeOver(node: NodeId, before: Tenure): boolean;
-  /** Whether a tenure may be repaired by a node that it does not name. */
+  /** Whether a node that the tenure does not name may claim the engine. */
   abstract mayRepair(view: View, before: Tenure): boolean;
   /** The number that fences the orders of a new tenure. */
   abstract fencing(
@@ -67,48 +71,48 @@
     options: { readonly reason: TenureReason; readonly before?: Tenure },
   ): FencingNumber;
   /**
-   * Whose promises a controller needs while records may be under way: those
-   * of every list of successors that may be in force. None where such a list
-   * is empty, as then promises cannot protect the controller.
+   * The nodes whose promises a controller needs while records may be pending:
+   * all nodes of every successor list that may be in effect. Empty if any such
+   * list is empty, since promises then cannot protect the controller.
    */
   abstract requiredPromisers(
     named: readonly NodeId[],
     proposed: readonly (readonly NodeId[])[],
   ): readonly NodeId[];
-  /** Whether a controller that hands over gives further orders. */
+  /** Whether a controller sends orders while it hands over an engine. */
   abstract ordersWhileReleasing(): boolean;
-  /** Whether the controller also checks that the lease holds. */
+  /** Whether the controller also checks that its lease is valid. */
   abstract checksLease(): boolean;
 }
 
-/** The rules in force. */
+/** The rules used in production. */
 export class StandardOwnershipRules extends OwnershipRules {
   override leaseStart(read: Exchange): Instant {
     return read.startedAt;
   }
 
-  override promiseStart(exchange: Exchange): Instant {
-    return exchange.startedAt;
+  override promiseStart(request: Exchange): Instant {
+    return request.startedAt;
   }
 
   override leaseEnd(start: Instant, timing: OwnershipTiming): Instant {
-    return later(start, atMost(timing.lease, timing));
+    return later(start, shortenByClockMargin(timing.lease, timing));
   }
 
   override promiseEnd(start: Instant, timing: OwnershipTiming): Instant {
-    return later(start, atMost(timing.promise, timing));
+    return later(start, shortenByClockMargin(timing.promise, timing));
   }
 
   override horizonEnd(start: Instant, timing: OwnershipTiming): Instant {
-    return later(start, atMost(timing.promiseHorizon, timing));
+    return later(start, shortenByClockMargin(timing.promiseHorizon, timing));
   }
 
   override promiseKept(timing: OwnershipTiming): Duration {
-    return atLeast(timing.promise, timing);
+    return lengthenByClockMargin(timing.promise, timing);
   }
 
   override restartWait(timing: OwnershipTiming): Duration {
-    return atLeast(timing.promise, timing);
+    return lengthenByClockMargin(timing.promise, timing);
   }
 
   override promisesDuringClaim(): boolean {
@@ -126,15 +130,18 @@
       readonly checksFencing: boolean;
     },
   ): Duration {
-    const flight = checksFencing ? 0 : timing.orderFlight;
+    const orderFlight = checksFencing ? 0 : timing.orderFlight;
     switch (wait) {
       case "none":
         return milliseconds(0);
       case "lease":
-        return atLeast(milliseconds(timing.lease + flight), timing);
+        return lengthenByClockMargin(
+          milliseconds(timing.lease + orderFlight),
+          timing,
+        );
       case "horizon":
-        return atLeast(
-          milliseconds(timing.promiseHorizon + timing.lease + flight),
+        return lengthenByClockMargin(
+          milliseconds(timing.promiseHorizon + timing.lease + orderFlight),
           timing,
         );
     }
--- a/packages/core/src/ownership/tenure.ts
+++ b/packages/core/src/ownership/tenure.ts
@@ -8,11 +8,11 @@
 
 /**
  * Why an engine's controller or successors change.
- * - `initial`: the engine has had no controller yet
+ * - `initial`: the engine has no controller yet
  * - `takeover`: a designated successor replaces a silent controller
- * - `handover`: the controller gives the engine to another node
+ * - `handover`: the controller transfers the engine to another node
  * - `keep`: the controller stays and names other successors
- * - `repair`: controller and successors are all gone
+ * - `repair`: the view lists neither the controller nor any successor
  */
 export type TenureReason =
   | "initial"
@@ -38,9 +38,9 @@
 
 /**
  * What a new controller waits for before its first order.
- * - `none`: the controller before has stopped
- * - `lease`: the lease of the controller before
- * - `horizon`: the longest time that promises carry the controller before
+ * - `none`: nothing, since the previous controller has stopped
+ * - `lease`: the expiry of the previous controller's lease
+ * - `horizon`: the longest time for which promises replace that lease
  */
 export type TenureWait = "none" | "lease" | "horizon";
 
@@ -51,7 +51,7 @@
   readonly reason: TenureReason;
   readonly fencing: FencingNumber;
   readonly controller: NodeRun;
-  /** The only nodes that may take over, in their order. */
+  /** The only nodes that may take over, in order of precedence. */
   readonly successors: readonly NodeId[];
   readonly wait: TenureWait;
 }
--- a/packages/core/src/ownership/tenure_decider.ts
+++ b/packages/core/src/ownership/tenure_decider.ts
@@ -5,43 +5,43 @@
   sameRun,
 } from "../membership/mod.ts";
 import type { Instant } from "../shared/mod.ts";
-import type { ClaimLedger } from "./claim_ledger.ts";
+import type { TenureRecordTracker } from "./tenure_record_tracker.ts";
 import type { ClusterLogState } from "./cluster_log_state.ts";
 import {
-  candidatesFor,
   chooseSuccessors,
   type ControlledEngine,
-} from "./designation.ts";
-import type { RightHolder } from "./order_right.ts";
-import type { PromiseKeeper } from "./promise_keeper.ts";
+  rankCandidates,
+} from "./controller_candidates.ts";
+import type { OrderAuthority } from "./order_authority.ts";
+import type { GrantedPromises } from "./granted_promises.ts";
 import type { OwnershipRules } from "./rules.ts";
-import type { SuccessionWatch } from "./succession_watch.ts";
+import type { SuccessionTimers } from "./succession_timers.ts";
 import type { Tenure, TenureReason, TenureRecord } from "./tenure.ts";
 import type { OwnershipTiming } from "./timing.ts";
 
-/** What a tick is decided from. */
+/** The input of one tick. */
 export interface OwnershipTick {
-  /** The engines that the platform lists. */
+  /** The engines listed by the platform. */
   readonly engines: readonly ControlledEngine[];
-  /** The members of the view that neither leave nor are suspected. */
+  /** The members of the view that are neither leaving nor suspected. */
   readonly live: readonly Member[];
-  /** Whether this node leaves. */
+  /** Whether this node is leaving. */
   readonly isLeaving: boolean;
 }
 
-/** What a decider works with. */
-export interface TenureDeciderParts {
+/** Options of a {@link TenureDecider}. */
+export interface TenureDeciderOptions {
   readonly self: Member;
   readonly rules: OwnershipRules;
   readonly timing: OwnershipTiming;
   readonly state: ClusterLogState;
-  readonly ledger: ClaimLedger;
-  readonly keeper: PromiseKeeper;
-  readonly watch: SuccessionWatch;
-  readonly holder: RightHolder;
+  readonly recordTracker: TenureRecordTracker;
+  readonly grantedPromises: GrantedPromises;
+  readonly timers: SuccessionTimers;
+  readonly authority: OrderAuthority;
 }
 
-/** An engine, and what a tick is decided from. */
+/** An engine and the input of the tick. */
 export interface DecisionContext {
   readonly engine: ControlledEngine;
   readonly tick: OwnershipTick;
@@ -49,37 +49,44 @@
 
 /** Decides when this run claims, keeps or hands over an engine. */
 export class TenureDecider {
-  readonly #parts: TenureDeciderParts;
-  #records = 0;
+  readonly #options: TenureDeciderOptions;
+  #recordCount = 0;
 
-  constructor(parts: TenureDeciderParts) {
-    this.#parts = parts;
+  constructor(options: TenureDeciderOptions) {
+    this.#options = options;
   }
 
   /**
    * Decides whether a record about an engine is due.
    * @param now The present time.
-   * @param context The engine, and what the tick is decided from.
-   * @returns The record to append, noted in the ledger, or nothing.
+   * @param context The engine and the input of the tick.
+   * @returns The record to append, already tracked, or undefined.
    */
   decide(
     now: Instant,
     context: DecisionContext,
   ): TenureRecord | undefined {
     const { engine } = context.engine;
-    const { timing, state, self } = this.#parts;
-    const options = { now, wait: timing.appendTimeout };
-    if (this.#parts.ledger.isRecent(engine, options)) return undefined;
+    const { timing, state, self } = this.#options;
+    const retryDelay = { now, wait: timing.appendTimeout };
+    if (this.#options.recordTracker.hasRecentAttempt(engine, retryDelay)) {
+      return undefined;
+    }
     const tenure = state.tenures.tenureOf(engine);
     if (tenure !== undefined && sameRun(tenure.controller, self)) {
       return this.#decideAsController(now, { ...context, tenure });
     }
     if (!listsRun(state.view, self) || context.tick.isLeaving) return undefined;
-    if (!this.#parts.keeper.isFree(engine, now)) return undefined;
+    if (!this.#options.grantedPromises.mayClaim(engine, now)) return undefined;
     const reason = this.#claimReason(now, { ...context, tenure });
     if (reason === undefined) return undefined;
-    this.#parts.keeper.assertFree(engine, now);
-    return this.#record(now, { ...context, tenure, reason, controller: self });
+    this.#options.grantedPromises.assertMayClaim(engine, now);
+    return this.#createRecord(now, {
+      ...context,
+      tenure,
+      reason,
+      controller: self,
+    });
   }
 
   #claimReason(
@@ -87,35 +94,44 @@
     context: DecisionContext & { readonly tenure: Tenure | undefined },
   ): TenureReason | undefined {
     const { tenure, tick } = context;
-    const { rules, self, state, timing } = this.#parts;
+    const { rules, self, state, timing } = this.#options;
     const { engine } = context.engine;
     if (tenure === undefined) {
-      return this.#isTurn(now, { ...context, condition: `initial/${engine}` })
+      return this.#isTurnToClaim(now, {
+          ...context,
+          condition: `initial/${engine}`,
+        })
         ? "initial"
         : undefined;
     }
     if (rules.mayTakeOver(self.node, tenure)) {
       const rank = Math.max(0, tenure.successors.indexOf(self.node));
       const wait = timing.suspectAfter + rank * timing.candidateStagger;
-      const isLost = this.#parts.watch.silence(engine, now) >= wait;
-      return isLost ? "takeover" : undefined;
+      const isControllerSilent =
+        this.#options.timers.silenceDuration(engine, now) >= wait;
+      return isControllerSilent ? "takeover" : undefined;
     }
     const condition = `repair/${engine}`;
     if (!rules.mayRepair(state.view, tenure) || tick.live.length === 0) {
-      this.#parts.watch.ended(condition);
+      this.#options.timers.clearCondition(condition);
       return undefined;
     }
-    return this.#isTurn(now, { ...context, condition }) ? "repair" : undefined;
+    return this.#isTurnToClaim(now, { ...context, condition })
+      ? "repair"
+      : undefined;
   }
 
-  #isTurn(
+  #isTurnToClaim(
     now: Instant,
     context: DecisionContext & { readonly condition: string },
   ): boolean {
-    const { self, timing } = this.#parts;
-    const candidates = candidatesFor(context.engine, context.tick.live);
+    const { self, timing } = this.#options;
+    const candidates = rankCandidates(context.engine, context.tick.live);
     const rank = candidates.findIndex((one) => one.node === self.node);
-    const lasted = this.#parts.watch.lasted(context.condition, now);
+    const lasted = this.#options.timers.conditionDuration(
+      context.condition,
+      now,
+    );
     return rank >= 0 && lasted >= rank * timing.candidateStagger;
   }
 
@@ -125,22 +141,25 @@
   ): TenureRecord | undefined {
     const { tenure, tick } = context;
     const { engine } = context.engine;
-    if (!this.#parts.holder.isActive(engine, now)) return undefined;
-    const candidates = candidatesFor(context.engine, tick.live);
+    if (!this.#options.authority.isActive(engine, now)) return undefined;
+    const candidates = rankCandidates(context.engine, tick.live);
     const target = this.#handOverTarget(now, { ...context, candidates });
     if (target !== undefined) {
       return this.#handOver(now, { ...context, target });
     }
-    if (!this.#parts.ledger.mayHandOver(engine)) {
-      this.#parts.holder.resumeOrders(engine);
+    if (!this.#options.recordTracker.hasPendingHandOver(engine)) {
+      this.#options.authority.resumeOrders(engine);
     }
-    const wanted = chooseSuccessors(candidates, tenure.controller.node);
-    const isSame = wanted.join() === tenure.successors.join();
-    if (isSame && tenure.wait !== "horizon") return undefined;
-    return this.#record(now, {
+    const desiredSuccessors = chooseSuccessors(
+      candidates,
+      tenure.controller.node,
+    );
+    const areUnchanged = desiredSuccessors.join() === tenure.successors.join();
+    if (areUnchanged && tenure.wait !== "horizon") return undefined;
+    return this.#createRecord(now, {
       ...context,
       reason: "keep",
-      controller: this.#parts.self,
+      controller: this.#options.self,
     });
   }
 
@@ -148,16 +167,16 @@
     now: Instant,
     context: DecisionContext & { readonly candidates: readonly Member[] },
   ): Member | undefined {
-    const { self, timing } = this.#parts;
-    const best = context.candidates.find((one) => one.node !== self.node);
-    if (context.tick.isLeaving) return best;
+    const { self, timing } = this.#options;
+    const bestOther = context.candidates.find((one) => one.node !== self.node);
+    if (context.tick.isLeaving) return bestOther;
     const condition = `better/${context.engine.engine}`;
-    if (best === undefined || best !== context.candidates[0]) {
-      this.#parts.watch.ended(condition);
+    if (bestOther === undefined || bestOther !== context.candidates[0]) {
+      this.#options.timers.clearCondition(condition);
       return undefined;
     }
-    const lasted = this.#parts.watch.lasted(condition, now);
-    return lasted >= timing.rebalanceAfter ? best : undefined;
+    const lasted = this.#options.timers.conditionDuration(condition, now);
+    return lasted >= timing.rebalanceAfter ? bestOther : undefined;
   }
 
   #handOver(
@@ -167,18 +186,22 @@
       readonly target: Member;
     },
   ): TenureRecord | undefined {
-    const stopped = this.#parts.holder.stopOrders(context.engine.engine, now);
-    const { orderFlight } = this.#parts.timing;
-    const isQuiet = context.engine.checksFencing || stopped >= orderFlight * 2;
-    if (!isQuiet) return undefined;
-    return this.#record(now, {
+    const stoppedFor = this.#options.authority.stopOrders(
+      context.engine.engine,
+      now,
+    );
+    const { orderFlight } = this.#options.timing;
+    const haveOrdersEnded = context.engine.checksFencing ||
+      stoppedFor >= orderFlight * 2;
+    if (!haveOrdersEnded) return undefined;
+    return this.#createRecord(now, {
       ...context,
       reason: "handover",
       controller: context.target,
     });
   }
 
-  #record(
+  #createRecord(
     now: Instant,
     context: DecisionContext & {
       readonly tenure: Tenure | undefined;
@@ -186,16 +209,16 @@
       readonly controller: Member;
     },
   ): TenureRecord {
-    const { node, incarnation } = this.#parts.self;
+    const { node, incarnation } = this.#options.self;
     const { controller, tick, reason, tenure } = context;
     const live = tick.live.filter((one) =>
       !(tick.isLeaving && one.node === node)
     );
-    const candidates = candidatesFor(context.engine, live);
-    this.#records += 1;
+    const candidates = rankCandidates(context.engine, live);
+    this.#recordCount += 1;
     const record: TenureRecord = {
       kind: "tenure",
-      id: `${node}/${incarnation}/tenure/${String(this.#records)}`,
+      id: `${node}/${incarnation}/tenure/${String(this.#recordCount)}`,
       engine: context.engine.engine,
       base: tenure?.offset ?? NO_OFFSET,
       reason,
@@ -206,7 +229,7 @@
       },
       successors: chooseSuccessors(candidates, controller.node),
     };
-    this.#parts.ledger.open(now, record);
+    this.#options.recordTracker.track(now, record);
     return record;
   }
 }
--- a/packages/core/src/ownership/tenure_register.ts
+++ b/packages/core/src/ownership/tenure_register.ts
@@ -7,7 +7,10 @@
 import type { OwnershipRules } from "./rules.ts";
 import type { Tenure, TenureRecord } from "./tenure.ts";
 
-/** Decides which tenure records take effect; all readers decide alike. */
+/**
+ * Decides which tenure records take effect. The decision is deterministic, so
+ * all readers of the log agree.
+ */
 export class TenureRegister {
   readonly #rules: OwnershipRules;
   readonly #tenures = new Map<EngineId, Tenure>();
@@ -16,22 +19,22 @@
     this.#rules = rules;
   }
 
-  /** All tenures in force. */
+  /** All current tenures. */
   get tenures(): readonly Tenure[] {
     return [...this.#tenures.values()];
   }
 
   /**
-   * Finds the tenure in force.
+   * Finds the current tenure of an engine.
    * @param engine The engine.
-   * @returns The tenure, or nothing where there never was one.
+   * @returns The tenure, or undefined if there never was one.
    */
   tenureOf(engine: EngineId): Tenure | undefined {
     return this.#tenures.get(engine);
   }
 
   /**
-   * Takes the state of a snapshot.
+   * Replaces all tenures by those of a snapshot.
    * @param tenures The tenures.
    */
   restore(tenures: readonly Tenure[]): void {
@@ -40,9 +43,9 @@
   }
 
   /**
-   * Applies a record where the rules allow it.
+   * Applies a record if the rules allow it.
    * @param record The record.
-   * @param context The record's offset and the view in force there.
+   * @param context The record's offset and the view at that offset.
    * @returns Whether the record took effect.
    */
   apply(
--- a/packages/core/src/ownership/timing.ts
+++ b/packages/core/src/ownership/timing.ts
@@ -1,34 +1,34 @@
 import { type Duration, milliseconds, seconds } from "../shared/mod.ts";
 
-/** The times of the ownership protocol. The same on all nodes. */
+/** The timing of the ownership protocol. It must be the same on all nodes. */
 export interface OwnershipTiming {
-  /** How long a confirmed log tail gives the right to order. */
+  /** How long a confirmed log tail permits sending orders. */
   readonly lease: Duration;
-  /** How long a successor's promise lasts; also the longest it may give. */
+  /** How long a successor's promise lasts, which is also the maximum. */
   readonly promise: Duration;
-  /** How often a controller asks for promises. */
-  readonly askInterval: Duration;
-  /** Silence of a controller after which its first successor acts. */
+  /** The interval at which a controller requests promises. */
+  readonly promiseRequestInterval: Duration;
+  /** Silence of a controller after which its first successor takes over. */
   readonly suspectAfter: Duration;
-  /** The further wait of each next successor or candidate. */
+  /** The additional wait of each further successor or candidate. */
   readonly candidateStagger: Duration;
-  /** Share by which the rates of two clocks may differ from true time. */
+  /** Fraction by which the rate of a clock may differ from true time. */
   readonly clockRateMargin: number;
-  /** The longest time between giving an order and its start at the engine. */
+  /** The longest time between sending an order and its start at the engine. */
   readonly orderFlight: Duration;
-  /** How long promises carry a controller that cannot read the log. */
+  /** How long promises replace the lease while the log cannot be read. */
   readonly promiseHorizon: Duration;
-  /** How long an append may stay unanswered before it is made again. */
+  /** How long to wait for the result of an append before trying again. */
   readonly appendTimeout: Duration;
-  /** How long a better controller must be stable before a hand-over to it. */
+  /** How long another node must be the best candidate before a hand-over. */
   readonly rebalanceAfter: Duration;
 }
 
-/** The times in force by default. */
+/** The default timing. */
 export const DEFAULT_OWNERSHIP_TIMING: OwnershipTiming = {
   lease: milliseconds(1_000),
   promise: milliseconds(1_000),
-  askInterval: milliseconds(250),
+  promiseRequestInterval: milliseconds(250),
   suspectAfter: milliseconds(900),
   candidateStagger: milliseconds(400),
   clockRateMargin: 0.01,
@@ -39,21 +39,29 @@
 };
 
 /**
- * Lengthens a wait, so that it is long enough by any clock within the margin.
+ * Lengthens a wait so that it is long enough for any clock rate within the
+ * margin.
  * @param duration The wait in true time.
  * @param timing The clock rate margin.
- * @returns The wait by one's own clock.
+ * @returns The wait by the local clock.
  */
-export function atLeast(duration: Duration, timing: OwnershipTiming): Duration {
+export function lengthenByClockMargin(
+  duration: Duration,
+  timing: OwnershipTiming,
+): Duration {
   return milliseconds(duration * (1 + timing.clockRateMargin));
 }
 
 /**
- * Shortens a validity, so that it ends in time by any clock within the margin.
+ * Shortens a validity so that it ends in time for any clock rate within the
+ * margin.
  * @param duration The validity in true time.
  * @param timing The clock rate margin.
- * @returns The validity by one's own clock.
+ * @returns The validity by the local clock.
  */
-export function atMost(duration: Duration, timing: OwnershipTiming): Duration {
+export function shortenByClockMargin(
+  duration: Duration,
+  timing: OwnershipTiming,
+): Duration {
   return milliseconds(duration * (1 - timing.clockRateMargin));
 }
--- a/packages/core/tests/ownership/rules_test.ts
+++ b/packages/core/tests/ownership/rules_test.ts
@@ -9,15 +9,15 @@
 const rules = new StandardOwnershipRules();
 const [b, c, d] = [nodeId("b"), nodeId("c"), nodeId("d")];
 
-test("promises are needed of every successor that may be named", (t) => {
+test("promises are required from every successor that may be named", (t) => {
   t.deepEqual(rules.requiredPromisers([b, c], [[c, d]]), [b, c, d]);
 });
 
-test("promises protect nobody where a record under way names no successor", (t) => {
+test("no promisers are required when a pending record names no successor", (t) => {
   t.deepEqual(rules.requiredPromisers([b, c], [[]]), []);
 });
 
-test("a lapsed right ends before any successor's wait, by clocks within the margin", (t) => {
+test("the lease ends before a successor's wait for clock rates within the margin", (t) => {
   const timing = DEFAULT_OWNERSHIP_TIMING;
   const slowest = 1 - timing.clockRateMargin;
   const fastest = 1 + timing.clockRateMargin;
