--- a/packages/core/src/service_routing/attempt_budget.ts
+++ b/packages/core/src/service_routing/attempt_budget.ts
@@ -1,32 +1,32 @@
 /**
- * Bounds extra attempts to a share of the calls, so that retries cannot
- * multiply the load of a service that is already failing.
+ * A token bucket that limits extra attempts to a fraction of the calls, so that
+ * retries cannot multiply the load of a service that is already failing.
  */
 export class AttemptBudget {
-  readonly #share: number;
+  readonly #tokensPerCall: number;
   readonly #capacity: number;
   #tokens: number;
 
   /**
-   * @param share Extra attempts earned by each call.
-   * @param capacity The most that can be saved up, which is there at start.
+   * @param tokensPerCall Tokens added by each call; an extra attempt costs one.
+   * @param capacity The maximum number of tokens, available from the start.
    */
-  constructor(share: number, capacity: number) {
-    this.#share = share;
+  constructor(tokensPerCall: number, capacity: number) {
+    this.#tokensPerCall = tokensPerCall;
     this.#capacity = capacity;
     this.#tokens = capacity;
   }
 
-  /** Earns for one call. */
-  earn(): void {
-    this.#tokens = Math.min(this.#capacity, this.#tokens + this.#share);
+  /** Adds the tokens of one call. */
+  deposit(): void {
+    this.#tokens = Math.min(this.#capacity, this.#tokens + this.#tokensPerCall);
   }
 
   /**
-   * Pays for one extra attempt.
-   * @returns Whether the budget allowed it.
+   * Withdraws the token for one extra attempt.
+   * @returns Whether a token was available.
    */
-  spend(): boolean {
+  tryWithdraw(): boolean {
     if (this.#tokens < 1) return false;
     this.#tokens -= 1;
     return true;
--- a/packages/core/src/service_routing/attempt_ledger.ts
+++ b/packages/core/src/service_routing/attempt_tracker.ts
@@ -16,22 +16,22 @@
 interface Attempt {
   readonly server: ServiceServer;
   readonly startedAt: Instant;
-  readonly inFlightBefore: number;
+  readonly inFlightAtStart: number;
 }
 
-/** What an attempt's end is judged by. */
-export interface AttemptJudgement {
+/** The result of an attempt and the target it is measured against. */
+export interface EndedAttempt {
   readonly result: AttemptResult;
-  /** How quickly the service must answer; a failure counts as slow as that. */
+  /** The service's target; a failure counts as at least that slow. */
   readonly target: Duration;
 }
 
-/** The attempts that have not ended, and where they run. */
-export class AttemptLedger {
+/** Tracks the attempts in flight and the servers that run them. */
+export class AttemptTracker {
   readonly #latencies: LatencyWindow;
   readonly #attempts = new Map<string, Attempt>();
 
-  /** @param latencies Receives the latency of each good answer. */
+  /** @param latencies Receives the latency of each attempt without a fault. */
   constructor(latencies: LatencyWindow) {
     this.#latencies = latencies;
   }
@@ -40,7 +40,7 @@
    * Begins an attempt.
    * @param now The present time.
    * @param reference The attempt.
-   * @param server Where it runs.
+   * @param server The server that runs it.
    */
   begin(
     now: Instant,
@@ -51,41 +51,45 @@
     assertInvariant(
       !this.#attempts.has(key),
       "attempt_begins_once",
-      () => `Attempt ${key} has begun before.`,
+      () => `Attempt ${key} has already begun.`,
     );
-    const inFlightBefore = server.inFlight;
-    server.begin(now, key);
-    this.#attempts.set(key, { server, startedAt: now, inFlightBefore });
+    const inFlightAtStart = server.inFlight;
+    server.beginAttempt(now, key);
+    this.#attempts.set(key, {
+      server,
+      startedAt: now,
+      inFlightAtStart,
+    });
   }
 
   /**
-   * Ends an attempt and lets its server learn from it.
+   * Ends an attempt and updates the server's statistics.
    * @param now The present time.
    * @param reference The attempt.
-   * @param judgement How it ended.
-   * @returns The server, or nothing where the attempt had ended before.
+   * @param ended How it ended, and the target.
+   * @returns The server, or undefined if the attempt had already ended.
    */
   end(
     now: Instant,
     reference: AttemptReference,
-    { result, target }: AttemptJudgement,
+    { result, target }: EndedAttempt,
   ): ServiceServer | undefined {
     const key = attemptKey(reference);
     const attempt = this.#attempts.get(key);
     if (attempt === undefined) return undefined;
     this.#attempts.delete(key);
-    const { server, startedAt, inFlightBefore } = attempt;
-    if (result.kind === "answered" && result.leaving) server.leave();
+    const { server, startedAt, inFlightAtStart: inFlight } = attempt;
+    if (result.kind === "answered" && result.leaving) server.markLeaving();
     if (result.kind === "failed" && result.failure.reason === "cancelled") {
-      server.release(now, key);
+      server.releaseAttempt(now, key);
       return server;
     }
     const latency = elapsed(startedAt, now);
     const failed = isServerFault(result);
     if (!failed) this.#latencies.add(now, latency);
-    server.end(now, key, {
+    server.endAttempt(now, key, {
       latency,
-      inFlight: inFlightBefore,
+      inFlight,
       overloaded: isOverload(result),
       failed,
       target,
--- a/packages/core/src/service_routing/call_failures.ts
+++ b/packages/core/src/service_routing/call_failures.ts
@@ -2,11 +2,11 @@
 import type { PendingCall } from "./pending_call.ts";
 
 const NO_SERVER_RETRY_MILLISECONDS = 1_000;
-const SHORTEST_RETRY_MILLISECONDS = 100;
-const LONGEST_RETRY_MILLISECONDS = 5_000;
+const MINIMUM_RETRY_MILLISECONDS = 100;
+const MAXIMUM_RETRY_MILLISECONDS = 5_000;
 
 /**
- * Says that no server of the service takes work.
+ * Creates the failure of a call when no server accepts work.
  * @param service The service.
  * @param call The call.
  * @returns The failure.
@@ -19,17 +19,17 @@
     reason: "unavailable",
     step: "call_service",
     peer: service,
-    message: `No server of service "${service}" takes new work.`,
+    message: `No server of service "${service}" accepts new work.`,
     outcome: call.outcome,
     retryAfterMilliseconds: NO_SERVER_RETRY_MILLISECONDS,
   };
 }
 
 /**
- * Says that the service has too much to do for the call.
+ * Creates the failure of a call that is refused because of overload.
  * @param service The service.
  * @param call The call.
- * @param wait The wait that is expected for a place.
+ * @param wait The expected wait in the queue.
  * @returns The failure.
  */
 export function overloadFailure(
@@ -44,15 +44,15 @@
     message: `Service "${service}" cannot answer within its target.`,
     outcome: call.outcome,
     retryAfterMilliseconds: Math.min(
-      LONGEST_RETRY_MILLISECONDS,
-      Math.max(SHORTEST_RETRY_MILLISECONDS, Math.ceil(wait)),
+      MAXIMUM_RETRY_MILLISECONDS,
+      Math.max(MINIMUM_RETRY_MILLISECONDS, Math.ceil(wait)),
     ),
   };
 }
 
 /**
- * Gives the failure of a call whose attempts have all failed. Its outcome
- * counts every attempt, not the last alone.
+ * Creates the failure of a call whose attempts have all failed. Its outcome
+ * covers all attempts, not only the last one.
  * @param service The service.
  * @param call The call.
  * @returns The failure.
--- a/packages/core/src/service_routing/concurrency_limit.ts
+++ b/packages/core/src/service_routing/concurrency_limit.ts
@@ -1,53 +1,54 @@
 import type { Duration } from "../shared/mod.ts";
 
-/** What an ended attempt tells of a server's load. */
+/** A load measurement from an ended attempt. */
 export interface LoadSample {
   readonly latency: Duration;
-  /** How quickly the service must answer. */
+  /** The service's latency target. */
   readonly target: Duration;
-  /** How many calls the server had from here when the attempt began. */
+  /** Calls in flight from this node when the attempt began. */
   readonly inFlight: number;
-  /** The server refused, or did not answer in time. */
+  /** Whether the server refused the call or did not answer in time. */
   readonly overloaded: boolean;
 }
 
-/** Bounds how many calls a server gets from this node at once. */
+/** Limits how many calls this node sends to a server concurrently. */
 export abstract class ConcurrencyLimit {
-  /** How many calls the server may have at once. */
+  /** The current limit. */
   abstract get value(): number;
 
   /**
    * Adapts to an ended attempt.
-   * @param sample What it told.
+   * @param sample The measurement.
    */
   abstract update(sample: LoadSample): void;
 }
 
-/** Sets no bound: the baseline of measurements. */
+/** Sets no limit. Serves as a baseline in benchmarks. */
 export class NoLimit extends ConcurrencyLimit {
   override get value(): number {
     return Number.POSITIVE_INFINITY;
   }
 
   override update(): void {
-    // Nothing adapts.
+    // The limit is fixed.
   }
 }
 
 const INITIAL_LIMIT = 20;
 const MINIMUM_LIMIT = 2;
 const MAXIMUM_LIMIT = 1_000;
-const BACKOFF = 0.9;
-const CONGESTION_RATIO = 3;
+const BACKOFF_FACTOR = 0.9;
+const CONGESTED_BASELINE_RATIO = 3;
 const CONGESTED_TARGET_SHARE = 0.5;
-const BASELINE_DRIFT = 1.0002;
-const BASELINE_FLOOR_MILLISECONDS = 0.5;
+const BASELINE_DRIFT_FACTOR = 1.0002;
+const MINIMUM_BASELINE_MILLISECONDS = 0.5;
 
 /**
- * Additive increase, multiplicative decrease. Latency that uses up half of
- * the target and lies far above the lowest seen counts as congestion, as does
- * an overload stated by the server. The lowest drifts up slowly, so that a
- * server that became slower for good is not held to its past.
+ * Additive increase, multiplicative decrease (AIMD). An overload reported by
+ * the server counts as congestion, and so does a latency above both half of
+ * the target and a multiple of the baseline. The baseline is the lowest latency
+ * seen. It drifts up slowly, to adapt to a server that became permanently
+ * slower.
  */
 export class AdditiveIncreaseLimit extends ConcurrencyLimit {
   #limit = INITIAL_LIMIT;
@@ -58,15 +59,15 @@
   }
 
   override update(sample: LoadSample): void {
-    const latency = Math.max(sample.latency, BASELINE_FLOOR_MILLISECONDS);
-    this.#baseline = Math.min(latency, this.#baseline * BASELINE_DRIFT);
+    const latency = Math.max(sample.latency, MINIMUM_BASELINE_MILLISECONDS);
+    this.#baseline = Math.min(latency, this.#baseline * BASELINE_DRIFT_FACTOR);
     const threshold = Math.max(
       sample.target * CONGESTED_TARGET_SHARE,
-      this.#baseline * CONGESTION_RATIO,
+      this.#baseline * CONGESTED_BASELINE_RATIO,
     );
-    const congested = sample.overloaded || latency > threshold;
-    if (congested) {
-      this.#limit = Math.max(MINIMUM_LIMIT, this.#limit * BACKOFF);
+    const isCongested = sample.overloaded || latency > threshold;
+    if (isCongested) {
+      this.#limit = Math.max(MINIMUM_LIMIT, this.#limit * BACKOFF_FACTOR);
       return;
     }
     const isUsed = sample.inFlight * 2 >= this.#limit;
@@ -77,42 +78,51 @@
 
 const GRADIENT_TOLERANCE = 1.5;
 const GRADIENT_SMOOTHING = 0.05;
-const SHORT_WEIGHT = 0.2;
-const LONG_WEIGHT = 0.005;
-const LOWEST_GRADIENT = 0.5;
+const RECENT_WEIGHT = 0.2;
+const LONG_TERM_WEIGHT = 0.005;
+const MINIMUM_GRADIENT = 0.5;
 
 /**
- * Follows the ratio of the long-term to the recent latency (the "gradient"
- * limit of Netflix's concurrency-limits).
+ * Adjusts the limit by the ratio of long-term to recent latency, as the
+ * gradient limit of Netflix's concurrency-limits does.
  */
 export class GradientLimit extends ConcurrencyLimit {
   #limit = INITIAL_LIMIT;
-  #short: number | undefined;
-  #long: number | undefined;
+  #recentLatency: number | undefined;
+  #longTermLatency: number | undefined;
 
   override get value(): number {
     return Math.floor(this.#limit);
   }
 
   override update(sample: LoadSample): void {
-    const latency = Math.max(sample.latency, BASELINE_FLOOR_MILLISECONDS);
-    this.#short = average(this.#short, latency, SHORT_WEIGHT);
-    this.#long = average(this.#long, latency, LONG_WEIGHT);
+    const latency = Math.max(sample.latency, MINIMUM_BASELINE_MILLISECONDS);
+    this.#recentLatency = movingAverage(
+      this.#recentLatency,
+      latency,
+      RECENT_WEIGHT,
+    );
+    this.#longTermLatency = movingAverage(
+      this.#longTermLatency,
+      latency,
+      LONG_TERM_WEIGHT,
+    );
     if (sample.overloaded) {
-      this.#limit = Math.max(MINIMUM_LIMIT, this.#limit * BACKOFF);
+      this.#limit = Math.max(MINIMUM_LIMIT, this.#limit * BACKOFF_FACTOR);
       return;
     }
     if (sample.inFlight * 2 < this.#limit) return;
-    const ratio = GRADIENT_TOLERANCE * this.#long / this.#short;
-    const gradient = Math.max(LOWEST_GRADIENT, Math.min(1, ratio));
-    const wanted = this.#limit * gradient + Math.sqrt(this.#limit);
+    const ratio = GRADIENT_TOLERANCE * this.#longTermLatency /
+      this.#recentLatency;
+    const gradient = Math.max(MINIMUM_GRADIENT, Math.min(1, ratio));
+    const desired = this.#limit * gradient + Math.sqrt(this.#limit);
     const next = this.#limit * (1 - GRADIENT_SMOOTHING) +
-      wanted * GRADIENT_SMOOTHING;
+      desired * GRADIENT_SMOOTHING;
     this.#limit = Math.min(MAXIMUM_LIMIT, Math.max(MINIMUM_LIMIT, next));
   }
 }
 
-function average(
+function movingAverage(
   before: number | undefined,
   sample: number,
   weight: number,
--- a/packages/core/src/service_routing/latency_window.ts
+++ b/packages/core/src/service_routing/latency_window.ts
@@ -7,37 +7,37 @@
   seconds,
 } from "../shared/mod.ts";
 
-const WINDOW = seconds(3);
+const HISTOGRAM_PERIOD = seconds(3);
 const MINIMUM_SAMPLES = 20;
 const UNITS_PER_MILLISECOND = 100;
-const HIGHEST_MILLISECONDS = 600_000;
-const TYPICAL_PERCENTILE = 50;
-const LIKELY_PERCENTILE = 95;
-const UNKNOWN_LATENCY = milliseconds(1);
+const MAXIMUM_LATENCY_MILLISECONDS = 600_000;
+const MEDIAN_PERCENTILE = 50;
+const HIGH_PERCENTILE = 95;
+const DEFAULT_LATENCY = milliseconds(1);
 
-/** Latencies of the last three to six seconds, for their quantiles. */
+/** Latency percentiles over the last three to six seconds. */
 export class LatencyWindow {
   #current = emptyHistogram();
   #previous = emptyHistogram();
   #startedAt: Instant | undefined;
 
   /**
-   * Takes a sample.
+   * Adds a sample.
    * @param now The present time.
-   * @param latency The latency seen.
+   * @param latency The measured latency.
    */
   add(now: Instant, latency: Duration): void {
     this.#rotate(now);
-    const bounded = Math.min(latency, HIGHEST_MILLISECONDS);
+    const bounded = Math.min(latency, MAXIMUM_LATENCY_MILLISECONDS);
     this.#current.recordValue(
       Math.max(1, Math.round(bounded * UNITS_PER_MILLISECOND)),
     );
   }
 
   /**
-   * Reads a quantile.
+   * Reads a percentile.
    * @param percentile From 0 to 100.
-   * @returns The latency, or nothing while samples are few.
+   * @returns The latency, or undefined while there are too few samples.
    */
   percentile(percentile: number): Duration | undefined {
     const source = this.#previous.totalCount >= MINIMUM_SAMPLES
@@ -48,19 +48,19 @@
     return milliseconds(units / UNITS_PER_MILLISECOND);
   }
 
-  /** What a call usually takes, for estimates. */
-  get typical(): Duration {
-    return this.percentile(TYPICAL_PERCENTILE) ?? UNKNOWN_LATENCY;
+  /** The median latency, or a default while there are too few samples. */
+  get median(): Duration {
+    return this.percentile(MEDIAN_PERCENTILE) ?? DEFAULT_LATENCY;
   }
 
-  /** What nearly all calls stay below, once a server has them. */
-  get likelyLongest(): Duration {
-    return this.percentile(LIKELY_PERCENTILE) ?? UNKNOWN_LATENCY;
+  /** The 95th percentile, or a default while there are too few samples. */
+  get percentile95(): Duration {
+    return this.percentile(HIGH_PERCENTILE) ?? DEFAULT_LATENCY;
   }
 
   #rotate(now: Instant): void {
     this.#startedAt ??= now;
-    if (elapsed(this.#startedAt, now) < WINDOW) return;
+    if (elapsed(this.#startedAt, now) < HISTOGRAM_PERIOD) return;
     const reused = this.#previous;
     this.#previous = this.#current;
     reused.reset();
@@ -71,7 +71,7 @@
 
 function emptyHistogram(): Histogram {
   return build({
-    highestTrackableValue: HIGHEST_MILLISECONDS * UNITS_PER_MILLISECOND,
+    highestTrackableValue: MAXIMUM_LATENCY_MILLISECONDS * UNITS_PER_MILLISECOND,
     numberOfSignificantValueDigits: 2,
   });
 }
--- a/packages/core/src/service_routing/mod.ts
+++ b/packages/core/src/service_routing/mod.ts
@@ -5,6 +5,6 @@
 export * from "./service_call.ts";
 export * from "./service_policy.ts";
 export * from "./service_router.ts";
-export * from "./service_router_parts.ts";
+export * from "./service_router_options.ts";
 export * from "./service_server.ts";
-export * from "./service_terms.ts";
+export * from "./call_time_limits.ts";
--- a/packages/core/src/service_routing/outlier_ejection.ts
+++ b/packages/core/src/service_routing/outlier_ejection.ts
@@ -1,14 +1,14 @@
 import { type Instant, seconds } from "../shared/mod.ts";
 import { ejectionEnd, type ServiceServer } from "./service_server.ts";
 
-const CONSECUTIVE_FAILURES = 5;
-const FAILURE_RATE = 0.4;
-const EJECTION = seconds(5);
-const REMAINING_SHARE = 0.5;
+const CONSECUTIVE_FAILURE_THRESHOLD = 5;
+const FAILURE_RATE_THRESHOLD = 0.4;
+const BASE_EJECTION_DURATION = seconds(5);
+const MINIMUM_ELIGIBLE_SHARE = 0.5;
 
 /**
- * Ejects a server that fails far more than it should, unless too few servers
- * would remain: a fault that all share is no server's own.
+ * Ejects a server that exceeds a failure threshold, unless too few servers
+ * would remain eligible: a fault that all servers share is not one server's own.
  * @param now The present time.
  * @param server The server that just failed.
  * @param servers All servers of the service.
@@ -18,16 +18,17 @@
   server: ServiceServer,
   servers: Iterable<ServiceServer>,
 ): void {
-  const fails = server.consecutiveFailures >= CONSECUTIVE_FAILURES ||
-    server.failureRate >= FAILURE_RATE;
-  if (!fails || !server.isEligible(now)) return;
-  if (!keepsFloorWithout(now, servers)) return;
-  server.eject(ejectionEnd(now, EJECTION, server.ejections));
+  const isOutlier =
+    server.consecutiveFailures >= CONSECUTIVE_FAILURE_THRESHOLD ||
+    server.failureRate >= FAILURE_RATE_THRESHOLD;
+  if (!isOutlier || !server.isEligible(now)) return;
+  if (!canEjectOne(now, servers)) return;
+  server.eject(ejectionEnd(now, BASE_EJECTION_DURATION, server.ejections));
 }
 
 /**
- * Readmits servers whose ejection is over, and all of them where departures
- * have brought the eligible servers below the floor.
+ * Readmits servers whose ejection is over. Readmits all of them if departures
+ * have reduced the eligible servers below the minimum.
  * @param now The present time.
  * @param servers All servers of the service.
  */
@@ -36,26 +37,26 @@
   servers: readonly ServiceServer[],
 ): void {
   for (const server of servers) server.readmit(now);
-  const staying = servers.filter((server) => !server.leaving);
-  const eligible = staying.filter((server) => server.isEligible(now));
-  if (eligible.length >= floorOf(staying.length)) return;
-  for (const server of staying) server.readmitAtOnce();
+  const remaining = servers.filter((server) => !server.leaving);
+  const eligible = remaining.filter((server) => server.isEligible(now));
+  if (eligible.length >= minimumEligible(remaining.length)) return;
+  for (const server of remaining) server.readmitNow();
 }
 
-function keepsFloorWithout(
+function canEjectOne(
   now: Instant,
   servers: Iterable<ServiceServer>,
 ): boolean {
-  let staying = 0;
+  let remaining = 0;
   let eligible = 0;
   for (const server of servers) {
     if (server.leaving) continue;
-    staying += 1;
+    remaining += 1;
     if (server.isEligible(now)) eligible += 1;
   }
-  return eligible - 1 >= floorOf(staying);
+  return eligible - 1 >= minimumEligible(remaining);
 }
 
-function floorOf(staying: number): number {
-  return Math.ceil(staying * REMAINING_SHARE);
+function minimumEligible(remaining: number): number {
+  return Math.ceil(remaining * MINIMUM_ELIGIBLE_SHARE);
 }
--- a/packages/core/src/service_routing/pending_call.ts
+++ b/packages/core/src/service_routing/pending_call.ts
@@ -14,40 +14,44 @@
   isProvenNotRun,
   type RoutedCall,
 } from "./service_call.ts";
-import type { ServiceTerms } from "./service_terms.ts";
+import type { CallTimeLimits } from "./call_time_limits.ts";
 
-/** A call that has no answer yet, with all its attempts. */
+/** A call without an answer yet, and the state of its attempts. */
 export class PendingCall {
   readonly id: RequestId;
   readonly repeatable: boolean;
   readonly arrivedAt: Instant;
-  readonly terms: ServiceTerms;
+  readonly timeLimits: CallTimeLimits;
   readonly tried = new Set<BackendServerId>();
   readonly #inFlight = new Set<AttemptNumber>();
   #attempts = 0;
-  /** Attempts of which it is not proven that they did not run. */
-  #possibleRuns = 0;
+  /** Attempts that are not proven not to have run. */
+  #attemptsPossiblyRun = 0;
   #lastAnswered: AttemptNumber | undefined;
   #lastFailure: Failure | undefined;
 
   /**
    * @param routed The call.
    * @param arrivedAt When it arrived.
-   * @param terms What bounds it.
+   * @param timeLimits Its target and timeout.
    */
-  constructor(routed: RoutedCall, arrivedAt: Instant, terms: ServiceTerms) {
+  constructor(
+    routed: RoutedCall,
+    arrivedAt: Instant,
+    timeLimits: CallTimeLimits,
+  ) {
     this.id = routed.call;
     this.repeatable = routed.repeatable;
     this.arrivedAt = arrivedAt;
-    this.terms = terms;
+    this.timeLimits = timeLimits;
   }
 
-  /** When it is given up. */
+  /** When the call times out. */
   get deadline(): Instant {
-    return later(this.arrivedAt, this.terms.giveUpAfter);
+    return later(this.arrivedAt, this.timeLimits.timeout);
   }
 
-  /** How many attempts were made. */
+  /** Number of attempts made. */
   get attempts(): number {
     return this.#attempts;
   }
@@ -57,34 +61,34 @@
     return this.#inFlight;
   }
 
-  /** What is known of whether it ran, as long as it has no answer. */
+  /** Whether the call may have run, judged by its attempts so far. */
   get outcome(): RunOutcome {
-    return this.#possibleRuns === 0 ? "not_run" : "unknown";
+    return this.#attemptsPossiblyRun === 0 ? "not_run" : "unknown";
   }
 
-  /** The last failed attempt's failure. */
+  /** The failure of the last failed attempt. */
   get lastFailure(): Failure | undefined {
     return this.#lastFailure;
   }
 
-  /** The last attempt that got an answer, though not a good one. */
+  /** The last attempt that was answered, though not with a good answer. */
   get lastAnswered(): AttemptNumber | undefined {
     return this.#lastAnswered;
   }
 
   /**
-   * Makes a further attempt.
-   * @param server Where.
-   * @returns Its number.
+   * Starts another attempt.
+   * @param server The server to send it to.
+   * @returns The number of the attempt.
    */
   dispatch(server: BackendServerId): AttemptNumber {
     assertInvariant(
-      this.repeatable || this.#possibleRuns === 0,
+      this.repeatable || this.#attemptsPossiblyRun === 0,
       "not_repeatable_dispatched_once",
       () => `Call ${this.id} may have run and would be sent to ${server}.`,
     );
     this.#attempts += 1;
-    this.#possibleRuns += 1;
+    this.#attemptsPossiblyRun += 1;
     this.tried.add(server);
     const attempt = attemptNumber(this.#attempts);
     this.#inFlight.add(attempt);
@@ -92,13 +96,13 @@
   }
 
   /**
-   * Takes note of an attempt's end.
+   * Records the end of an attempt.
    * @param attempt The attempt.
    * @param result How it ended.
    */
   end(attempt: AttemptNumber, result: AttemptResult): void {
     this.#inFlight.delete(attempt);
-    if (isProvenNotRun(result)) this.#possibleRuns -= 1;
+    if (isProvenNotRun(result)) this.#attemptsPossiblyRun -= 1;
     if (result.kind === "failed") this.#lastFailure = result.failure;
     else this.#lastAnswered = attempt;
   }
--- a/packages/core/src/service_routing/server_choice.ts
+++ b/packages/core/src/service_routing/server_choice.ts
@@ -8,87 +8,92 @@
 } from "../shared/mod.ts";
 import type { ServiceServer } from "./service_server.ts";
 
-/** What a server is chosen by. */
-export interface ServerChoice {
+/** The input of a server choice. */
+export interface ServerChoiceContext {
   readonly servers: readonly ServiceServer[];
   /** The failure domain of this node. */
   readonly failureDomain: FailureDomainId;
-  /** Servers that the call has tried, chosen again only without another. */
+  /** Servers already tried, chosen again only if no other is available. */
   readonly tried: ReadonlySet<BackendServerId>;
-  /** Assumed of servers that have not answered yet. */
+  /** The latency assumed for servers that have not answered yet. */
   readonly unknownLatency: Duration;
   readonly random: RandomSource;
 }
 
-/** How much dearer the own failure domain may be and still be preferred. */
+/** Cost ratio up to which a server in the local failure domain is preferred. */
 const LOCALITY_TOLERANCE = 1.25;
 
-/** A way to choose a server for an attempt. */
+/** A strategy to choose a server for an attempt. */
 export abstract class ServerChooser {
   /**
-   * Chooses.
+   * Chooses a server.
    * @param now The present time.
-   * @param choice What to choose by.
-   * @returns The server, or nothing where none has a place free.
+   * @param choice The servers and the criteria.
+   * @returns The server, or undefined if none has capacity.
    */
   abstract choose(
     now: Instant,
-    choice: ServerChoice,
+    choice: ServerChoiceContext,
   ): ServiceServer | undefined;
 }
 
 /**
- * Draws two servers of the own failure domain and two of the others, and
- * takes the cheapest, the own domain's where it costs hardly more.
+ * Power of two choices: picks the cheaper of two random servers in the local
+ * failure domain, and of two in the others. Prefers the local one unless its
+ * cost is clearly higher.
  */
 export class PowerOfTwoChooser extends ServerChooser {
   override choose(
     now: Instant,
-    choice: ServerChoice,
+    choice: ServerChoiceContext,
   ): ServiceServer | undefined {
     const { failureDomain } = choice;
-    const candidates = candidatesOf(now, choice);
-    const near = candidates.filter((one) =>
+    const candidates = availableServers(now, choice);
+    const local = candidates.filter((one) =>
       one.failureDomain === failureDomain
     );
-    const far = candidates.filter((one) => one.failureDomain !== failureDomain);
-    const nearest = cheaperOfTwo(now, near, choice);
-    const farthest = cheaperOfTwo(now, far, choice);
-    if (nearest === undefined) return farthest;
-    if (farthest === undefined) return nearest;
-    const nearCost = nearest.cost(now, choice.unknownLatency);
-    const farCost = farthest.cost(now, choice.unknownLatency);
-    return nearCost > farCost * LOCALITY_TOLERANCE ? farthest : nearest;
+    const remote = candidates.filter((one) =>
+      one.failureDomain !== failureDomain
+    );
+    const localServer = cheaperOfTwo(now, local, choice);
+    const remoteServer = cheaperOfTwo(now, remote, choice);
+    if (localServer === undefined) return remoteServer;
+    if (remoteServer === undefined) return localServer;
+    const localCost = localServer.cost(now, choice.unknownLatency);
+    const remoteCost = remoteServer.cost(now, choice.unknownLatency);
+    return localCost > remoteCost * LOCALITY_TOLERANCE
+      ? remoteServer
+      : localServer;
   }
 }
 
-/** Chooses at random: a baseline of measurements. */
+/** Chooses at random. Serves as a baseline in benchmarks. */
 export class RandomChooser extends ServerChooser {
   override choose(
     now: Instant,
-    choice: ServerChoice,
+    choice: ServerChoiceContext,
   ): ServiceServer | undefined {
-    return draw(candidatesOf(now, choice), choice.random);
+    return pickRandom(availableServers(now, choice), choice.random);
   }
 }
 
-/** Chooses in turn: a baseline of measurements. */
+/** Chooses in turn. Serves as a baseline in benchmarks. */
 export class RoundRobinChooser extends ServerChooser {
-  #turn = 0;
+  #count = 0;
 
   override choose(
     now: Instant,
-    choice: ServerChoice,
+    choice: ServerChoiceContext,
   ): ServiceServer | undefined {
-    const candidates = candidatesOf(now, choice);
-    this.#turn += 1;
-    return candidates[this.#turn % Math.max(1, candidates.length)];
+    const candidates = availableServers(now, choice);
+    this.#count += 1;
+    return candidates[this.#count % Math.max(1, candidates.length)];
   }
 }
 
-function candidatesOf(
+function availableServers(
   now: Instant,
-  { servers, tried }: ServerChoice,
+  { servers, tried }: ServerChoiceContext,
 ): readonly ServiceServer[] {
   const available = servers.filter((server) => server.isAvailable(now));
   const untried = available.filter((server) => !tried.has(server.id));
@@ -98,18 +103,18 @@
 function cheaperOfTwo(
   now: Instant,
   candidates: readonly ServiceServer[],
-  choice: ServerChoice,
+  choice: ServerChoiceContext,
 ): ServiceServer | undefined {
-  const first = draw(candidates, choice.random);
+  const first = pickRandom(candidates, choice.random);
   if (first === undefined || candidates.length === 1) return first;
   const others = candidates.filter((one) => one !== first);
-  const second = draw(others, choice.random) ?? first;
+  const second = pickRandom(others, choice.random) ?? first;
   const firstCost = first.cost(now, choice.unknownLatency);
   const secondCost = second.cost(now, choice.unknownLatency);
   return secondCost < firstCost ? second : first;
 }
 
-function draw(
+function pickRandom(
   candidates: readonly ServiceServer[],
   random: RandomSource,
 ): ServiceServer | undefined {
--- a/packages/core/src/service_routing/server_set.ts
+++ b/packages/core/src/service_routing/server_set.ts
@@ -4,38 +4,39 @@
 import type { ServiceServerView } from "./service_call.ts";
 import { ServiceServer } from "./service_server.ts";
 
-/** The servers of one service, as the list and the servers tell of them. */
+/** The servers of one service, from the VM list and their own answers. */
 export class ServerSet {
-  readonly #makeLimit: () => ConcurrencyLimit;
+  readonly #createLimit: () => ConcurrencyLimit;
   readonly #servers = new Map<BackendServerId, ServiceServer>();
   #ordered: readonly ServiceServer[] = [];
 
-  /** @param makeLimit Makes the limit of a server that is new. */
-  constructor(makeLimit: () => ConcurrencyLimit) {
-    this.#makeLimit = makeLimit;
+  /** @param createLimit Creates the concurrency limit of a new server. */
+  constructor(createLimit: () => ConcurrencyLimit) {
+    this.#createLimit = createLimit;
   }
 
-  /** All servers, the leaving ones too. */
+  /** All servers, including leaving ones. */
   get all(): readonly ServiceServer[] {
     return this.#ordered;
   }
 
   /**
-   * Takes the list's latest word. What a server said of itself stays.
+   * Applies a new server list. A server that announced that it is leaving
+   * stays marked as leaving.
    * @param now The present time.
-   * @param views The servers that the list shows.
+   * @param views The listed servers.
    */
   update(now: Instant, views: readonly ServiceServerView[]): void {
-    const shown = new Set(views.map((view) => view.server));
+    const listed = new Set(views.map((view) => view.server));
     for (const id of this.#servers.keys()) {
-      if (!shown.has(id)) this.#servers.delete(id);
+      if (!listed.has(id)) this.#servers.delete(id);
     }
     for (const view of views) this.#updateOne(now, view);
     this.#ordered = [...this.#servers.values()];
   }
 
   /**
-   * Ends ejections whose time is over.
+   * Readmits servers whose ejection is over.
    * @param now The present time.
    */
   readmit(now: Instant): void {
@@ -43,27 +44,27 @@
   }
 
   /**
-   * Tells whether any server may get work at all.
+   * Checks whether any server is eligible for work.
    * @param now The present time.
-   * @returns Whether one stays and is not ejected.
+   * @returns Whether one is neither leaving nor ejected.
    */
   anyEligible(now: Instant): boolean {
     return this.#ordered.some((server) => server.isEligible(now));
   }
 
   /**
-   * Tells whether any server may get an attempt now.
+   * Checks whether any server can take an attempt now.
    * @param now The present time.
-   * @returns Whether one has a place free.
+   * @returns Whether one is eligible and below its limit.
    */
-  hasPlace(now: Instant): boolean {
+  hasAvailable(now: Instant): boolean {
     return this.#ordered.some((server) => server.isAvailable(now));
   }
 
   /**
-   * Adds up the places of the servers that may get work.
+   * Sums the limits and the attempts in flight of the eligible servers.
    * @param now The present time.
-   * @returns The places, and how many of them are taken.
+   * @returns The total limit and the total in flight.
    */
   capacity(
     now: Instant,
@@ -79,8 +80,8 @@
   }
 
   /**
-   * Tells when the next ejection ends.
-   * @returns The time, or nothing where none is ejected.
+   * Finds when the next ejection ends.
+   * @returns The time, or undefined if no server is ejected.
    */
   nextReadmission(): Instant | undefined {
     let next: Instant | undefined;
@@ -94,13 +95,13 @@
   #updateOne(now: Instant, view: ServiceServerView): void {
     let server = this.#servers.get(view.server);
     if (server === undefined) {
-      const limit = this.#makeLimit();
+      const limit = this.#createLimit();
       server = new ServiceServer(view.server, view.failureDomain, {
         limit,
         now,
       });
       this.#servers.set(view.server, server);
     }
-    if (view.leaving) server.leave();
+    if (view.leaving) server.markLeaving();
   }
 }
--- a/packages/core/src/service_routing/service_call.ts
+++ b/packages/core/src/service_routing/service_call.ts
@@ -8,21 +8,21 @@
   RunOutcome,
 } from "../shared/mod.ts";
 
-/** A call to a plain service, as far as routing needs to know it. */
+/** The properties of a service call that routing needs. */
 export interface RoutedCall {
   readonly call: RequestId;
-  /** Whether running it more than once does no harm. */
+  /** Whether the call is safe to run more than once. */
   readonly repeatable: boolean;
 }
 
-/** One server of a service, as the VM list tells it. */
+/** A server of a service, as listed in the VM list. */
 export interface ServiceServerView {
   readonly server: BackendServerId;
   readonly failureDomain: FailureDomainId;
   readonly leaving: boolean;
 }
 
-/** Names one attempt at a call. */
+/** Identifies one attempt of a call. */
 export interface AttemptReference {
   readonly call: RequestId;
   readonly attempt: AttemptNumber;
@@ -33,23 +33,23 @@
   | {
     readonly kind: "answered";
     readonly status: number;
-    /** The server says in its answer that it is leaving. */
+    /** Whether the server announces in its answer that it is leaving. */
     readonly leaving: boolean;
-    /** What the server states of whether the call ran. */
+    /** Whether the call ran, as stated by the server. */
     readonly statedOutcome?: RunOutcome;
   }
   | { readonly kind: "failed"; readonly failure: Failure };
 
-/** What the router wants done; the shell carries it out. */
+/** An action decided by the router, to be executed by its caller. */
 export type ServiceOrder =
   | (AttemptReference & {
     readonly kind: "dispatch";
     readonly server: BackendServerId;
     readonly timeout: Duration;
   })
-  /** Gives up an attempt whose answer is no longer wanted. */
+  /** Abandons an attempt whose answer is no longer needed. */
   | (AttemptReference & { readonly kind: "abandon" })
-  /** Passes an attempt's answer on to the caller. */
+  /** Forwards an attempt's answer to the caller. */
   | (AttemptReference & { readonly kind: "answer" })
   | {
     readonly kind: "fail";
@@ -62,7 +62,7 @@
 const TOO_MANY_REQUESTS_STATUS = 429;
 
 /**
- * Tells whether a result counts against the server.
+ * Checks whether a result counts as a fault of the server.
  * @param result How the attempt ended.
  * @returns Whether the server failed.
  */
@@ -73,9 +73,9 @@
 }
 
 /**
- * Tells whether a result says that the server has too much to do.
+ * Checks whether a result indicates that the server is overloaded.
  * @param result How the attempt ended.
- * @returns Whether it is a sign of overload.
+ * @returns Whether the server is overloaded.
  */
 export function isOverload(result: AttemptResult): boolean {
   if (result.kind === "failed") return result.failure.reason === "timeout";
@@ -85,7 +85,7 @@
 }
 
 /**
- * Tells whether a result is an answer to pass on without another attempt.
+ * Checks whether a result is an answer to forward without another attempt.
  * @param result How the attempt ended.
  * @returns Whether the server answered, with no fault and no overload.
  */
@@ -95,7 +95,7 @@
 }
 
 /**
- * Tells whether it is proven that an attempt did not run.
+ * Checks whether an attempt is proven not to have run.
  * @param result How the attempt ended.
  * @returns Whether another attempt cannot be a second run.
  */
--- a/packages/core/src/service_routing/service_orders.ts
+++ b/packages/core/src/service_routing/service_order_queue.ts
@@ -8,27 +8,30 @@
 import type { PendingCall } from "./pending_call.ts";
 import type { ServiceOrder } from "./service_call.ts";
 
-/** Collects what a router decides until it is taken to be carried out. */
-export class ServiceOrders {
+/** Collects the orders of a router until they are executed. */
+export class ServiceOrderQueue {
   #orders: ServiceOrder[] = [];
 
   /**
-   * Sends a call to a server, for as long as the call has.
+   * Sends a call to a server, with the call's remaining time as timeout.
    * @param now The present time.
    * @param call The call.
-   * @param to The attempt, and the server that gets it.
+   * @param target The attempt and its server.
    */
   dispatch(
     now: Instant,
     call: PendingCall,
-    to: { readonly attempt: AttemptNumber; readonly server: BackendServerId },
+    target: {
+      readonly attempt: AttemptNumber;
+      readonly server: BackendServerId;
+    },
   ): void {
     const timeout = milliseconds(Math.max(1, call.deadline - now));
-    this.#orders.push({ kind: "dispatch", call: call.id, ...to, timeout });
+    this.#orders.push({ kind: "dispatch", call: call.id, ...target, timeout });
   }
 
   /**
-   * Passes an attempt's answer on to the caller.
+   * Forwards an attempt's answer to the caller.
    * @param call The call.
    * @param attempt The attempt.
    */
@@ -39,14 +42,14 @@
   /**
    * Fails a call.
    * @param call The call.
-   * @param failure What its caller is told.
+   * @param failure The failure returned to the caller.
    */
   fail(call: PendingCall, failure: Failure): void {
     this.#orders.push({ kind: "fail", call: call.id, failure });
   }
 
   /**
-   * Gives up the attempts at a call that have not ended.
+   * Abandons the attempts of a call that have not ended.
    * @param call The call.
    */
   abandon(call: PendingCall): void {
@@ -56,10 +59,10 @@
   }
 
   /**
-   * Takes out the orders, in the order in which to carry them out.
+   * Removes and returns the orders, in the order of execution.
    * @returns The orders since the last call.
    */
-  take(): readonly ServiceOrder[] {
+  drain(): readonly ServiceOrder[] {
     const orders = this.#orders;
     this.#orders = [];
     return orders;
--- a/packages/core/src/service_routing/service_policy.ts
+++ b/packages/core/src/service_routing/service_policy.ts
@@ -4,7 +4,7 @@
 } from "./concurrency_limit.ts";
 import { PowerOfTwoChooser, type ServerChooser } from "./server_choice.ts";
 
-/** The parts of routing that measurements exchange for a baseline. */
+/** The parts of routing that benchmarks replace by a baseline. */
 export interface ServicePolicy {
   readonly chooser: () => ServerChooser;
   readonly limit: () => ConcurrencyLimit;
@@ -13,7 +13,7 @@
   readonly ejection: boolean;
 }
 
-/** What the daemon routes by. */
+/** The policy used in production. */
 export const SERVICE_POLICY: ServicePolicy = {
   chooser: () => new PowerOfTwoChooser(),
   limit: () => new AdditiveIncreaseLimit(),
--- a/packages/core/src/service_routing/service_router.ts
+++ b/packages/core/src/service_routing/service_router.ts
@@ -11,13 +11,13 @@
   noServerFailure,
   overloadFailure,
 } from "./call_failures.ts";
-import { AttemptLedger } from "./attempt_ledger.ts";
-import { expectedWait, longestWait, waitsUntil } from "./call_waiting.ts";
-import { HedgePlan } from "./hedge_plan.ts";
+import { AttemptTracker } from "./attempt_tracker.ts";
+import { expectedWait, maximumWait, waitDeadline } from "./queue_wait.ts";
+import { HedgeScheduler } from "./hedge_scheduler.ts";
 import { LatencyWindow } from "./latency_window.ts";
 import { ejectIfOutlier } from "./outlier_ejection.ts";
 import { PendingCall } from "./pending_call.ts";
-import { MOST_ATTEMPTS, RetryRule } from "./retry_rule.ts";
+import { MAXIMUM_ATTEMPTS, RetryRule } from "./retry_rule.ts";
 import type { ServerChooser } from "./server_choice.ts";
 import { ServerSet } from "./server_set.ts";
 import {
@@ -29,49 +29,49 @@
   type ServiceOrder,
   type ServiceServerView,
 } from "./service_call.ts";
-import type { ServiceRouterParts } from "./service_router_parts.ts";
+import type { ServiceRouterParts } from "./service_router_options.ts";
 import type { ServiceServer } from "./service_server.ts";
-import { ServiceOrders } from "./service_orders.ts";
-import { type ServiceTerms, serviceTerms } from "./service_terms.ts";
-import { WaitingCalls } from "./waiting_calls.ts";
+import { ServiceOrderQueue } from "./service_order_queue.ts";
+import { type CallTimeLimits, callTimeLimits } from "./call_time_limits.ts";
+import { CallQueue } from "./call_queue.ts";
 
 /**
- * Routes the calls of one service: which server gets each, when another
- * attempt is made, and which calls are refused.
+ * Routes the calls of one service: chooses servers, decides on further
+ * attempts, and refuses calls under overload.
  */
 export class ServiceRouter {
-  readonly #parts: ServiceRouterParts;
+  readonly #options: ServiceRouterParts;
   readonly #chooser: ServerChooser;
   readonly #servers: ServerSet;
-  readonly #calls = new Map<RequestId, PendingCall>();
+  readonly #pendingCalls = new Map<RequestId, PendingCall>();
   readonly #retries: RetryRule;
-  readonly #hedges = new HedgePlan();
+  readonly #hedges = new HedgeScheduler();
   readonly #latencies = new LatencyWindow();
-  readonly #attempts = new AttemptLedger(this.#latencies);
-  readonly #waiting = new WaitingCalls();
-  readonly #orders = new ServiceOrders();
-  #terms: ServiceTerms = serviceTerms(undefined);
+  readonly #attemptTracker = new AttemptTracker(this.#latencies);
+  readonly #waiting = new CallQueue();
+  readonly #orders = new ServiceOrderQueue();
+  #timeLimits: CallTimeLimits = callTimeLimits(undefined);
 
-  /** @param parts The service, where this node is, and the policy. */
-  constructor(parts: ServiceRouterParts) {
-    this.#parts = parts;
-    this.#chooser = parts.policy.chooser();
-    this.#servers = new ServerSet(parts.policy.limit);
-    this.#retries = new RetryRule(parts.policy, this.#servers);
+  /** @param options The service, this node's failure domain, and the policy. */
+  constructor(options: ServiceRouterParts) {
+    this.#options = options;
+    this.#chooser = options.policy.chooser();
+    this.#servers = new ServerSet(options.policy.limit);
+    this.#retries = new RetryRule(options.policy, this.#servers);
   }
 
-  /** How many calls have no answer yet. */
+  /** Number of calls without an answer. */
   get pending(): number {
-    return this.#calls.size;
+    return this.#pendingCalls.size;
   }
 
-  /** The servers as this node knows them, the leaving ones too. */
+  /** All known servers, including leaving ones. */
   get servers(): readonly ServiceServer[] {
     return this.#servers.all;
   }
 
   /**
-   * Takes the list's latest word on the servers.
+   * Applies a new server list.
    * @param now The present time.
    * @param views The servers.
    */
@@ -80,25 +80,25 @@
   }
 
   /**
-   * Takes the service's target; calls that are pending keep theirs.
-   * @param target The target in force, where there is one.
+   * Sets the service's target. Pending calls keep their limits.
+   * @param target The current target, if any.
    */
   setTarget(target: Target | undefined): void {
-    this.#terms = serviceTerms(target);
+    this.#timeLimits = callTimeLimits(target);
   }
 
   /**
-   * Takes a call.
+   * Accepts a call, or refuses it if it would wait too long.
    * @param now The present time.
    * @param routed The call.
    */
   submit(now: Instant, routed: RoutedCall): void {
-    const call = new PendingCall(routed, now, this.#terms);
-    this.#calls.set(call.id, call);
-    this.#retries.earn();
-    this.#hedges.earn();
+    const call = new PendingCall(routed, now, this.#timeLimits);
+    this.#pendingCalls.set(call.id, call);
+    this.#retries.addCall();
+    this.#hedges.addCall();
     const wait = this.#expectedWait(now);
-    if (wait > longestWait(call, this.#latencies.likelyLongest)) {
+    if (wait > maximumWait(call, this.#latencies.percentile95)) {
       this.#refuse(call, wait);
       return;
     }
@@ -106,20 +106,20 @@
   }
 
   /**
-   * Forgets a call whose caller has left. Attempts that may be repeated are
-   * given up; another that has begun is left to finish.
+   * Removes a call whose caller has disconnected. The attempts of a repeatable
+   * call are abandoned; those of any other call are left to finish.
    * @param id The call.
    */
   cancel(id: RequestId): void {
-    const call = this.#calls.get(id);
+    const call = this.#pendingCalls.get(id);
     if (call === undefined) return;
     if (call.repeatable) this.#orders.abandon(call);
-    this.#forget(call);
+    this.#remove(call);
   }
 
   /**
-   * Takes note of an attempt's end. Each dispatched attempt ends once, also
-   * those that were abandoned.
+   * Handles the end of an attempt. Every dispatched attempt ends exactly once,
+   * including abandoned ones.
    * @param now The present time.
    * @param reference The attempt.
    * @param result How it ended.
@@ -129,39 +129,41 @@
     reference: AttemptReference,
     result: AttemptResult,
   ): void {
-    const target = this.#terms.answerWithin;
-    const server = this.#attempts.end(now, reference, { result, target });
+    const target = this.#timeLimits.targetLatency;
+    const server = this.#attemptTracker.end(now, reference, { result, target });
     if (server === undefined) return;
-    if (isServerFault(result) && this.#parts.policy.ejection) {
+    if (isServerFault(result) && this.#options.policy.ejection) {
       ejectIfOutlier(now, server, this.#servers.all);
     }
-    const call = this.#calls.get(reference.call);
+    const call = this.#pendingCalls.get(reference.call);
     if (call === undefined) return;
     call.end(reference.attempt, result);
-    this.#continue(now, call, { attempt: reference.attempt, result });
+    this.#afterAttempt(now, call, { attempt: reference.attempt, result });
   }
 
   /**
-   * Decides what to do now.
+   * Decides which orders are due now.
    * @param now The present time.
-   * @returns The orders, in the order in which to carry them out.
+   * @returns The orders, in the order of execution.
    */
   decide(now: Instant): readonly ServiceOrder[] {
     this.#servers.readmit(now);
     this.#expireWaiting(now);
     this.#dispatchWaiting(now);
     this.#dispatchHedges(now);
-    return this.#orders.take();
+    return this.#orders.drain();
   }
 
   /**
-   * Tells when a decision may change though nothing happens before.
-   * @returns The time to decide again, or nothing.
+   * Finds when to decide again if no event occurs before.
+   * @returns The time, or undefined if no decision is pending.
    */
   nextWake(): Instant | undefined {
-    const longest = this.#latencies.likelyLongest;
+    const highLatency = this.#latencies.percentile95;
     const times: number[] = [];
-    for (const call of this.#waiting) times.push(waitsUntil(call, longest));
+    for (const call of this.#waiting) {
+      times.push(waitDeadline(call, highLatency));
+    }
     const hedge = this.#hedges.nextDue();
     if (hedge !== undefined) times.push(hedge);
     const readmission = this.#servers.nextReadmission();
@@ -172,7 +174,7 @@
     return Math.min(...times) as Instant;
   }
 
-  #continue(
+  #afterAttempt(
     now: Instant,
     call: PendingCall,
     ended: { readonly attempt: AttemptNumber; readonly result: AttemptResult },
@@ -183,7 +185,7 @@
       return;
     }
     if (call.inFlight.size > 0) return;
-    if (this.#retries.mayRetry(now, call, result)) {
+    if (this.#retries.tryRetry(now, call, result)) {
       this.#waiting.add(call);
       return;
     }
@@ -195,15 +197,15 @@
       this.#answer(call, call.lastAnswered);
       return;
     }
-    this.#fail(call, attemptsFailure(this.#parts.service, call));
+    this.#fail(call, attemptsFailure(this.#options.service, call));
   }
 
   #expireWaiting(now: Instant): void {
-    const longest = this.#latencies.likelyLongest;
+    const highLatency = this.#latencies.percentile95;
     for (const call of [...this.#waiting]) {
-      if (waitsUntil(call, longest) > now) continue;
+      if (waitDeadline(call, highLatency) > now) continue;
       if (call.attempts > 0) this.#finishWithoutGoodAnswer(call);
-      else if (!this.#servers.hasPlace(now)) {
+      else if (!this.#servers.hasAvailable(now)) {
         this.#refuse(call, this.#expectedWait(now));
       }
     }
@@ -213,7 +215,7 @@
     for (const call of [...this.#waiting]) {
       const server = this.#choose(now, call);
       if (server === undefined) {
-        if (!this.#servers.anyEligible(now)) this.#failWaiting();
+        if (!this.#servers.anyEligible(now)) this.#failAllWaiting();
         return;
       }
       this.#waiting.remove(call);
@@ -221,20 +223,22 @@
     }
   }
 
-  #failWaiting(): void {
+  #failAllWaiting(): void {
     for (const call of [...this.#waiting]) {
       if (call.attempts > 0) this.#finishWithoutGoodAnswer(call);
-      else this.#fail(call, noServerFailure(this.#parts.service, call));
+      else this.#fail(call, noServerFailure(this.#options.service, call));
     }
   }
 
   #dispatchHedges(now: Instant): void {
     for (const id of this.#hedges.takeDue(now)) {
-      const call = this.#calls.get(id);
-      if (call?.inFlight.size !== 1 || call.attempts >= MOST_ATTEMPTS) continue;
+      const call = this.#pendingCalls.get(id);
+      if (call?.inFlight.size !== 1 || call.attempts >= MAXIMUM_ATTEMPTS) {
+        continue;
+      }
       const server = this.#choose(now, call);
       if (server === undefined || call.tried.has(server.id)) continue;
-      if (!this.#hedges.allows(this.#servers.capacity(now))) continue;
+      if (!this.#hedges.tryAcquire(this.#servers.capacity(now))) continue;
       this.#dispatch(now, call, server);
     }
   }
@@ -242,49 +246,49 @@
   #choose(now: Instant, call: PendingCall): ServiceServer | undefined {
     return this.#chooser.choose(now, {
       servers: this.#servers.all,
-      failureDomain: this.#parts.failureDomain,
+      failureDomain: this.#options.failureDomain,
       tried: call.tried,
-      unknownLatency: this.#latencies.typical,
-      random: this.#parts.random,
+      unknownLatency: this.#latencies.median,
+      random: this.#options.random,
     });
   }
 
   #dispatch(now: Instant, call: PendingCall, server: ServiceServer): void {
     const attempt = call.dispatch(server.id);
-    this.#attempts.begin(now, { call: call.id, attempt }, server);
+    this.#attemptTracker.begin(now, { call: call.id, attempt }, server);
     this.#orders.dispatch(now, call, { attempt, server: server.id });
-    const mayHedge = this.#parts.policy.hedging && call.repeatable;
+    const mayHedge = this.#options.policy.hedging && call.repeatable;
     if (mayHedge && call.attempts === 1) {
-      this.#hedges.plan(now, call.id, this.#latencies);
+      this.#hedges.schedule(now, call.id, this.#latencies);
     }
   }
 
   #answer(call: PendingCall, attempt: AttemptNumber): void {
     this.#orders.abandon(call);
-    this.#forget(call);
+    this.#remove(call);
     this.#orders.answer(call, attempt);
   }
 
   #refuse(call: PendingCall, wait: Duration): void {
-    this.#fail(call, overloadFailure(this.#parts.service, call, wait));
+    this.#fail(call, overloadFailure(this.#options.service, call, wait));
   }
 
   #fail(call: PendingCall, failure: Failure): void {
-    this.#forget(call);
+    this.#remove(call);
     this.#orders.fail(call, failure);
   }
 
-  #forget(call: PendingCall): void {
-    this.#calls.delete(call.id);
-    this.#hedges.forget(call.id);
+  #remove(call: PendingCall): void {
+    this.#pendingCalls.delete(call.id);
+    this.#hedges.cancel(call.id);
     this.#waiting.remove(call);
   }
 
   #expectedWait(now: Instant): Duration {
     return expectedWait({
-      ahead: this.#waiting.size,
-      limit: this.#servers.capacity(now).limit,
-      typicalLatency: this.#latencies.typical,
+      queued: this.#waiting.size,
+      concurrencyLimit: this.#servers.capacity(now).limit,
+      medianLatency: this.#latencies.median,
     });
   }
 }
--- a/packages/core/src/service_routing/service_router_parts.ts
+++ b/packages/core/src/service_routing/service_router_options.ts
@@ -5,7 +5,7 @@
 } from "../shared/mod.ts";
 import type { ServicePolicy } from "./service_policy.ts";
 
-/** What a router works with. */
+/** Options of a service router. */
 export interface ServiceRouterParts {
   readonly service: ServiceId;
   /** The failure domain of this node. */
--- a/packages/core/src/service_routing/service_server.ts
+++ b/packages/core/src/service_routing/service_server.ts
@@ -13,24 +13,24 @@
 import { DecayedLatency } from "./decayed_latency.ts";
 
 const LATENCY_TIME_CONSTANT = seconds(5);
-const WARM_UP = seconds(5);
-const WARM_UP_START_SHARE = 0.1;
+const WARM_UP_DURATION = seconds(5);
+const MINIMUM_WARM_UP_SHARE = 0.1;
 const FAILURE_RATE_WEIGHT = 0.1;
 
-/** How an attempt at one server ended. */
-export interface ServerSample extends LoadSample {
+/** A load measurement, and whether the attempt failed. */
+export interface AttemptSample extends LoadSample {
   readonly failed: boolean;
 }
 
-/** One server of a service, as this node has come to know it. */
+/** This node's view of one server: load, latency, failures and ejection. */
 export class ServiceServer {
   readonly id: BackendServerId;
   readonly failureDomain: FailureDomainId;
   readonly #limit: ConcurrencyLimit;
   readonly #latency = new DecayedLatency(LATENCY_TIME_CONSTANT);
-  /** Starts of the attempts in flight, oldest first. */
-  readonly #starts = new Map<string, Instant>();
-  #warmSince: Instant;
+  /** Start times of the attempts in flight, oldest first. */
+  readonly #attemptStarts = new Map<string, Instant>();
+  #warmUpStart: Instant;
   #leaving = false;
   #ejectedUntil: Instant | undefined;
   #ejections = 0;
@@ -39,8 +39,8 @@
 
   /**
    * @param id The server.
-   * @param failureDomain Where it is.
-   * @param parts Its limit, and when it became known.
+   * @param failureDomain Its failure domain.
+   * @param parts Its concurrency limit, and when it became known.
    */
   constructor(
     id: BackendServerId,
@@ -50,52 +50,52 @@
     this.id = id;
     this.failureDomain = failureDomain;
     this.#limit = parts.limit;
-    this.#warmSince = parts.now;
+    this.#warmUpStart = parts.now;
   }
 
-  /** Whether it wants no new work; once true it stays so. */
+  /** Whether the server accepts no new work; never reset once set. */
   get leaving(): boolean {
     return this.#leaving;
   }
 
-  /** How many attempts it has from this node. */
+  /** Number of attempts in flight from this node. */
   get inFlight(): number {
-    return this.#starts.size;
+    return this.#attemptStarts.size;
   }
 
-  /** How many attempts it may have at once. */
+  /** Maximum number of attempts in flight. */
   get limit(): number {
     return this.#limit.value;
   }
 
-  /** Failures since the last success. */
+  /** Number of failures since the last success. */
   get consecutiveFailures(): number {
     return this.#consecutiveFailures;
   }
 
-  /** The share of recent attempts that failed. */
+  /** Moving average of the fraction of attempts that failed. */
   get failureRate(): number {
     return this.#failureRate;
   }
 
-  /** How often it has been ejected without a full recovery. */
+  /** Number of ejections since the last full recovery. */
   get ejections(): number {
     return this.#ejections;
   }
 
-  /** When its ejection ends, while it is ejected. */
+  /** When the current ejection ends, if the server is ejected. */
   get ejectedUntil(): Instant | undefined {
     return this.#ejectedUntil;
   }
 
-  /** Learns that the server is leaving. */
-  leave(): void {
+  /** Marks the server as leaving. */
+  markLeaving(): void {
     this.#leaving = true;
   }
 
   /**
-   * Keeps work away for a time.
-   * @param until When to try it again.
+   * Ejects the server for a time.
+   * @param until When the ejection ends.
    */
   eject(until: Instant): void {
     this.#ejectedUntil = until;
@@ -105,63 +105,66 @@
   }
 
   /**
-   * Ends an ejection whose time is over; the server warms up again.
+   * Ends an expired ejection; the server warms up again.
    * @param now The present time.
    */
   readmit(now: Instant): void {
     if (this.#ejectedUntil === undefined || this.#ejectedUntil > now) return;
     this.#ejectedUntil = undefined;
-    this.#warmSince = now;
+    this.#warmUpStart = now;
   }
 
-  /** Ends an ejection at once, where too few servers are left. */
-  readmitAtOnce(): void {
+  /** Ends an ejection early, when too few servers remain eligible. */
+  readmitNow(): void {
     this.#ejectedUntil = undefined;
   }
 
   /**
-   * Takes an attempt.
+   * Begins an attempt.
    * @param now The present time.
-   * @param key Names the attempt.
+   * @param key The key of the attempt.
    */
-  begin(now: Instant, key: string): void {
+  beginAttempt(now: Instant, key: string): void {
     assertInvariant(
       !this.#leaving,
       "leaving_server_gets_no_new_work",
       () => `Server ${this.id} is leaving.`,
     );
-    this.#starts.set(key, now);
+    this.#attemptStarts.set(key, now);
   }
 
   /**
-   * Ends an attempt without judging the server, as when it was given up.
+   * Ends an attempt without counting its result, such as an abandoned one. Its
+   * duration still counts if it exceeds the known latency.
    * @param now The present time.
-   * @param key Names the attempt.
+   * @param key The key of the attempt.
    */
-  release(now: Instant, key: string): void {
-    const start = this.#starts.get(key);
-    this.#starts.delete(key);
+  releaseAttempt(now: Instant, key: string): void {
+    const start = this.#attemptStarts.get(key);
+    this.#attemptStarts.delete(key);
     if (start === undefined) return;
-    const lasted = elapsed(start, now);
-    if (lasted > (this.#latency.read(now) ?? 0)) this.#latency.add(now, lasted);
+    const duration = elapsed(start, now);
+    if (duration > (this.#latency.read(now) ?? 0)) {
+      this.#latency.add(now, duration);
+    }
   }
 
   /**
-   * Ends an attempt and learns from it. A failure counts as slow as the
-   * target, so that a server gains nothing by failing fast.
+   * Ends an attempt and updates the statistics. A failure counts as at least
+   * as slow as the target, so that failing fast does not attract more calls.
    * @param now The present time.
-   * @param key Names the attempt.
-   * @param sample What it told.
+   * @param key The key of the attempt.
+   * @param sample The measurement.
    */
-  end(now: Instant, key: string, sample: ServerSample): void {
-    this.#starts.delete(key);
+  endAttempt(now: Instant, key: string, sample: AttemptSample): void {
+    this.#attemptStarts.delete(key);
     const weight = FAILURE_RATE_WEIGHT;
     this.#failureRate = this.#failureRate * (1 - weight) +
       (sample.failed ? weight : 0);
     if (sample.failed) {
       this.#consecutiveFailures += 1;
-      const counted = Math.max(sample.latency, sample.target);
-      this.#latency.add(now, milliseconds(counted));
+      const penalizedLatency = Math.max(sample.latency, sample.target);
+      this.#latency.add(now, milliseconds(penalizedLatency));
       if (sample.overloaded) this.#limit.update(sample);
       return;
     }
@@ -172,18 +175,18 @@
   }
 
   /**
-   * Tells whether the server may get an attempt now.
+   * Checks whether the server can take an attempt now.
    * @param now The present time.
-   * @returns Whether it stays, is not ejected and has a place free.
+   * @returns Whether it is eligible and below its limit.
    */
   isAvailable(now: Instant): boolean {
     return this.isEligible(now) && this.inFlight < this.limit;
   }
 
   /**
-   * Tells whether the server may get work at all.
+   * Checks whether the server is eligible for work.
    * @param now The present time.
-   * @returns Whether it stays and is not ejected.
+   * @returns Whether it is neither leaving nor ejected.
    */
   isEligible(now: Instant): boolean {
     return !this.#leaving &&
@@ -191,41 +194,48 @@
   }
 
   /**
-   * Estimates what another call would cost here: the calls in flight times
-   * the decayed latency, dearer while the server warms up.
+   * Estimates the cost of another call: the calls in flight times the decayed
+   * latency, increased while the server warms up.
    * @param now The present time.
-   * @param unknownLatency Assumed before the first answer.
+   * @param unknownLatency The latency assumed before the first answer.
    * @returns The cost, in milliseconds of expected wait.
    */
   cost(now: Instant, unknownLatency: Duration): number {
     const known = this.#latency.read(now) ?? unknownLatency;
-    const latency = Math.max(known, this.#oldestAge(now));
-    return (this.inFlight + 1) * latency / this.#warmth(now);
+    const latency = Math.max(known, this.#oldestAttemptAge(now));
+    return (this.inFlight + 1) * latency / this.#warmUpShare(now);
   }
 
-  #oldestAge(now: Instant): number {
-    for (const start of this.#starts.values()) return elapsed(start, now);
+  #oldestAttemptAge(now: Instant): number {
+    for (const start of this.#attemptStarts.values()) {
+      return elapsed(start, now);
+    }
     return 0;
   }
 
-  #warmth(now: Instant): number {
-    const share = elapsed(this.#warmSince, now) / WARM_UP;
-    return Math.min(1, Math.max(WARM_UP_START_SHARE, share));
+  #warmUpShare(now: Instant): number {
+    const share = elapsed(this.#warmUpStart, now) / WARM_UP_DURATION;
+    return Math.min(1, Math.max(MINIMUM_WARM_UP_SHARE, share));
   }
 }
 
 /**
- * Tells when an ejection ends.
+ * Computes when an ejection ends.
  * @param now The present time.
- * @param base How long the first one lasts.
- * @param times How often the server has been ejected before.
- * @returns The end; each next one lasts longer, up to a bound.
+ * @param baseDuration How long the first ejection lasts.
+ * @param previousEjections Number of previous ejections.
+ * @returns The end; each further ejection lasts longer, up to a maximum.
  */
 export function ejectionEnd(
   now: Instant,
-  base: Duration,
-  times: number,
+  baseDuration: Duration,
+  previousEjections: number,
 ): Instant {
-  const longest = 6;
-  return later(now, milliseconds(base * Math.min(longest, times + 1)));
+  const maximumMultiple = 6;
+  return later(
+    now,
+    milliseconds(
+      baseDuration * Math.min(maximumMultiple, previousEjections + 1),
+    ),
+  );
 }
--- a/packages/core/tests/service_routing/service_router_test.ts
+++ b/packages/core/tests/service_routing/service_router_test.ts
@@ -17,8 +17,8 @@
 } from "@foxtailwind/core";
 import test from "ava";
 
-const NEAR = failureDomainId("domain-1");
-const FAR = failureDomainId("domain-2");
+const LOCAL = failureDomainId("domain-1");
+const REMOTE = failureDomainId("domain-2");
 const ANSWERED: AttemptResult = {
   kind: "answered",
   status: 200,
@@ -31,13 +31,13 @@
 ): ServiceRouter {
   const router = new ServiceRouter({
     service: serviceId("booking"),
-    failureDomain: NEAR,
+    failureDomain: LOCAL,
     random: randomSource(1),
     policy,
   });
   const views = Array.from({ length: servers }, (_, index) => ({
     server: backendServerId(`server-${index}`),
-    failureDomain: index % 2 === 0 ? NEAR : FAR,
+    failureDomain: index % 2 === 0 ? LOCAL : REMOTE,
     leaving: false,
   }));
   router.updateServers(instant(0), views);
@@ -83,7 +83,7 @@
   };
 }
 
-test("a not repeatable call is sent again only when proven not run", (t) => {
+test("a non-repeatable call is retried only when proven not run", (t) => {
   const router = routerOf(3);
   const call = { id: "a", repeatable: false };
   t.is(submit(router, 0, call)[0]?.kind, "dispatch");
@@ -99,7 +99,7 @@
   t.like(last, { kind: "fail", failure: { outcome: "unknown" } });
 });
 
-test("a repeatable call goes to a server that it has not tried", (t) => {
+test("a repeatable call is retried at a server that it has not tried", (t) => {
   const router = routerOf(2);
   const [first] = submit(router, 0, { id: "a", repeatable: true });
   const [second] = end(router, 1, { id: "a", result: failure("unknown") });
@@ -108,7 +108,7 @@
   t.not(first.server, second.server);
 });
 
-test("retries stop when their budget is spent", (t) => {
+test("retries stop when their budget is exhausted", (t) => {
   const router = routerOf(4, { ...SERVICE_POLICY, ejection: false });
   let attempts = 0;
   for (let call = 0; call < 200; call += 1) {
@@ -119,9 +119,9 @@
       orders = end(router, call, { id: `${call}`, attempt, result });
     }
   }
-  const reserve = 10;
-  const earned = 19;
-  t.is(attempts, 200 + reserve + earned);
+  const budgetCapacity = 10;
+  const deposited = 19;
+  t.is(attempts, 200 + budgetCapacity + deposited);
 });
 
 test("failing servers are ejected, but never more than half", (t) => {
@@ -134,7 +134,7 @@
   t.is(router.servers.filter((server) => server.isEligible(now)).length, 2);
 });
 
-test("a server that leaves by its own word gets nothing more", (t) => {
+test("a server that announces that it is leaving gets no more calls", (t) => {
   const router = routerOf(1);
   submit(router, 0, { id: "a", repeatable: true });
   end(router, 1, { id: "a", result: { ...ANSWERED, leaving: true } });
@@ -142,7 +142,7 @@
   t.like(order, { kind: "fail", failure: { outcome: "not_run" } });
 });
 
-test("a call that cannot be answered in time is refused with a hint", (t) => {
+test("a call that cannot be answered in time is refused with a retry delay", (t) => {
   const router = routerOf(1);
   for (let call = 0; call < 30; call += 1) {
     submit(router, call * 100, { id: `${call}`, repeatable: false });
@@ -162,7 +162,7 @@
   }
 });
 
-test("a late call is hedged, and the loser is abandoned", (t) => {
+test("a late call is hedged, and the slower attempt is abandoned", (t) => {
   const router = routerOf(2);
   for (let call = 0; call < 30; call += 1) {
     submit(router, call * 20, { id: `${call}`, repeatable: true });
@@ -177,7 +177,7 @@
   t.deepEqual(orders.map((order) => order.kind), ["abandon", "answer"]);
 });
 
-test("a not repeatable call is never hedged", (t) => {
+test("a non-repeatable call is never hedged", (t) => {
   const router = routerOf(2);
   for (let call = 0; call < 30; call += 1) {
     submit(router, call * 20, { id: `${call}`, repeatable: true });
@@ -188,7 +188,7 @@
   t.deepEqual(router.decide(instant(1_900)), []);
 });
 
-test("a router that does not hedge never wakes for a hedge", (t) => {
+test("a router with hedging disabled schedules no hedge", (t) => {
   const router = routerOf(2, { ...SERVICE_POLICY, hedging: false });
   for (let call = 0; call < 30; call += 1) {
     submit(router, call * 20, { id: `${call}`, repeatable: true });
@@ -198,7 +198,7 @@
   t.is(router.nextWake(), undefined);
 });
 
-test("the own failure domain is preferred where it costs no more", (t) => {
+test("the local failure domain is preferred when it costs no more", (t) => {
   const policy = {
     ...SERVICE_POLICY,
     chooser: () => new PowerOfTwoChooser(),
