--- a/packages/core/src/loads/load_permit_ledger.ts
+++ b/packages/core/src/loads/load_permit_issuer.ts
@@ -13,86 +13,95 @@
   seconds,
 } from "../shared/mod.ts";
 import { SmoothedDuration } from "../placement/smoothed_duration.ts";
-import { expectedGrantWait } from "./expected_grant_wait.ts";
+import { expectedGrantWait } from "./expected_permit_wait.ts";
 import type { LoadLimits, LoadPermit, LoadWish } from "./load_wish.ts";
 import { RateLimit } from "./rate_limit.ts";
 
-/** How long a permit lasts whose holder says nothing. */
+/** How long a permit is valid without renewal. */
 export const PERMIT_LIFETIME = seconds(10);
 const WISH_LIFETIME = seconds(2);
 const INITIAL_LOAD_TIME = milliseconds(500);
-const NEW_SAMPLE_SHARE = 0.1;
+const LOAD_TIME_SAMPLE_WEIGHT = 0.1;
 
 interface EngineWishes {
   readonly wishes: readonly LoadWish[];
-  readonly offeredAt: Instant;
+  readonly updatedAt: Instant;
 }
 
 /**
- * Grants the loads from one weight store, the most urgent first, within the
- * store's rate and concurrency. One node holds it for the whole deployment.
+ * Grants permits for loads from one weight store, most urgent first, within the
+ * store's rate and concurrency limits. One node does this for the whole
+ * deployment.
  */
 export class LoadPermitLedger {
   #limits: LoadLimits;
-  #rate: RateLimit;
-  readonly #quietUntil: Instant;
-  readonly #offers = new Map<EngineId, EngineWishes>();
+  #rateLimit: RateLimit;
+  readonly #grantsFrom: Instant;
+  readonly #wishesByEngine = new Map<EngineId, EngineWishes>();
   readonly #permits = new Map<string, LoadPermit>();
   readonly #loadTime = new SmoothedDuration(
     INITIAL_LOAD_TIME,
-    NEW_SAMPLE_SHARE,
+    LOAD_TIME_SAMPLE_WEIGHT,
   );
 
   /**
-   * @param limits What the weight store allows.
-   * @param quietUntil A new holder grants nothing before, since permits of
-   * the holder before may still be in use.
+   * @param limits The limits of the weight store.
+   * @param grantsFrom The time of the first grant. A new holder has to wait,
+   * since permits of the previous holder may still be in use.
    */
-  constructor(limits: LoadLimits, quietUntil: Instant = CLOCK_START) {
+  constructor(limits: LoadLimits, grantsFrom: Instant = CLOCK_START) {
     this.#limits = limits;
-    this.#rate = new RateLimit(limits.loadsPerSecond, limits.concurrentLoads);
-    this.#quietUntil = quietUntil;
+    this.#rateLimit = new RateLimit(
+      limits.loadsPerSecond,
+      limits.concurrentLoads,
+    );
+    this.#grantsFrom = grantsFrom;
   }
 
-  /** What the weight store allows. */
+  /** The limits of the weight store. */
   get limits(): LoadLimits {
     return this.#limits;
   }
 
   /** Whether any engine has a wish. */
   get hasWishes(): boolean {
-    return this.#offers.size > 0;
+    return this.#wishesByEngine.size > 0;
   }
 
   /**
-   * Takes other limits into force, as the store states them.
+   * Applies the limits stated by the store. Changed limits start without a
+   * burst.
    * @param now The present time.
    * @param limits The limits.
    */
   changeLimits(now: Instant, limits: LoadLimits): void {
-    const same = limits.loadsPerSecond === this.#limits.loadsPerSecond &&
+    const areUnchanged =
+      limits.loadsPerSecond === this.#limits.loadsPerSecond &&
       limits.concurrentLoads === this.#limits.concurrentLoads;
-    if (same) return;
+    if (areUnchanged) return;
     this.#limits = limits;
-    this.#rate = new RateLimit(limits.loadsPerSecond, limits.concurrentLoads);
+    this.#rateLimit = new RateLimit(
+      limits.loadsPerSecond,
+      limits.concurrentLoads,
+    );
     for (let taken = 0; taken < limits.concurrentLoads; taken += 1) {
-      this.#rate.take(now);
+      this.#rateLimit.take(now);
     }
   }
 
-  /** How many permits are out. */
+  /** Number of permits in use. */
   get outstanding(): number {
     return this.#permits.size;
   }
 
-  /** How long a load takes, smoothed. */
+  /** The smoothed duration of a load. */
   get loadTime(): Duration {
     return this.#loadTime.value;
   }
 
   /**
    * Estimates how long a wish waits for its permit.
-   * @param ahead How many wishes are at least as urgent.
+   * @param ahead Number of wishes that are at least as urgent.
    * @returns The estimate.
    */
   expectedWait(ahead: number): Duration {
@@ -108,38 +117,39 @@
    * Replaces the wishes of an engine.
    * @param now The present time.
    * @param engine The engine.
-   * @param wishes What its controller wants now, the most urgent few.
+   * @param wishes The most urgent loads that its controller wants.
    */
   offer(now: Instant, engine: EngineId, wishes: readonly LoadWish[]): void {
-    if (wishes.length === 0) this.#offers.delete(engine);
-    else this.#offers.set(engine, { wishes, offeredAt: now });
+    if (wishes.length === 0) this.#wishesByEngine.delete(engine);
+    else this.#wishesByEngine.set(engine, { wishes, updatedAt: now });
   }
 
   /**
-   * Tells whether a permit could be granted now.
+   * Checks whether a permit could be granted now.
    * @param now The present time.
-   * @returns Whether rate and concurrency leave room.
+   * @returns Whether the rate and concurrency limits allow it.
    */
   hasRoom(now: Instant): boolean {
-    this.#expire(now);
-    return now >= this.#quietUntil &&
+    this.#removeExpired(now);
+    return now >= this.#grantsFrom &&
       this.#permits.size < this.#limits.concurrentLoads &&
-      this.#rate.allowedAt(now) <= now;
+      this.#rateLimit.allowedAt(now) <= now;
   }
 
   /**
-   * Tells when rate alone allows the next permit.
+   * Finds when the rate limit allows the next permit, regardless of the
+   * concurrency limit.
    * @param now The present time.
    * @returns The time.
    */
   nextGrantAt(now: Instant): Instant {
-    return instant(Math.max(this.#rate.allowedAt(now), this.#quietUntil));
+    return instant(Math.max(this.#rateLimit.allowedAt(now), this.#grantsFrom));
   }
 
   /**
-   * Grants the most urgent wish, where there is room.
+   * Grants the most urgent wish, if the limits allow it.
    * @param now The present time.
-   * @returns The permit, or nothing.
+   * @returns The permit, or undefined.
    */
   grant(now: Instant): LoadPermit | undefined {
     if (!this.hasRoom(now)) return undefined;
@@ -152,19 +162,19 @@
       grantedAt: now,
       expiresAt: later(now, PERMIT_LIFETIME),
     };
-    this.#rate.take(now);
-    this.#permits.set(permitName(wish), permit);
+    this.#rateLimit.take(now);
+    this.#permits.set(permitKey(wish), permit);
     assertInvariant(
       this.#permits.size <= this.#limits.concurrentLoads,
       "loads_within_weight_store_limits",
-      () => `${this.#permits.size} permits are out.`,
+      () => `${this.#permits.size} permits are in use.`,
     );
     return permit;
   }
 
   /**
-   * Takes note that a load goes on: its permit lives longer. A load by a
-   * permit of another holder counts from now on like an own one.
+   * Extends the permit of a load in progress. A load permitted by another
+   * holder counts from now on as one of this holder.
    * @param now The present time.
    * @param load The engine and adapter.
    */
@@ -176,16 +186,16 @@
       readonly adapter: AdapterReference;
     },
   ): void {
-    const known = this.#permits.get(permitName(load));
+    const known = this.#permits.get(permitKey(load));
     const expiresAt = later(now, PERMIT_LIFETIME);
     const grantedAt = known?.grantedAt ?? now;
     const { engine, key, adapter } = load;
     const permit = { engine, key, adapter, grantedAt, expiresAt };
-    this.#permits.set(permitName(load), permit);
+    this.#permits.set(permitKey(load), permit);
   }
 
   /**
-   * Takes back a permit.
+   * Releases a permit.
    * @param now The present time.
    * @param load The engine and adapter, and whether the adapter was loaded.
    */
@@ -197,24 +207,24 @@
       readonly loaded: boolean;
     },
   ): void {
-    const permit = this.#permits.get(permitName(load));
+    const permit = this.#permits.get(permitKey(load));
     if (permit === undefined) return;
-    this.#permits.delete(permitName(load));
+    this.#permits.delete(permitKey(load));
     if (load.loaded) this.#loadTime.observe(elapsed(permit.grantedAt, now));
   }
 
   /**
-   * Takes back all permits of an engine that is gone or restarted.
+   * Removes the wishes and permits of an engine that is gone or restarted.
    * @param engine The engine.
    */
   forget(engine: EngineId): void {
-    this.#offers.delete(engine);
+    this.#wishesByEngine.delete(engine);
     for (const [name, permit] of this.#permits) {
       if (permit.engine === engine) this.#permits.delete(name);
     }
   }
 
-  #expire(now: Instant): void {
+  #removeExpired(now: Instant): void {
     for (const [name, permit] of this.#permits) {
       if (permit.expiresAt <= now) this.#permits.delete(name);
     }
@@ -223,30 +233,30 @@
   #takeMostUrgent(now: Instant): LoadWish | undefined {
     const oldest = instant(now - WISH_LIFETIME);
     let best: LoadWish | undefined;
-    for (const [engine, offer] of this.#offers) {
-      if (offer.offeredAt < oldest) {
-        this.#offers.delete(engine);
+    for (const [engine, offer] of this.#wishesByEngine) {
+      if (offer.updatedAt < oldest) {
+        this.#wishesByEngine.delete(engine);
         continue;
       }
       for (const wish of offer.wishes) {
-        if (this.#permits.has(permitName(wish))) continue;
+        if (this.#permits.has(permitKey(wish))) continue;
         if (best === undefined || wish.urgency > best.urgency) best = wish;
       }
     }
-    if (best !== undefined) this.#drop(best);
+    if (best !== undefined) this.#removeWish(best);
     return best;
   }
 
-  #drop(wish: LoadWish): void {
-    const offer = this.#offers.get(wish.engine);
+  #removeWish(wish: LoadWish): void {
+    const offer = this.#wishesByEngine.get(wish.engine);
     if (offer === undefined) return;
     const wishes = offer.wishes.filter((other) => other.key !== wish.key);
-    if (wishes.length === 0) this.#offers.delete(wish.engine);
-    else this.#offers.set(wish.engine, { ...offer, wishes });
+    if (wishes.length === 0) this.#wishesByEngine.delete(wish.engine);
+    else this.#wishesByEngine.set(wish.engine, { ...offer, wishes });
   }
 }
 
-function permitName(
+function permitKey(
   load: { readonly engine: EngineId; readonly key: AdapterKey },
 ): string {
   return `${load.engine}/${load.key}`;
--- a/packages/core/src/loads/load_wish.ts
+++ b/packages/core/src/loads/load_wish.ts
@@ -5,30 +5,30 @@
   Instant,
 } from "../shared/mod.ts";
 
-/** Why an adapter is wanted at an engine. */
+/** Why a load is wanted. */
 export type LoadPurpose = "waiting" | "prefetch";
 
-/** An adapter that an engine's controller wants to load. */
+/** A load that an engine's controller wants. */
 export interface LoadWish {
   readonly engine: EngineId;
   readonly key: AdapterKey;
   readonly adapter: AdapterReference;
   readonly purpose: LoadPurpose;
-  /** Target lengths of callers' waiting that the load saves a second. */
+  /** Callers' waiting time saved per second, in multiples of their targets. */
   readonly urgency: number;
 }
 
-/** The right to load one adapter at one engine, from the weight store. */
+/** A permit to load one adapter at one engine from the weight store. */
 export interface LoadPermit {
   readonly engine: EngineId;
   readonly key: AdapterKey;
   readonly adapter: AdapterReference;
   readonly grantedAt: Instant;
-  /** The holder must have ended the load by then, or renewed the permit. */
+  /** The load must have ended, or the permit been renewed, by this time. */
   readonly expiresAt: Instant;
 }
 
-/** What a weight store allows. */
+/** The limits of a weight store. */
 export interface LoadLimits {
   readonly loadsPerSecond: number;
   readonly concurrentLoads: number;
--- a/packages/core/src/loads/mod.ts
+++ b/packages/core/src/loads/mod.ts
@@ -1,5 +1,5 @@
-export * from "./expected_grant_wait.ts";
-export * from "./load_permit_ledger.ts";
+export * from "./expected_permit_wait.ts";
+export * from "./load_permit_issuer.ts";
 export * from "./load_wish.ts";
 export * from "./rate_limit.ts";
 export * from "./static_share.ts";
--- a/packages/core/src/loads/rate_limit.ts
+++ b/packages/core/src/loads/rate_limit.ts
@@ -2,16 +2,16 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Spaces events out to a rate, with a small burst after a pause. */
+/** Limits events to a rate, with a burst after a pause (GCRA). */
 export class RateLimit {
   readonly #interval: number;
   readonly #burst: number;
   /** The theoretical arrival time of the generic cell rate algorithm. */
-  #next = -Infinity;
+  #theoreticalArrival = -Infinity;
 
   /**
-   * @param perSecond How many events a second.
-   * @param burst How many may come at once after a pause.
+   * @param perSecond Number of events per second.
+   * @param burst Number of events allowed at once after a pause.
    */
   constructor(perSecond: number, burst: number) {
     this.#interval = MILLISECONDS_PER_SECOND / perSecond;
@@ -19,20 +19,22 @@
   }
 
   /**
-   * Tells when the next event may come.
+   * Finds when the next event is allowed.
    * @param now The present time.
    * @returns The present time, or a later one.
    */
   allowedAt(now: Instant): Instant {
-    const earliest = this.#next - (this.#burst - 1) * this.#interval;
+    const earliest = this.#theoreticalArrival -
+      (this.#burst - 1) * this.#interval;
     return instant(Math.max(now, earliest));
   }
 
   /**
-   * Counts an event.
+   * Records an event.
    * @param now The present time.
    */
   take(now: Instant): void {
-    this.#next = Math.max(now, this.#next) + this.#interval;
+    this.#theoreticalArrival = Math.max(now, this.#theoreticalArrival) +
+      this.#interval;
   }
 }
--- a/packages/core/src/loads/static_share.ts
+++ b/packages/core/src/loads/static_share.ts
@@ -1,19 +1,20 @@
 import type { LoadLimits } from "./load_wish.ts";
 
-/** Less than the whole, since others may still act on older permits. */
-const CAUTION = 0.5;
+/** Below 1, since other engines may still use earlier permits. */
+const SAFETY_FACTOR = 0.5;
 
 /**
- * Works out what each engine's controller may load on its own while the
- * holder of the permits cannot be reached. All shares together stay below the
- * store's rate; a single engine loads one adapter at a time.
- * @param limits What the weight store allows.
- * @param engines How many engines load from the store.
+ * Computes the limits for each engine's controller while the node that grants
+ * permits is unreachable. The sum of all shares stays below the store's rate; a
+ * single engine loads one adapter at a time.
+ * @param limits The limits of the weight store.
+ * @param engines Number of engines that load from the store.
  * @returns The share of one engine.
  */
 export function staticShare(limits: LoadLimits, engines: number): LoadLimits {
   return {
-    loadsPerSecond: CAUTION * limits.loadsPerSecond / Math.max(1, engines),
+    loadsPerSecond: SAFETY_FACTOR * limits.loadsPerSecond /
+      Math.max(1, engines),
     concurrentLoads: 1,
   };
 }
--- a/packages/core/src/placement/adapter_router.ts
+++ b/packages/core/src/placement/adapter_router.ts
@@ -12,10 +12,10 @@
 import type { ResidenceIndex } from "./residence_index.ts";
 import { textHash, weightedScore } from "./weighted_rendezvous.ts";
 
-/** Why a request goes where it goes. */
+/** Why an engine was chosen for a request. */
 export type RouteReason = "resident" | "joins_load" | "home" | "overflow";
 
-/** Where a request goes, or why it is refused. */
+/** The chosen engine, or why the request is refused. */
 export type RouteChoice =
   | {
     readonly kind: "engine";
@@ -25,14 +25,14 @@
   | { readonly kind: "refuse"; readonly retryAfter: Duration }
   | { readonly kind: "no_engine" };
 
-/** Estimates of loads, as the holder of the load permits makes them. */
+/** Estimates of load durations and of the wait for a load permit. */
 export interface LoadOutlook {
   readonly loadTime: Duration;
   expectedWait(ahead: number): Duration;
 }
 
-/** What a router decides by. */
-export interface AdapterRouterParts {
+/** Options of an {@link AdapterRouter}. */
+export interface AdapterRouterOptions {
   readonly index: ResidenceIndex;
   readonly prefixes: PrefixHistory;
   readonly loads: LoadOutlook;
@@ -41,35 +41,36 @@
 interface Candidate {
   readonly view: EngineView;
   readonly standing: AdapterStanding;
-  readonly expected: number;
+  readonly expectedFirstTokenTime: number;
 }
 
-/** How many homes in the order of their score an absent adapter may go to. */
-const HOMES = 3;
-/** A wait below this share of the slack is no reason to look elsewhere. */
-const RELAXED_SHARE = 0.5;
-/** What another choice must be better by. */
-const MARGIN_SHARE = 0.25;
-const LEAST_MARGIN = 50;
-/** A cached prefix saves about this share of the time to the first token. */
-const PREFIX_SAVING = 0.3;
-/** A request is refused when it would come so many targets late. */
-const HOPELESS_TARGETS = 1;
+/** Number of top-ranked engines that are considered for an adapter. */
+const HOME_COUNT = 3;
+/** A wait below this fraction of the slack is accepted without alternatives. */
+const ACCEPTABLE_WAIT_SHARE = 0.5;
+/** Fraction by which an alternative must be better to be preferred. */
+const IMPROVEMENT_MARGIN_SHARE = 0.25;
+const MINIMUM_MARGIN_MILLISECONDS = 50;
+/** Approximate fraction of the first-token time that a cached prefix saves. */
+const PREFIX_SAVING_SHARE = 0.3;
+/** Lateness, as a multiple of the target, above which requests are refused. */
+const MAXIMUM_LATENESS_TARGETS = 1;
 
 /**
  * Chooses an engine for each request: one that holds the adapter, or else the
- * adapter's home, or the next where the expected wait is clearly lower.
+ * adapter's home by rendezvous hashing, or one of the next homes if its expected
+ * wait is clearly lower.
  */
 export class AdapterRouter {
-  readonly #parts: AdapterRouterParts;
+  readonly #options: AdapterRouterOptions;
 
-  /** @param parts What to decide by. */
-  constructor(parts: AdapterRouterParts) {
-    this.#parts = parts;
+  /** @param options The indexes and estimates to decide from. */
+  constructor(options: AdapterRouterOptions) {
+    this.#options = options;
   }
 
   /**
-   * Chooses where a request goes.
+   * Chooses an engine for a request.
    * @param now The present time.
    * @param queued The request.
    * @param views The engines that run its model.
@@ -83,27 +84,32 @@
     if (views.size === 0) return { kind: "no_engine" };
     const key = adapterKey(queued.adapter);
     const slack = queued.firstTokenTarget - queued.waitedBefore;
-    const held = this.#bestHolder(now, queued, views);
-    if (held !== undefined && held.expected <= RELAXED_SHARE * slack) {
-      return chosen(held, false);
+    const holder = this.#bestHolder(now, queued, views);
+    if (
+      holder !== undefined &&
+      holder.expectedFirstTokenTime <= ACCEPTABLE_WAIT_SHARE * slack
+    ) {
+      return routeTo(holder, false);
     }
     const home = this.#bestHome(now, { queued, key, views });
-    const best = better(held, home);
+    const best = preferWithMargin(holder, home);
     if (best === undefined) return { kind: "no_engine" };
-    if (this.#isHopeless(best, { slack, target: queued.firstTokenTarget })) {
+    if (this.#isTooLate(best, { slack, target: queued.firstTokenTarget })) {
       return {
         kind: "refuse",
-        retryAfter: milliseconds(Math.ceil(best.expected - slack)),
+        retryAfter: milliseconds(
+          Math.ceil(best.expectedFirstTokenTime - slack),
+        ),
       };
     }
-    return chosen(best, held !== undefined);
+    return routeTo(best, holder !== undefined);
   }
 
   /**
-   * Lists the engines for an adapter in the order of its homes.
+   * Ranks the engines for an adapter by rendezvous hashing.
    * @param key The adapter.
    * @param views The engines.
-   * @returns The first few engines, the home first.
+   * @returns The top-ranked engines, the home first.
    */
   homes(
     key: AdapterKey,
@@ -113,12 +119,15 @@
     const scored: { readonly view: EngineView; readonly score: number }[] = [];
     for (const view of views.values()) {
       const score = weightedScore(keyHash, view.hash, view.weight);
-      if (scored.length === HOMES && score <= (scored[HOMES - 1]?.score ?? 0)) {
+      if (
+        scored.length === HOME_COUNT &&
+        score <= (scored[HOME_COUNT - 1]?.score ?? 0)
+      ) {
         continue;
       }
       scored.push({ view, score });
       scored.sort((left, right) => right.score - left.score);
-      if (scored.length > HOMES) scored.pop();
+      if (scored.length > HOME_COUNT) scored.pop();
     }
     return scored.map((entry) => entry.view);
   }
@@ -129,18 +138,22 @@
     views: ReadonlyMap<EngineId, EngineView>,
   ): Candidate | undefined {
     const key = adapterKey(queued.adapter);
-    const cached = this.#engineWithPrefix(key, queued);
+    const prefixHolders = this.#enginesWithPrefix(key, queued);
     let best: Candidate | undefined;
-    for (const engine of this.#parts.index.enginesOf(key)) {
+    for (const engine of this.#options.index.enginesOf(key)) {
       const view = views.get(engine);
       if (view === undefined) continue;
       const candidate = this.#assess(now, { queued, key, view });
-      const saved = cached.includes(engine)
-        ? PREFIX_SAVING * view.firstTokenTime
+      const prefixSaving = prefixHolders.includes(engine)
+        ? PREFIX_SAVING_SHARE * view.firstTokenTime
         : 0;
-      const expected = candidate.expected - saved;
-      if (best === undefined || expected < best.expected) {
-        best = { ...candidate, expected };
+      const expectedFirstTokenTime = candidate.expectedFirstTokenTime -
+        prefixSaving;
+      if (
+        best === undefined ||
+        expectedFirstTokenTime < best.expectedFirstTokenTime
+      ) {
+        best = { ...candidate, expectedFirstTokenTime };
       }
     }
     return best;
@@ -157,7 +170,7 @@
     let best: Candidate | undefined;
     for (const view of this.homes(key, views)) {
       const candidate = this.#assess(now, { queued, key, view });
-      best = cheaper(now, best, candidate);
+      best = preferCheaperEviction(now, best, candidate);
     }
     return best;
   }
@@ -172,10 +185,11 @@
   ): Candidate {
     const standing = view.standing(key);
     const target = queued.firstTokenTarget;
-    const place = view.placeWait(now, target);
-    const load = this.#loadWait(standing, view, target);
-    const expected = Math.max(place, load) + view.firstTokenTime;
-    return { view, standing, expected };
+    const batchWait = view.placeWait(now, target);
+    const loadWait = this.#loadWait(standing, view, target);
+    const expectedFirstTokenTime = Math.max(batchWait, loadWait) +
+      view.firstTokenTime;
+    return { view, standing, expectedFirstTokenTime };
   }
 
   #loadWait(
@@ -183,7 +197,7 @@
     view: EngineView,
     target: Duration,
   ): number {
-    const { loads } = this.#parts;
+    const { loads } = this.#options;
     switch (standing) {
       case "resident":
         return 0;
@@ -197,35 +211,41 @@
     }
   }
 
-  #engineWithPrefix(
+  #enginesWithPrefix(
     key: AdapterKey,
     queued: QueuedRequest,
   ): readonly EngineId[] {
     const hash = queued.prefixHash;
     if (hash === undefined) return [];
-    return this.#parts.prefixes.holdersOf({ key, hash });
+    return this.#options.prefixes.holdersOf({ key, hash });
   }
 
-  #isHopeless(
+  #isTooLate(
     best: Candidate,
     { slack, target }: { readonly slack: number; readonly target: Duration },
   ): boolean {
-    return best.expected > slack + HOPELESS_TARGETS * target;
+    return best.expectedFirstTokenTime >
+      slack + MAXIMUM_LATENESS_TARGETS * target;
   }
 }
 
-/** The first stays unless the second is better by the margin. */
-function better(
+/** Prefers the first candidate unless the second is better by the margin. */
+function preferWithMargin(
   first: Candidate | undefined,
   second: Candidate | undefined,
 ): Candidate | undefined {
   if (first === undefined) return second;
   if (second === undefined) return first;
-  const margin = Math.max(LEAST_MARGIN, MARGIN_SHARE * first.expected);
-  return second.expected + margin < first.expected ? second : first;
+  const margin = Math.max(
+    MINIMUM_MARGIN_MILLISECONDS,
+    IMPROVEMENT_MARGIN_SHARE * first.expectedFirstTokenTime,
+  );
+  return second.expectedFirstTokenTime + margin < first.expectedFirstTokenTime
+    ? second
+    : first;
 }
 
-function chosen(candidate: Candidate, hasHolder: boolean): RouteChoice {
+function routeTo(candidate: Candidate, hasHolder: boolean): RouteChoice {
   const { view, standing } = candidate;
   return { kind: "engine", engine: view.engine, reason: reason() };
 
@@ -236,15 +256,18 @@
   }
 }
 
-/** Of engines that are about as fast, the one whose eviction loses least. */
-function cheaper(
+/** Among engines of similar wait, prefers the one with the cheapest eviction. */
+function preferCheaperEviction(
   now: Instant,
   first: Candidate | undefined,
   second: Candidate,
 ): Candidate {
   if (first === undefined) return second;
-  const margin = Math.max(LEAST_MARGIN, MARGIN_SHARE * first.expected);
-  const gain = first.expected - second.expected;
+  const margin = Math.max(
+    MINIMUM_MARGIN_MILLISECONDS,
+    IMPROVEMENT_MARGIN_SHARE * first.expectedFirstTokenTime,
+  );
+  const gain = first.expectedFirstTokenTime - second.expectedFirstTokenTime;
   if (gain > margin) return second;
   if (gain < -margin) return first;
   const firstLoss = first.view.roomLoss(now);
--- a/packages/core/src/placement/decayed_counter.ts
+++ b/packages/core/src/placement/decayed_counter.ts
@@ -1,12 +1,12 @@
 import type { Duration, Instant } from "../shared/mod.ts";
 
-/** A count whose past weighs less with time: `exp(-age / timeConstant)`. */
+/** An exponentially decaying count: weights are `exp(-age / timeConstant)`. */
 export class DecayedCounter {
   readonly #timeConstant: Duration;
   #value = 0;
-  #at = 0;
+  #updatedAt = 0;
 
-  /** @param timeConstant After which time a count weighs 1/e. */
+  /** @param timeConstant Time after which a count has decayed to 1/e. */
   constructor(timeConstant: Duration) {
     this.#timeConstant = timeConstant;
   }
@@ -14,11 +14,11 @@
   /**
    * Adds to the count.
    * @param now The present time.
-   * @param amount How much.
+   * @param amount The amount to add.
    */
   add(now: Instant, amount: number): void {
     this.#value = this.value(now) + amount;
-    this.#at = now;
+    this.#updatedAt = now;
   }
 
   /**
@@ -28,6 +28,6 @@
    */
   value(now: Instant): number {
     if (this.#value === 0) return 0;
-    return this.#value * Math.exp((this.#at - now) / this.#timeConstant);
+    return this.#value * Math.exp((this.#updatedAt - now) / this.#timeConstant);
   }
 }
--- a/packages/core/src/placement/demand_tracker.ts
+++ b/packages/core/src/placement/demand_tracker.ts
@@ -9,27 +9,27 @@
 } from "../shared/mod.ts";
 import { DecayedCounter } from "./decayed_counter.ts";
 
-const FAST = seconds(10);
-const SLOW = seconds(900);
+const FAST_TIME_CONSTANT = seconds(10);
+const SLOW_TIME_CONSTANT = seconds(900);
 const MILLISECONDS_PER_SECOND = 1_000;
-/** So many arrivals in the fast window may be chance. */
+/** Arrivals in the fast window that are not yet significant. */
 const CHANCE_ARRIVALS = 2;
-/** The upper 95% bound on the count of events of which none was seen. */
-const SILENCE_WEIGHT = 1;
-const LEAST_SILENCE = milliseconds(1);
-const DEFAULT_LIMIT = 8_192;
-const MOST_ASKED = 64;
+/** Upper 95% bound on the expected number of events when none was seen. */
+const UNSEEN_EVENT_BOUND = 1;
+const MINIMUM_SILENCE = milliseconds(1);
+const DEFAULT_MAXIMUM_ADAPTERS = 8_192;
+const MAXIMUM_RECENT_ADAPTERS = 64;
 
-/** How much an adapter is asked for, at two time scales. */
+/** The demand for an adapter, at two time scales. */
 export class AdapterDemand {
   readonly adapter: AdapterReference;
-  readonly #fastArrivals = new DecayedCounter(FAST);
-  readonly #fastPressure = new DecayedCounter(FAST);
-  readonly #slowPressure = new DecayedCounter(SLOW);
+  readonly #fastArrivals = new DecayedCounter(FAST_TIME_CONSTANT);
+  readonly #fastPressure = new DecayedCounter(FAST_TIME_CONSTANT);
+  readonly #slowPressure = new DecayedCounter(SLOW_TIME_CONSTANT);
 
   #lastArrival = CLOCK_START;
-  /** The inverse of the shortest target asked for, in seconds. */
-  #tightness = 0;
+  /** The inverse of the shortest requested target, per second. */
+  #inverseTarget = 0;
 
   /** @param adapter The adapter. */
   constructor(adapter: AdapterReference) {
@@ -41,66 +41,71 @@
    * @param now The present time.
    * @param target The target of its class for the first token.
    */
-  arrived(now: Instant, target: Duration): void {
-    const tightness = MILLISECONDS_PER_SECOND / Math.max(1, target);
+  recordArrival(now: Instant, target: Duration): void {
+    const inverseTarget = MILLISECONDS_PER_SECOND / Math.max(1, target);
     this.#lastArrival = now;
-    this.#tightness = Math.max(tightness, this.#tightness);
+    this.#inverseTarget = Math.max(inverseTarget, this.#inverseTarget);
     this.#fastArrivals.add(now, 1);
-    this.#fastPressure.add(now, tightness);
-    this.#slowPressure.add(now, tightness);
+    this.#fastPressure.add(now, inverseTarget);
+    this.#slowPressure.add(now, inverseTarget);
   }
 
   /**
-   * Estimates the arrivals a second of the last seconds.
+   * Estimates the recent arrival rate.
    * @param now The present time.
-   * @returns Arrivals a second.
+   * @returns Arrivals per second.
    */
   arrivalRate(now: Instant): number {
-    return MILLISECONDS_PER_SECOND * this.#fastArrivals.value(now) / FAST;
+    return MILLISECONDS_PER_SECOND * this.#fastArrivals.value(now) /
+      FAST_TIME_CONSTANT;
   }
 
   /**
-   * Estimates the arrivals a second, each divided by its target in seconds:
-   * the cost that a second of stall adds, each second.
+   * Estimates the arrivals per second, each divided by its target in seconds.
+   * This is the cost that each second of stall adds per second.
    * @param now The present time.
-   * @returns Target lengths of waiting a second, for each second of stall.
+   * @returns Waiting time per second, in multiples of the target, for each
+   * second of stall.
    */
   pressure(now: Instant): number {
-    return Math.min(this.#expectedPressure(now), this.#mostPressure(now));
+    return Math.min(this.#expectedPressure(now), this.#pressureBound(now));
   }
 
-  /** By the rule of three: a silence this long makes more than that unlikely. */
-  #mostPressure(now: Instant): number {
-    const silence = Math.max(LEAST_SILENCE, now - this.#lastArrival);
-    return SILENCE_WEIGHT * MILLISECONDS_PER_SECOND * this.#tightness / silence;
+  /** Upper bound by the rule of three, from the time since the last arrival. */
+  #pressureBound(now: Instant): number {
+    const silence = Math.max(MINIMUM_SILENCE, now - this.#lastArrival);
+    return UNSEEN_EVENT_BOUND * MILLISECONDS_PER_SECOND * this.#inverseTarget /
+      silence;
   }
 
   #expectedPressure(now: Instant): number {
-    const slow = MILLISECONDS_PER_SECOND * this.#slowPressure.value(now) / SLOW;
+    const slow = MILLISECONDS_PER_SECOND * this.#slowPressure.value(now) /
+      SLOW_TIME_CONSTANT;
     const arrivals = this.#fastArrivals.value(now);
     if (arrivals <= CHANCE_ARRIVALS) return slow;
-    const sure = 1 - CHANCE_ARRIVALS / arrivals;
-    const fast = MILLISECONDS_PER_SECOND * this.#fastPressure.value(now) / FAST;
-    return Math.max(slow, sure * fast);
+    const significantShare = 1 - CHANCE_ARRIVALS / arrivals;
+    const fast = MILLISECONDS_PER_SECOND * this.#fastPressure.value(now) /
+      FAST_TIME_CONSTANT;
+    return Math.max(slow, significantShare * fast);
   }
 }
 
 /**
- * Knows the demand for the adapters that were asked for lately. Adapters that
- * nobody asks for fall out, so its size does not grow with their number.
+ * Tracks the demand for recently requested adapters. Evicts the least recently
+ * requested ones, so that its size does not grow with the number of adapters.
  */
 export class DemandTracker {
-  readonly #limit: number;
+  readonly #maximumAdapters: number;
   readonly #demands = new Map<AdapterKey, AdapterDemand>();
-  /** Those asked for since the last visit. */
-  readonly #asked = new Map<AdapterKey, AdapterDemand>();
+  /** Adapters requested since the last visit. */
+  readonly #recentlyRequested = new Map<AdapterKey, AdapterDemand>();
 
-  /** @param limit How many adapters to keep. */
-  constructor(limit: number = DEFAULT_LIMIT) {
-    this.#limit = limit;
+  /** @param maximumAdapters Maximum number of adapters to track. */
+  constructor(maximumAdapters: number = DEFAULT_MAXIMUM_ADAPTERS) {
+    this.#maximumAdapters = maximumAdapters;
   }
 
-  /** How many adapters are known. */
+  /** Number of tracked adapters. */
   get size(): number {
     return this.#demands.size;
   }
@@ -121,34 +126,37 @@
     const demand = this.#demands.get(key) ?? new AdapterDemand(adapter);
     this.#demands.delete(key);
     this.#demands.set(key, demand);
-    demand.arrived(now, target);
-    this.#asked.set(key, demand);
-    if (this.#asked.size > MOST_ASKED) forgetFirst(this.#asked);
-    if (this.#demands.size > this.#limit) forgetFirst(this.#demands);
+    demand.recordArrival(now, target);
+    this.#recentlyRequested.set(key, demand);
+    if (this.#recentlyRequested.size > MAXIMUM_RECENT_ADAPTERS) {
+      deleteOldest(this.#recentlyRequested);
+    }
+    if (this.#demands.size > this.#maximumAdapters) deleteOldest(this.#demands);
   }
 
   /**
    * Finds the demand for an adapter.
    * @param key The adapter.
-   * @returns The demand, or nothing for one of the idle tail.
+   * @returns The demand, or undefined if the adapter is not tracked.
    */
   find(key: AdapterKey): AdapterDemand | undefined {
     return this.#demands.get(key);
   }
 
   /**
-   * Goes through the adapters that were asked for since the last call.
-   * @param visit Called for each; of very many, only for the latest.
+   * Visits the adapters that were requested since the last visit.
+   * @param visit Called for each adapter; if there were too many, only for the
+   * most recent ones.
    */
   visitAsked(
     visit: (key: AdapterKey, demand: AdapterDemand) => void,
   ): void {
-    for (const [key, demand] of this.#asked) visit(key, demand);
-    this.#asked.clear();
+    for (const [key, demand] of this.#recentlyRequested) visit(key, demand);
+    this.#recentlyRequested.clear();
   }
 }
 
-function forgetFirst<Key>(map: Map<Key, unknown>): void {
+function deleteOldest<Key>(map: Map<Key, unknown>): void {
   const first = map.keys().next();
   if (first.done !== true) map.delete(first.value);
 }
--- a/packages/core/src/placement/engine_summary.ts
+++ b/packages/core/src/placement/engine_summary.ts
@@ -7,14 +7,14 @@
 } from "../shared/mod.ts";
 import type { AdapterStanding } from "./engine_view.ts";
 
-/** How an adapter stands at an engine. */
+/** An adapter and its standing at an engine. */
 export interface StandingAdapter {
   readonly key: AdapterKey;
   readonly adapter: AdapterReference;
   readonly standing: AdapterStanding;
 }
 
-/** What other nodes learn of an engine, besides its adapters. */
+/** The state of an engine that is sent to other nodes, except its adapters. */
 export interface EngineSummary {
   readonly engine: EngineId;
   readonly weight: number;
--- a/packages/core/src/placement/engine_view.ts
+++ b/packages/core/src/placement/engine_view.ts
@@ -1,32 +1,32 @@
 import type { AdapterKey, Duration, EngineId, Instant } from "../shared/mod.ts";
 
-/** How an adapter stands at an engine. */
+/** The loading state of an adapter at an engine. */
 export type AdapterStanding = "resident" | "loading" | "awaited" | "absent";
 
-/** What a router knows of an engine: exactly, or from a summary. */
+/** A router's view of an engine, either exact or from a summary. */
 export abstract class EngineView {
-  /** The engine. */
+  /** The engine's id. */
   abstract readonly engine: EngineId;
-  /** The hash of its id, for rendezvous. */
+  /** The hash of its id, for rendezvous hashing. */
   abstract readonly hash: number;
-  /** Its measured share of homes: slots, raised or lowered by its pace. */
+  /** Its rendezvous weight: its slots, adjusted by its measured speed. */
   abstract readonly weight: number;
-  /** From dispatch to the first token, as measured. */
+  /** Measured time from dispatch to the first token. */
   abstract readonly firstTokenTime: Duration;
-  /** The size of its batch. */
+  /** Maximum number of requests in its batch. */
   abstract readonly batchCapacity: number;
-  /** From dispatch to the end of an answer, as measured. */
+  /** Measured time from dispatch to the end of an answer. */
   abstract readonly serviceTime: Duration;
 
   /**
-   * Tells how an adapter stands there.
+   * Finds the standing of an adapter at the engine.
    * @param key The adapter.
    * @returns Its standing.
    */
   abstract standing(key: AdapterKey): AdapterStanding;
 
   /**
-   * Estimates the wait for a place in the batch.
+   * Estimates the wait until the batch can take a request.
    * @param now The present time.
    * @param target The target of the request's class.
    * @returns The wait.
@@ -34,23 +34,24 @@
   abstract placeWait(now: Instant, target: Duration): Duration;
 
   /**
-   * Tells whether a load could start, by a free slot or an idle adapter.
-   * @returns Whether there is room.
+   * Checks whether a load could start, in a free slot or by evicting an idle
+   * adapter.
+   * @returns Whether it could.
    */
   abstract canMakeRoom(): boolean;
 
   /**
-   * Estimates what is lost by the eviction that a load would need.
+   * Estimates the cost of the eviction that a load would need.
    * @param now The present time.
-   * @returns Target lengths of waiting a second, 0 where a slot is free, or
-   * nothing where it is not known.
+   * @returns Waiting time per second, in multiples of the target; 0 if a slot is
+   * free, undefined if not known.
    */
   abstract roomLoss(now: Instant): number | undefined;
 
   /**
-   * Counts the adapters that are waited for by requests at least as urgent.
+   * Counts the adapters awaited by requests that are at least as urgent.
    * @param target The target of the request's class.
-   * @returns How many loads come first.
+   * @returns The number of loads that come first.
    */
   abstract loadsAhead(target: Duration): number;
 }
--- a/packages/core/src/placement/mod.ts
+++ b/packages/core/src/placement/mod.ts
@@ -3,7 +3,7 @@
 export * from "./demand_tracker.ts";
 export * from "./engine_summary.ts";
 export * from "./engine_view.ts";
-export * from "./place_wait.ts";
+export * from "./batch_wait.ts";
 export * from "./prefix_history.ts";
 export * from "./residence_index.ts";
 export * from "./smoothed_duration.ts";
--- a/packages/core/src/placement/prefix_history.ts
+++ b/packages/core/src/placement/prefix_history.ts
@@ -1,51 +1,51 @@
 import type { AdapterKey, EngineId } from "../shared/mod.ts";
 
-const MOST_PREFIXES = 8_192;
-const MOST_HOLDERS = 4;
-const NONE: readonly EngineId[] = [];
+const MAXIMUM_PREFIXES = 8_192;
+const MAXIMUM_HOLDERS = 4;
+const NO_ENGINES: readonly EngineId[] = [];
 
 /**
- * Remembers which engines likely hold the cache of a prompt prefix: those that
- * requests with it were sent to, corrected by the engines' own events, which
- * come late and with gaps.
+ * Tracks which engines likely have a prompt prefix in their cache: those that
+ * received requests with it, corrected by the engines' own events, which are
+ * delayed and incomplete.
  */
 export class PrefixHistory {
   readonly #holders = new Map<string, readonly EngineId[]>();
 
   /**
-   * Takes note that an engine holds a prefix, or is about to.
+   * Records that an engine holds a prefix or is about to hold it.
    * @param prefix The prefix.
    * @param engine The engine.
    */
   stored(prefix: Prefix, engine: EngineId): void {
-    const name = prefixName(prefix);
-    const others = (this.#holders.get(name) ?? NONE)
+    const name = prefixKey(prefix);
+    const others = (this.#holders.get(name) ?? NO_ENGINES)
       .filter((holder) => holder !== engine);
     this.#holders.delete(name);
-    this.#holders.set(name, [engine, ...others].slice(0, MOST_HOLDERS));
-    if (this.#holders.size > MOST_PREFIXES) this.#forgetOldest();
+    this.#holders.set(name, [engine, ...others].slice(0, MAXIMUM_HOLDERS));
+    if (this.#holders.size > MAXIMUM_PREFIXES) this.#forgetOldest();
   }
 
   /**
-   * Takes note that an engine has dropped a prefix.
+   * Records that an engine has evicted a prefix.
    * @param prefix The prefix.
    * @param engine The engine.
    */
   evicted(prefix: Prefix, engine: EngineId): void {
-    const name = prefixName(prefix);
-    const left = (this.#holders.get(name) ?? NONE)
+    const name = prefixKey(prefix);
+    const remaining = (this.#holders.get(name) ?? NO_ENGINES)
       .filter((holder) => holder !== engine);
-    if (left.length === 0) this.#holders.delete(name);
-    else this.#holders.set(name, left);
+    if (remaining.length === 0) this.#holders.delete(name);
+    else this.#holders.set(name, remaining);
   }
 
   /**
    * Finds the engines that likely hold a prefix.
    * @param prefix The prefix.
-   * @returns The engines, the latest first.
+   * @returns The engines, most recent first.
    */
   holdersOf(prefix: Prefix): readonly EngineId[] {
-    return this.#holders.get(prefixName(prefix)) ?? NONE;
+    return this.#holders.get(prefixKey(prefix)) ?? NO_ENGINES;
   }
 
   #forgetOldest(): void {
@@ -60,6 +60,6 @@
   readonly hash: string;
 }
 
-function prefixName(prefix: Prefix): string {
+function prefixKey(prefix: Prefix): string {
   return `${prefix.key}/${prefix.hash}`;
 }
--- a/packages/core/src/placement/residence_index.ts
+++ b/packages/core/src/placement/residence_index.ts
@@ -1,9 +1,9 @@
 import type { AdapterKey, EngineId } from "../shared/mod.ts";
 
-const NONE: readonly EngineId[] = [];
+const NO_ENGINES: readonly EngineId[] = [];
 
 /**
- * Knows which engines hold, load or wait to load an adapter. Its size is
+ * Maps adapters to the engines that hold, load or wait to load them. Its size is
  * bounded by the engines' slots and queues, not by the number of adapters.
  */
 export class ResidenceIndex {
@@ -15,11 +15,11 @@
    * @returns The engines.
    */
   enginesOf(key: AdapterKey): readonly EngineId[] {
-    return this.#engines.get(key) ?? NONE;
+    return this.#engines.get(key) ?? NO_ENGINES;
   }
 
   /**
-   * Takes note that an engine holds or is to hold an adapter.
+   * Records that an engine holds or is going to hold an adapter.
    * @param key The adapter.
    * @param engine The engine.
    */
@@ -30,13 +30,13 @@
   }
 
   /**
-   * Takes note that an engine does not hold an adapter any more.
+   * Records that an engine no longer holds an adapter.
    * @param key The adapter.
    * @param engine The engine.
    */
   remove(key: AdapterKey, engine: EngineId): void {
-    const left = this.enginesOf(key).filter((known) => known !== engine);
-    if (left.length === 0) this.#engines.delete(key);
-    else this.#engines.set(key, left);
+    const remaining = this.enginesOf(key).filter((known) => known !== engine);
+    if (remaining.length === 0) this.#engines.delete(key);
+    else this.#engines.set(key, remaining);
   }
 }
--- a/packages/core/src/placement/smoothed_duration.ts
+++ b/packages/core/src/placement/smoothed_duration.ts
@@ -1,29 +1,29 @@
 import { type Duration, milliseconds } from "../shared/mod.ts";
 
-/** A measured length of time, smoothed over its latest samples. */
+/** An exponential moving average of a measured duration. */
 export class SmoothedDuration {
-  readonly #share: number;
+  readonly #sampleWeight: number;
   #value: number;
 
   /**
-   * @param initial What is assumed before the first sample.
-   * @param share How much a new sample weighs, 0 to 1.
+   * @param initial The value before the first sample.
+   * @param sampleWeight The weight of a new sample, 0 to 1.
    */
-  constructor(initial: Duration, share: number) {
+  constructor(initial: Duration, sampleWeight: number) {
     this.#value = initial;
-    this.#share = share;
+    this.#sampleWeight = sampleWeight;
   }
 
-  /** The smoothed length. */
+  /** The smoothed duration. */
   get value(): Duration {
     return milliseconds(this.#value);
   }
 
   /**
-   * Takes a sample in.
-   * @param sample A measured length.
+   * Adds a sample.
+   * @param sample A measured duration.
    */
   observe(sample: Duration): void {
-    this.#value += this.#share * (sample - this.#value);
+    this.#value += this.#sampleWeight * (sample - this.#value);
   }
 }
--- a/packages/core/src/placement/summarised_engine_view.ts
+++ b/packages/core/src/placement/summarised_engine_view.ts
@@ -2,13 +2,13 @@
 import type { AdapterKey, Duration, EngineId, Instant } from "../shared/mod.ts";
 import type { EngineSummary, StandingAdapter } from "./engine_summary.ts";
 import { type AdapterStanding, EngineView } from "./engine_view.ts";
-import { placeWait } from "./place_wait.ts";
+import { placeWait } from "./batch_wait.ts";
 import type { ResidenceIndex } from "./residence_index.ts";
 import { textHash } from "./weighted_rendezvous.ts";
 
 /**
- * An engine that another node controls, as its last summary shows it. The
- * requests that this node has sent there since are counted on top.
+ * A view of an engine that another node controls, based on its last summary. It
+ * adds the requests that this node has sent to the engine since then.
  */
 export class SummarisedEngineView extends EngineView {
   override readonly engine: EngineId;
@@ -16,11 +16,11 @@
   readonly #index: ResidenceIndex;
   readonly #standings = new Map<AdapterKey, AdapterStanding>();
   #summary: EngineSummary;
-  #sentSince = 0;
+  #sentSinceSummary = 0;
 
   /**
    * @param summary The first summary.
-   * @param index Learns which adapters the engine has.
+   * @param index The index to update with the engine's adapters.
    */
   constructor(summary: EngineSummary, index: ResidenceIndex) {
     super();
@@ -52,17 +52,17 @@
 
   override placeWait(_now: Instant, target: Duration): Duration {
     const { places, running, serviceTime } = this.#summary;
-    const longEnough = TARGET_RATIO * target;
+    const preemptibleFrom = TARGET_RATIO * target;
     return placeWait({
       places,
       running,
       serviceTime,
-      yielding: sum(
+      yielding: sumCounts(
         this.#summary.runningByTarget,
-        (load) => load.target >= longEnough,
+        (load) => load.target >= preemptibleFrom,
       ),
-      ahead: this.#sentSince +
-        sum(this.#summary.ready, (load) => load.target <= target),
+      ahead: this.#sentSinceSummary +
+        sumCounts(this.#summary.ready, (load) => load.target <= target),
     });
   }
 
@@ -77,31 +77,31 @@
   override loadsAhead(target: Duration): number {
     return Math.min(
       this.#summary.awaitedAdapters,
-      sum(this.#summary.blocked, (load) => load.target <= target),
+      sumCounts(this.#summary.blocked, (load) => load.target <= target),
     );
   }
 
   /**
-   * Takes a newer summary in.
+   * Applies a newer summary.
    * @param summary The summary.
    * @param changes The adapters whose standing changed since the last one.
    */
   update(summary: EngineSummary, changes: readonly StandingAdapter[]): void {
     this.#summary = summary;
-    this.#sentSince = 0;
-    for (const { key, standing } of changes) this.#stand(key, standing);
+    this.#sentSinceSummary = 0;
+    for (const { key, standing } of changes) this.#setStanding(key, standing);
   }
 
   /**
-   * Takes note that this node sends a request there.
+   * Records that this node sends a request to the engine.
    * @param key The request's adapter.
    */
   sent(key: AdapterKey): void {
-    this.#sentSince += 1;
-    if (this.standing(key) === "absent") this.#stand(key, "awaited");
+    this.#sentSinceSummary += 1;
+    if (this.standing(key) === "absent") this.#setStanding(key, "awaited");
   }
 
-  /** Forgets all adapters. */
+  /** Removes all adapters of the engine from the index. */
   clear(): void {
     for (const key of this.#standings.keys()) {
       this.#index.remove(key, this.engine);
@@ -109,7 +109,7 @@
     this.#standings.clear();
   }
 
-  #stand(key: AdapterKey, standing: AdapterStanding): void {
+  #setStanding(key: AdapterKey, standing: AdapterStanding): void {
     if (standing === "absent") {
       this.#standings.delete(key);
       this.#index.remove(key, this.engine);
@@ -120,7 +120,7 @@
   }
 }
 
-function sum(
+function sumCounts(
   loads: readonly TargetLoad[],
   isCounted: (load: TargetLoad) => boolean,
 ): number {
--- a/packages/core/src/placement/weighted_rendezvous.ts
+++ b/packages/core/src/placement/weighted_rendezvous.ts
@@ -1,9 +1,9 @@
 import xxhash from "xxhash-wasm";
 
 const hasher = await xxhash();
-const SPREAD = 0x9e3779b1;
-const FIRST_MIX = 0x85ebca6b;
-const SECOND_MIX = 0xc2b2ae35;
+const COMBINE_MULTIPLIER = 0x9e3779b1;
+const FIRST_FINALIZER_MULTIPLIER = 0x85ebca6b;
+const SECOND_FINALIZER_MULTIPLIER = 0xc2b2ae35;
 const HASH_RANGE = 2 ** 32;
 
 /**
@@ -33,10 +33,10 @@
   return -weight / Math.log(uniform);
 }
 
-/** The finalizer of MurmurHash3 over both hashes. */
+/** Combines two hashes with the finalizer of MurmurHash3. */
 function mix(left: number, right: number): number {
-  let value = left ^ Math.imul(right, SPREAD);
-  value = Math.imul(value ^ (value >>> 16), FIRST_MIX);
-  value = Math.imul(value ^ (value >>> 13), SECOND_MIX);
+  let value = left ^ Math.imul(right, COMBINE_MULTIPLIER);
+  value = Math.imul(value ^ (value >>> 16), FIRST_FINALIZER_MULTIPLIER);
+  value = Math.imul(value ^ (value >>> 13), SECOND_FINALIZER_MULTIPLIER);
   return (value ^ (value >>> 16)) >>> 0;
 }
--- a/packages/core/src/residency/engine_residency.ts
+++ b/packages/core/src/residency/engine_residency.ts
@@ -9,13 +9,13 @@
 
 type MutableResidence = { -readonly [Key in keyof Residence]: Residence[Key] };
 
-/** What an engine says that it holds. */
+/** The adapters that an engine reports. */
 export interface FoundResidences {
   readonly resident: readonly AdapterReference[];
   readonly loading: readonly AdapterReference[];
 }
 
-/** What an engine holds, read some time after it was taken over. */
+/** The adapters of an engine, read some time after a takeover. */
 export interface FoundState {
   readonly resident: readonly AdapterKey[];
   readonly loading: readonly AdapterKey[];
@@ -23,37 +23,37 @@
   readonly inUse: ReadonlySet<AdapterKey>;
 }
 
-/** What changed from the state that was found to a later one. */
-export interface ComparedState {
+/** The differences between the adopted state and a later one. */
+export interface Reconciliation {
   readonly gone: readonly AdapterKey[];
   readonly loaded: readonly AdapterKey[];
 }
 
 /**
- * The adapters of one engine. An adapter with a pin, that is with a request
- * that runs or is on its way, is never evicted.
+ * Tracks the adapters of one engine. An adapter is pinned while a request that
+ * uses it is running or being sent. A pinned adapter is never evicted.
  */
 export class EngineResidency {
   readonly #slots: number;
   readonly #residences = new Map<AdapterKey, MutableResidence>();
 
-  /** @param slots How many adapters the engine can hold. */
+  /** @param slots Number of adapters that the engine can hold. */
   constructor(slots: number) {
     this.#slots = slots;
   }
 
-  /** How many slots are free. */
+  /** Number of free slots. */
   get freeSlots(): number {
     return Math.max(0, this.#slots - this.#residences.size);
   }
 
-  /** All adapters in slots, at most as many as there are slots. */
+  /** All adapters in slots, at most one per slot. */
   get all(): Iterable<Residence> {
     return this.#residences.values();
   }
 
   /**
-   * Tells whether an adapter could be evicted.
+   * Checks whether any adapter could be evicted.
    * @returns Whether one is idle.
    */
   hasIdle(): boolean {
@@ -66,14 +66,14 @@
   /**
    * Finds an adapter's residence.
    * @param key The adapter.
-   * @returns The residence, or nothing.
+   * @returns The residence, or undefined.
    */
   find(key: AdapterKey): Residence | undefined {
     return this.#residences.get(key);
   }
 
   /**
-   * Tells whether an adapter can run now.
+   * Checks whether an adapter can serve requests now.
    * @param key The adapter.
    * @returns Whether it is resident and not being evicted.
    */
@@ -82,9 +82,9 @@
   }
 
   /**
-   * Takes in what the engine says that it holds.
+   * Adds the adapters that the engine reports after a takeover.
    * @param now The present time.
-   * @param found The engine's own state.
+   * @param found The adapters reported by the engine.
    */
   takeIn(now: Instant, found: FoundResidences): void {
     for (const adapter of found.resident) {
@@ -95,7 +95,7 @@
     }
   }
 
-  /** Tells whether found adapters may still be used or loaded by others. */
+  /** Whether other nodes may still use or load any adopted adapter. */
   hasUnproven(): boolean {
     for (const residence of this.#residences.values()) {
       if (residence.unproven) return true;
@@ -104,13 +104,13 @@
   }
 
   /**
-   * Compares found adapters with a later state of the engine: those that
-   * nobody uses are proven idle, and loads found in progress have ended.
+   * Compares adopted adapters with a later state of the engine: marks unused
+   * ones as proven idle, and ends loads that are no longer in progress.
    * @param now The present time.
-   * @param state What the engine holds now.
-   * @returns The adapters that have left, and those that were loaded.
+   * @param state The engine's present state.
+   * @returns The adapters that are gone, and those whose load has ended.
    */
-  compare(now: Instant, state: FoundState): ComparedState {
+  compare(now: Instant, state: FoundState): Reconciliation {
     const resident = new Set(state.resident);
     const loading = new Set(state.loading);
     const gone: AdapterKey[] = [];
@@ -132,9 +132,10 @@
   }
 
   /**
-   * Forgets an adapter that the engine turned out not to have.
+   * Removes an adapter that the engine turned out not to hold.
    * @param key The adapter.
-   * @returns Whether it was known and no request is there for it.
+   * @returns Whether it was removed: known, not pinned, and without an own
+   * load or eviction in progress.
    */
   lose(key: AdapterKey): boolean {
     const residence = this.#residences.get(key);
@@ -161,7 +162,7 @@
   }
 
   /**
-   * Takes back the pin of a request that has ended.
+   * Removes the pin of a request that has ended.
    * @param now The present time.
    * @param key The adapter.
    */
@@ -177,7 +178,7 @@
   }
 
   /**
-   * Takes a slot for a load.
+   * Starts a load in a free slot.
    * @param now The present time.
    * @param adapter The adapter.
    */
@@ -214,7 +215,7 @@
   }
 
   /**
-   * Starts to evict an adapter that no request uses.
+   * Starts the eviction of an idle adapter.
    * @param now The present time.
    * @param key The adapter.
    */
@@ -230,9 +231,9 @@
   }
 
   /**
-   * Ends an eviction. A failed one leaves the adapter where it was.
+   * Ends an eviction. After a failed eviction the adapter stays resident.
    * @param now The present time.
-   * @param eviction The adapter, and whether it has left.
+   * @param eviction The adapter, and whether it was evicted.
    * @returns Whether an eviction was in progress.
    */
   evictionEnded(
--- a/packages/core/src/residency/victim.ts
+++ b/packages/core/src/residency/eviction_candidate.ts
@@ -1,29 +1,29 @@
 import { isIdle, type Residence } from "./residence.ts";
 
-/** An adapter that may be evicted, and what its absence would cost. */
+/** An adapter that may be evicted, and the cost of its absence. */
 export interface EvictionCandidate {
   readonly residence: Residence;
-  /** Target lengths of waiting that its absence adds a second. */
+  /** Waiting time that its absence adds per second, in multiples of targets. */
   readonly loss: number;
 }
 
 /**
- * Finds the adapter whose absence costs least, among those that no request
- * uses. Recency only breaks ties.
+ * Finds the idle adapter whose absence costs least. Ties are broken in favor of
+ * evicting the least recently used one.
  * @param residences The engine's residences.
- * @param lossOf Estimates the cost of an adapter's absence.
- * @returns The candidate, or nothing where every slot is in use.
+ * @param costOf Estimates the cost of an adapter's absence.
+ * @returns The candidate, or undefined if no adapter is idle.
  */
 export function chooseVictim(
   residences: Iterable<Residence>,
-  lossOf: (residence: Residence) => number,
+  costOf: (residence: Residence) => number,
 ): EvictionCandidate | undefined {
   let best: EvictionCandidate | undefined;
   for (const residence of residences) {
     if (!isIdle(residence)) continue;
-    const loss = lossOf(residence);
-    if (best === undefined || isCheaper({ residence, loss }, best)) {
-      best = { residence, loss };
+    const cost = costOf(residence);
+    if (best === undefined || isCheaper({ residence, loss: cost }, best)) {
+      best = { residence, loss: cost };
     }
   }
   return best;
--- a/packages/core/src/residency/load_backoff.ts
+++ b/packages/core/src/residency/load_backoff.ts
@@ -6,42 +6,42 @@
   seconds,
 } from "../shared/mod.ts";
 
-const FIRST_WAIT = milliseconds(100);
-const LONGEST_WAIT = seconds(30);
-const ENGINE_FAILURES_TOLERATED = 5;
-const REMEMBERED_ADAPTERS = 1_024;
+const INITIAL_BACKOFF = milliseconds(100);
+const MAXIMUM_BACKOFF = seconds(30);
+const TOLERATED_ENGINE_FAILURES = 5;
+const MAXIMUM_ADAPTERS = 1_024;
 
-interface Failing {
+interface BackoffState {
   readonly failures: number;
   readonly until: Instant;
 }
 
 /**
- * Spaces out loads that fail: those of one adapter, and those of an engine
- * whose loads fail one after another. The waits double up to a limit.
+ * Exponential backoff for failing loads, per adapter, and for the engine as a
+ * whole when its loads fail consecutively. Delays double up to a maximum.
  */
 export class LoadBackoff {
-  readonly #adapters = new Map<AdapterKey, Failing>();
-  #engine: Failing | undefined;
+  readonly #adapters = new Map<AdapterKey, BackoffState>();
+  #engine: BackoffState | undefined;
 
   /**
-   * Takes note of a failed load.
+   * Records a failed load.
    * @param now The present time.
    * @param key The adapter.
    */
   failed(now: Instant, key: AdapterKey): void {
-    const adapter = nextFailure(now, this.#adapters.get(key));
+    const adapter = nextBackoff(now, this.#adapters.get(key));
     this.#adapters.delete(key);
     this.#adapters.set(key, adapter);
     this.#forgetOldest();
     const failures = (this.#engine?.failures ?? 0) + 1;
-    const excess = failures - ENGINE_FAILURES_TOLERATED;
-    const until = excess > 0 ? later(now, waitAfter(excess)) : now;
+    const excess = failures - TOLERATED_ENGINE_FAILURES;
+    const until = excess > 0 ? later(now, backoffAfter(excess)) : now;
     this.#engine = { failures, until };
   }
 
   /**
-   * Takes note of a load that succeeded.
+   * Records a successful load.
    * @param key The adapter.
    */
   succeeded(key: AdapterKey): void {
@@ -50,7 +50,7 @@
   }
 
   /**
-   * Tells when an adapter may be loaded.
+   * Finds when an adapter may be loaded.
    * @param now The present time.
    * @param key The adapter.
    * @returns The present time, or a later one.
@@ -62,19 +62,22 @@
   }
 
   #forgetOldest(): void {
-    if (this.#adapters.size <= REMEMBERED_ADAPTERS) return;
+    if (this.#adapters.size <= MAXIMUM_ADAPTERS) return;
     const oldest = this.#adapters.keys().next();
     if (oldest.done !== true) this.#adapters.delete(oldest.value);
   }
 }
 
-function nextFailure(now: Instant, before: Failing | undefined): Failing {
+function nextBackoff(
+  now: Instant,
+  before: BackoffState | undefined,
+): BackoffState {
   const failures = (before?.failures ?? 0) + 1;
-  return { failures, until: later(now, waitAfter(failures)) };
+  return { failures, until: later(now, backoffAfter(failures)) };
 }
 
-function waitAfter(failures: number): typeof FIRST_WAIT {
+function backoffAfter(failures: number): typeof INITIAL_BACKOFF {
   return milliseconds(
-    Math.min(LONGEST_WAIT, FIRST_WAIT * 2 ** (failures - 1)),
+    Math.min(MAXIMUM_BACKOFF, INITIAL_BACKOFF * 2 ** (failures - 1)),
   );
 }
--- a/packages/core/src/residency/mod.ts
+++ b/packages/core/src/residency/mod.ts
@@ -1,4 +1,4 @@
 export * from "./engine_residency.ts";
 export * from "./load_backoff.ts";
 export * from "./residence.ts";
-export * from "./victim.ts";
+export * from "./eviction_candidate.ts";
--- a/packages/core/src/residency/residence.ts
+++ b/packages/core/src/residency/residence.ts
@@ -1,6 +1,6 @@
 import type { AdapterKey, AdapterReference, Instant } from "../shared/mod.ts";
 
-/** What an adapter's slot is doing. */
+/** The state of an adapter in a slot. */
 export type ResidenceState = "loading" | "resident" | "evicting";
 
 /** An adapter in a slot of an engine. */
@@ -8,11 +8,11 @@
   readonly key: AdapterKey;
   readonly adapter: AdapterReference;
   readonly state: ResidenceState;
-  /** Requests that run or are on their way to the engine. */
+  /** Number of requests that are running or being sent to the engine. */
   readonly pins: number;
   /**
-   * Found at the engine, not loaded by this controller: requests of the
-   * controller before may still use it, until the engine shows it idle.
+   * Found at the engine and not loaded by this controller. Requests of the
+   * previous controller may still use it until the engine reports it idle.
    */
   readonly unproven: boolean;
   /** When the state began. */
@@ -21,7 +21,7 @@
 }
 
 /**
- * Tells whether an adapter may be evicted.
+ * Checks whether an adapter may be evicted.
  * @param residence Its residence.
  * @returns Whether it is resident and known to be unused.
  */
--- a/packages/core/tests/loads/load_permit_ledger_test.ts
+++ b/packages/core/tests/loads/load_permit_ledger_test.ts
@@ -37,7 +37,7 @@
   ledger.offer(instant(at), engineId("engine-1"), wishes);
 }
 
-test("the most urgent wish is granted first, within the concurrency", (t) => {
+test("the most urgent wish is granted first, within the concurrency limit", (t) => {
   const ledger = new LoadPermitLedger(LIMITS);
   offer(ledger, 0, [wish("calm", 1), wish("urgent", 9), wish("middle", 5)]);
   t.is(ledger.grant(instant(0))?.adapter.adapter, adapterId("urgent"));
@@ -45,7 +45,7 @@
   t.is(ledger.grant(instant(1_000)), undefined);
 });
 
-test("the rate holds although loads end at once", (t) => {
+test("the rate limit holds even if loads end immediately", (t) => {
   const ledger = new LoadPermitLedger(LIMITS);
   let granted = 0;
   for (let at = 0; at < 10_000; at += 10) {
@@ -59,7 +59,7 @@
   t.true(granted >= 49, `${granted} loads in 10 s`);
 });
 
-test("a permit whose holder has vanished runs out", (t) => {
+test("a permit that is not renewed expires", (t) => {
   const ledger = new LoadPermitLedger({ ...LIMITS, concurrentLoads: 1 });
   offer(ledger, 0, [wish("lost", 1)]);
   t.truthy(ledger.grant(instant(0)));
@@ -69,7 +69,7 @@
   t.truthy(ledger.grant(instant(PERMIT_LIFETIME)));
 });
 
-test("a renewed permit does not run out", (t) => {
+test("a renewed permit does not expire", (t) => {
   const ledger = new LoadPermitLedger({ ...LIMITS, concurrentLoads: 1 });
   offer(ledger, 0, [wish("slow", 1)]);
   ledger.grant(instant(0));
@@ -78,7 +78,7 @@
   t.is(ledger.grant(instant(PERMIT_LIFETIME)), undefined);
 });
 
-test("a new holder is quiet, and counts loads of the holder before", (t) => {
+test("a new holder waits, and counts loads permitted by the previous holder", (t) => {
   const ledger = new LoadPermitLedger(LIMITS, instant(seconds(1)));
   ledger.renew(instant(0), wish("running", 1));
   ledger.renew(instant(0), wish("running too", 1));
@@ -89,7 +89,7 @@
   t.truthy(ledger.grant(instant(1_000)));
 });
 
-test("static shares of all engines together stay below the rate", (t) => {
+test("the static shares of all engines stay below the rate limit", (t) => {
   const share = staticShare(LIMITS, 8);
   t.true(share.loadsPerSecond * 8 < LIMITS.loadsPerSecond);
 });
--- a/packages/core/tests/placement/adapter_router_test.ts
+++ b/packages/core/tests/placement/adapter_router_test.ts
@@ -97,7 +97,7 @@
   return homes;
 }
 
-test("homes follow measured capacity", (t) => {
+test("homes are distributed in proportion to engine weights", (t) => {
   const { router, views } = deployment([
     summary("small", { weight: 10 }),
     summary("large", { weight: 30 }),
@@ -107,7 +107,7 @@
   t.true(Math.abs(large / homes.length - 0.75) < 0.03, `${large}`);
 });
 
-test("an engine that leaves moves only its own homes", (t) => {
+test("removing an engine moves only the adapters whose home it was", (t) => {
   const { router, views } = deployment(
     ["a", "b", "c"].map((id) => summary(id)),
   );
@@ -126,7 +126,7 @@
   t.like(choice, { kind: "engine", engine: "b", reason: "resident" });
 });
 
-test("a request leaves a full holder only when it is clearly better", (t) => {
+test("a request avoids a full holder only if another engine is clearly faster", (t) => {
   const full = {
     running: 4,
     ready: [{ target: milliseconds(1_000), count: 8 }],
@@ -142,7 +142,7 @@
   t.like(urgent, { kind: "engine", engine: "b", reason: "overflow" });
 });
 
-test("a request that would come far too late is refused with a hint", (t) => {
+test("a request that would be far too late is refused with a retry delay", (t) => {
   const jammed = {
     running: 4,
     canMakeRoom: false,
--- a/packages/core/tests/residency/engine_residency_test.ts
+++ b/packages/core/tests/residency/engine_residency_test.ts
@@ -23,7 +23,7 @@
   return residency;
 }
 
-test("an adapter with a pin is never evicted", (t) => {
+test("a pinned adapter is never evicted", (t) => {
   const residency = withResident();
   residency.pin(NOW, KEY);
   const error = t.throws(() => {
@@ -36,7 +36,7 @@
   });
 });
 
-test("a failed eviction does not lose the residence", (t) => {
+test("an adapter stays resident after a failed eviction", (t) => {
   const residency = withResident();
   residency.startEviction(NOW, KEY);
   residency.evictionEnded(NOW, { key: KEY, evicted: false });
@@ -44,7 +44,7 @@
   t.is(residency.freeSlots, 1);
 });
 
-test("versions of an adapter live side by side", (t) => {
+test("several versions of an adapter can be resident", (t) => {
   const residency = withResident();
   const next = reference("notes", "v2");
   residency.startLoad(NOW, next);
@@ -53,7 +53,7 @@
   t.true(residency.isResident(adapterKey(next)));
 });
 
-test("what a takeover finds is not evicted until it is shown idle", (t) => {
+test("an adapter found at a takeover is not evicted until proven idle", (t) => {
   const residency = new EngineResidency(2);
   residency.takeIn(NOW, { resident: [NOTES], loading: [] });
   t.throws(() => {
@@ -69,7 +69,7 @@
   });
 });
 
-test("a load found in progress ends as the engine's state shows", (t) => {
+test("a load found in progress ends when the engine reports the adapter resident", (t) => {
   const residency = new EngineResidency(2);
   residency.takeIn(NOW, { resident: [], loading: [NOTES] });
   const inUse = new Set<typeof KEY>();
