--- a/packages/core/src/loads/load_permit_issuer.ts
+++ b/packages/core/src/loads/load_permit_issuer.ts
@@ -219,26 +219,26 @@
    */
   forget(engine: EngineId): void {
     this.#wishesByEngine.delete(engine);
-    for (const [name, permit] of this.#permits) {
-      if (permit.engine === engine) this.#permits.delete(name);
+    for (const [key, permit] of this.#permits) {
+      if (permit.engine === engine) this.#permits.delete(key);
     }
   }
 
   #removeExpired(now: Instant): void {
-    for (const [name, permit] of this.#permits) {
-      if (permit.expiresAt <= now) this.#permits.delete(name);
+    for (const [key, permit] of this.#permits) {
+      if (permit.expiresAt <= now) this.#permits.delete(key);
     }
   }
 
   #takeMostUrgent(now: Instant): LoadWish | undefined {
     const oldest = instant(now - WISH_LIFETIME);
     let best: LoadWish | undefined;
-    for (const [engine, offer] of this.#wishesByEngine) {
-      if (offer.updatedAt < oldest) {
+    for (const [engine, entry] of this.#wishesByEngine) {
+      if (entry.updatedAt < oldest) {
         this.#wishesByEngine.delete(engine);
         continue;
       }
-      for (const wish of offer.wishes) {
+      for (const wish of entry.wishes) {
         if (this.#permits.has(permitKey(wish))) continue;
         if (best === undefined || wish.urgency > best.urgency) best = wish;
       }
@@ -248,11 +248,11 @@
   }
 
   #removeWish(wish: LoadWish): void {
-    const offer = this.#wishesByEngine.get(wish.engine);
-    if (offer === undefined) return;
-    const wishes = offer.wishes.filter((other) => other.key !== wish.key);
+    const entry = this.#wishesByEngine.get(wish.engine);
+    if (entry === undefined) return;
+    const wishes = entry.wishes.filter((other) => other.key !== wish.key);
     if (wishes.length === 0) this.#wishesByEngine.delete(wish.engine);
-    else this.#wishesByEngine.set(wish.engine, { ...offer, wishes });
+    else this.#wishesByEngine.set(wish.engine, { ...entry, wishes });
   }
 }
 
--- a/packages/core/src/ownership/rules.ts
+++ b/packages/core/src/ownership/rules.ts
@@ -35,7 +35,7 @@
   abstract leaseEnd(start: Instant, timing: OwnershipTiming): Instant;
   /** When a promise that is valid from `start` expires for its holder. */
   abstract promiseEnd(start: Instant, timing: OwnershipTiming): Instant;
-  /** When promises stop replacing the lease of a holder that read at `start`. */
+  /** When promises stop replacing the lease after a log read at `start`. */
   abstract horizonEnd(start: Instant, timing: OwnershipTiming): Instant;
   /** How long the granting node honors a promise. */
   abstract promiseKept(timing: OwnershipTiming): Duration;
--- a/packages/core/src/ownership/succession_timers.ts
+++ b/packages/core/src/ownership/succession_timers.ts
@@ -66,8 +66,8 @@
    * @returns The elapsed time.
    */
   conditionDuration(condition: string, now: Instant): number {
-    const since = this.#conditionStarts.get(condition);
-    if (since !== undefined) return elapsed(since, now);
+    const startedAt = this.#conditionStarts.get(condition);
+    if (startedAt !== undefined) return elapsed(startedAt, now);
     this.#conditionStarts.set(condition, now);
     return 0;
   }
--- a/packages/core/src/ownership/tenure_decider.ts
+++ b/packages/core/src/ownership/tenure_decider.ts
@@ -128,11 +128,11 @@
     const { self, timing } = this.#options;
     const candidates = rankCandidates(context.engine, context.tick.live);
     const rank = candidates.findIndex((one) => one.node === self.node);
-    const lasted = this.#options.timers.conditionDuration(
+    const duration = this.#options.timers.conditionDuration(
       context.condition,
       now,
     );
-    return rank >= 0 && lasted >= rank * timing.candidateStagger;
+    return rank >= 0 && duration >= rank * timing.candidateStagger;
   }
 
   #decideAsController(
@@ -175,8 +175,8 @@
       this.#options.timers.clearCondition(condition);
       return undefined;
     }
-    const lasted = this.#options.timers.conditionDuration(condition, now);
-    return lasted >= timing.rebalanceAfter ? bestOther : undefined;
+    const duration = this.#options.timers.conditionDuration(condition, now);
+    return duration >= timing.rebalanceAfter ? bestOther : undefined;
   }
 
   #handOver(
--- a/packages/core/src/placement/adapter_router.ts
+++ b/packages/core/src/placement/adapter_router.ts
@@ -58,8 +58,8 @@
 
 /**
  * Chooses an engine for each request: one that holds the adapter, or else the
- * adapter's home by rendezvous hashing, or one of the next homes if its expected
- * wait is clearly lower.
+ * adapter's home by rendezvous hashing, or one of the next homes if its
+ * expected wait is clearly lower.
  */
 export class AdapterRouter {
   readonly #options: AdapterRouterOptions;
@@ -256,7 +256,7 @@
   }
 }
 
-/** Among engines of similar wait, prefers the one with the cheapest eviction. */
+/** Among engines of similar wait, prefers the cheapest eviction. */
 function preferCheaperEviction(
   now: Instant,
   first: Candidate | undefined,
@@ -270,8 +270,10 @@
   const gain = first.expectedFirstTokenTime - second.expectedFirstTokenTime;
   if (gain > margin) return second;
   if (gain < -margin) return first;
-  const firstLoss = first.view.roomLoss(now);
-  const secondLoss = second.view.roomLoss(now);
-  if (firstLoss === undefined || secondLoss === undefined) return first;
-  return secondLoss < firstLoss ? second : first;
+  const firstEvictionCost = first.view.roomLoss(now);
+  const secondEvictionCost = second.view.roomLoss(now);
+  if (firstEvictionCost === undefined || secondEvictionCost === undefined) {
+    return first;
+  }
+  return secondEvictionCost < firstEvictionCost ? second : first;
 }
--- a/packages/core/src/placement/batch_wait.ts
+++ b/packages/core/src/placement/batch_wait.ts
@@ -16,12 +16,12 @@
 /**
  * Estimates the wait until a batch can take a request, assuming that places
  * become free at a constant rate.
- * @param use The state of the batch.
+ * @param batch The state of the batch.
  * @returns The wait.
  */
-export function placeWait(use: BatchState): Duration {
-  const free = use.places - use.running + use.yielding;
-  if (use.ahead < free) return milliseconds(0);
-  const turns = (use.ahead - Math.max(0, free) + 1) / use.places;
-  return milliseconds(turns * use.serviceTime);
+export function placeWait(batch: BatchState): Duration {
+  const free = batch.places - batch.running + batch.yielding;
+  if (batch.ahead < free) return milliseconds(0);
+  const turns = (batch.ahead - Math.max(0, free) + 1) / batch.places;
+  return milliseconds(turns * batch.serviceTime);
 }
--- a/packages/core/src/placement/demand_tracker.ts
+++ b/packages/core/src/placement/demand_tracker.ts
@@ -12,8 +12,8 @@
 const FAST_TIME_CONSTANT = seconds(10);
 const SLOW_TIME_CONSTANT = seconds(900);
 const MILLISECONDS_PER_SECOND = 1_000;
-/** Arrivals in the fast window that are not yet significant. */
-const CHANCE_ARRIVALS = 2;
+/** Number of arrivals in the fast window that may be due to chance. */
+const INSIGNIFICANT_ARRIVALS = 2;
 /** Upper 95% bound on the expected number of events when none was seen. */
 const UNSEEN_EVENT_BOUND = 1;
 const MINIMUM_SILENCE = milliseconds(1);
@@ -82,8 +82,8 @@
     const slow = MILLISECONDS_PER_SECOND * this.#slowPressure.value(now) /
       SLOW_TIME_CONSTANT;
     const arrivals = this.#fastArrivals.value(now);
-    if (arrivals <= CHANCE_ARRIVALS) return slow;
-    const significantShare = 1 - CHANCE_ARRIVALS / arrivals;
+    if (arrivals <= INSIGNIFICANT_ARRIVALS) return slow;
+    const significantShare = 1 - INSIGNIFICANT_ARRIVALS / arrivals;
     const fast = MILLISECONDS_PER_SECOND * this.#fastPressure.value(now) /
       FAST_TIME_CONSTANT;
     return Math.max(slow, significantShare * fast);
--- a/packages/core/src/placement/engine_view.ts
+++ b/packages/core/src/placement/engine_view.ts
@@ -43,8 +43,8 @@
   /**
    * Estimates the cost of the eviction that a load would need.
    * @param now The present time.
-   * @returns Waiting time per second, in multiples of the target; 0 if a slot is
-   * free, undefined if not known.
+   * @returns Waiting time per second, in multiples of the target; 0 if a slot
+   * is free, undefined if not known.
    */
   abstract roomLoss(now: Instant): number | undefined;
 
--- a/packages/core/src/placement/prefix_history.ts
+++ b/packages/core/src/placement/prefix_history.ts
@@ -18,11 +18,11 @@
    * @param engine The engine.
    */
   stored(prefix: Prefix, engine: EngineId): void {
-    const name = prefixKey(prefix);
-    const others = (this.#holders.get(name) ?? NO_ENGINES)
+    const key = prefixKey(prefix);
+    const others = (this.#holders.get(key) ?? NO_ENGINES)
       .filter((holder) => holder !== engine);
-    this.#holders.delete(name);
-    this.#holders.set(name, [engine, ...others].slice(0, MAXIMUM_HOLDERS));
+    this.#holders.delete(key);
+    this.#holders.set(key, [engine, ...others].slice(0, MAXIMUM_HOLDERS));
     if (this.#holders.size > MAXIMUM_PREFIXES) this.#forgetOldest();
   }
 
@@ -32,11 +32,11 @@
    * @param engine The engine.
    */
   evicted(prefix: Prefix, engine: EngineId): void {
-    const name = prefixKey(prefix);
-    const remaining = (this.#holders.get(name) ?? NO_ENGINES)
+    const key = prefixKey(prefix);
+    const remaining = (this.#holders.get(key) ?? NO_ENGINES)
       .filter((holder) => holder !== engine);
-    if (remaining.length === 0) this.#holders.delete(name);
-    else this.#holders.set(name, remaining);
+    if (remaining.length === 0) this.#holders.delete(key);
+    else this.#holders.set(key, remaining);
   }
 
   /**
--- a/packages/core/src/placement/residence_index.ts
+++ b/packages/core/src/placement/residence_index.ts
@@ -3,8 +3,8 @@
 const NO_ENGINES: readonly EngineId[] = [];
 
 /**
- * Maps adapters to the engines that hold, load or wait to load them. Its size is
- * bounded by the engines' slots and queues, not by the number of adapters.
+ * Maps adapters to the engines that hold, load or wait to load them. Its size
+ * is bounded by the engines' slots and queues, not by the number of adapters.
  */
 export class ResidenceIndex {
   readonly #engines = new Map<AdapterKey, readonly EngineId[]>();
--- a/packages/core/src/service_routing/hedge_scheduler.ts
+++ b/packages/core/src/service_routing/hedge_scheduler.ts
@@ -55,8 +55,8 @@
    */
   takeDue(now: Instant): readonly RequestId[] {
     const dueCalls: RequestId[] = [];
-    for (const [call, due] of this.#dueTimes) {
-      if (due > now) break;
+    for (const [call, dueAt] of this.#dueTimes) {
+      if (dueAt > now) break;
       dueCalls.push(call);
       this.#dueTimes.delete(call);
     }
@@ -68,7 +68,7 @@
    * @returns The time, or undefined if none is scheduled.
    */
   nextDue(): Instant | undefined {
-    for (const due of this.#dueTimes.values()) return due;
+    for (const dueAt of this.#dueTimes.values()) return dueAt;
     return undefined;
   }
 
--- a/packages/core/src/service_routing/outlier_ejection.ts
+++ b/packages/core/src/service_routing/outlier_ejection.ts
@@ -8,7 +8,7 @@
 
 /**
  * Ejects a server that exceeds a failure threshold, unless too few servers
- * would remain eligible: a fault that all servers share is not one server's own.
+ * would remain eligible: a fault that all servers share is not caused by one.
  * @param now The present time.
  * @param server The server that just failed.
  * @param servers All servers of the service.
--- a/packages/core/src/service_routing/server_choice.ts
+++ b/packages/core/src/service_routing/server_choice.ts
@@ -79,15 +79,15 @@
 
 /** Chooses in turn. Serves as a baseline in benchmarks. */
 export class RoundRobinChooser extends ServerChooser {
-  #count = 0;
+  #choiceCount = 0;
 
   override choose(
     now: Instant,
     choice: ServerChoiceContext,
   ): ServiceServer | undefined {
     const candidates = availableServers(now, choice);
-    this.#count += 1;
-    return candidates[this.#count % Math.max(1, candidates.length)];
+    this.#choiceCount += 1;
+    return candidates[this.#choiceCount % Math.max(1, candidates.length)];
   }
 }
 
--- a/packages/core/src/service_routing/service_server.ts
+++ b/packages/core/src/service_routing/service_server.ts
@@ -40,17 +40,17 @@
   /**
    * @param id The server.
    * @param failureDomain Its failure domain.
-   * @param parts Its concurrency limit, and when it became known.
+   * @param options Its concurrency limit, and when it became known.
    */
   constructor(
     id: BackendServerId,
     failureDomain: FailureDomainId,
-    parts: { readonly limit: ConcurrencyLimit; readonly now: Instant },
+    options: { readonly limit: ConcurrencyLimit; readonly now: Instant },
   ) {
     this.id = id;
     this.failureDomain = failureDomain;
-    this.#limit = parts.limit;
-    this.#warmUpStart = parts.now;
+    this.#limit = options.limit;
+    this.#warmUpStart = options.now;
   }
 
   /** Whether the server accepts no new work; never reset once set. */
--- a/packages/core/tests/loads/load_permit_ledger_test.ts
+++ b/packages/core/tests/loads/load_permit_ledger_test.ts
@@ -37,7 +37,7 @@
   ledger.offer(instant(at), engineId("engine-1"), wishes);
 }
 
-test("the most urgent wish is granted first, within the concurrency limit", (t) => {
+test("the most urgent wish is granted first, within the limit", (t) => {
   const ledger = new LoadPermitLedger(LIMITS);
   offer(ledger, 0, [wish("calm", 1), wish("urgent", 9), wish("middle", 5)]);
   t.is(ledger.grant(instant(0))?.adapter.adapter, adapterId("urgent"));
@@ -78,7 +78,7 @@
   t.is(ledger.grant(instant(PERMIT_LIFETIME)), undefined);
 });
 
-test("a new holder waits, and counts loads permitted by the previous holder", (t) => {
+test("a new holder waits, and counts loads of the previous holder", (t) => {
   const ledger = new LoadPermitLedger(LIMITS, instant(seconds(1)));
   ledger.renew(instant(0), wish("running", 1));
   ledger.renew(instant(0), wish("running too", 1));
--- a/packages/core/tests/ownership/rules_test.ts
+++ b/packages/core/tests/ownership/rules_test.ts
@@ -13,11 +13,11 @@
   t.deepEqual(rules.requiredPromisers([b, c], [[c, d]]), [b, c, d]);
 });
 
-test("no promisers are required when a pending record names no successor", (t) => {
+test("no promise is required when a pending record has no successor", (t) => {
   t.deepEqual(rules.requiredPromisers([b, c], [[]]), []);
 });
 
-test("the lease ends before a successor's wait for clock rates within the margin", (t) => {
+test("a lease ends before a successor's wait within the clock margin", (t) => {
   const timing = DEFAULT_OWNERSHIP_TIMING;
   const slowest = 1 - timing.clockRateMargin;
   const fastest = 1 + timing.clockRateMargin;
--- a/packages/core/tests/placement/adapter_router_test.ts
+++ b/packages/core/tests/placement/adapter_router_test.ts
@@ -126,7 +126,7 @@
   t.like(choice, { kind: "engine", engine: "b", reason: "resident" });
 });
 
-test("a request avoids a full holder only if another engine is clearly faster", (t) => {
+test("a request avoids a full holder only if another is clearly faster", (t) => {
   const full = {
     running: 4,
     ready: [{ target: milliseconds(1_000), count: 8 }],
@@ -142,7 +142,7 @@
   t.like(urgent, { kind: "engine", engine: "b", reason: "overflow" });
 });
 
-test("a request that would be far too late is refused with a retry delay", (t) => {
+test("a request that would be too late is refused with a retry delay", (t) => {
   const jammed = {
     running: 4,
     canMakeRoom: false,
--- a/packages/core/tests/residency/engine_residency_test.ts
+++ b/packages/core/tests/residency/engine_residency_test.ts
@@ -69,7 +69,7 @@
   });
 });
 
-test("a load found in progress ends when the engine reports the adapter resident", (t) => {
+test("a load found in progress ends when reported resident", (t) => {
   const residency = new EngineResidency(2);
   residency.takeIn(NOW, { resident: [], loading: [NOTES] });
   const inUse = new Set<typeof KEY>();
--- a/packages/core/tests/service_routing/service_router_test.ts
+++ b/packages/core/tests/service_routing/service_router_test.ts
@@ -142,7 +142,7 @@
   t.like(order, { kind: "fail", failure: { outcome: "not_run" } });
 });
 
-test("a call that cannot be answered in time is refused with a retry delay", (t) => {
+test("a call that would miss its target is refused with a retry delay", (t) => {
   const router = routerOf(1);
   for (let call = 0; call < 30; call += 1) {
     submit(router, call * 100, { id: `${call}`, repeatable: false });
