--- a/packages/core/src/delivery/abandoned_claims.ts
+++ b/packages/core/src/delivery/abandoned_claims.ts
@@ -1,6 +1,6 @@
 import { type Duration, type Instant, later } from "../shared/mod.ts";
 
-/** How many claims are remembered, and how long. */
+/** Limits on the number and age of remembered claims. */
 export interface AbandonedClaimsLimits {
   readonly maximumKeys: number;
   readonly retention: Duration;
@@ -8,23 +8,23 @@
 
 /**
  * Claims of this incarnation that are proven not to have run. The append of
- * one may still take effect: it then wins its key, and only because it is
- * remembered here may a later request run on it. A claim forgotten too early
- * costs its key, never a second run.
+ * such a claim may still take effect and win the key. A later request may then
+ * run under it, but only while the claim is remembered here. Forgetting a claim
+ * too early makes the key unusable, but never causes a second run.
  */
 export class AbandonedClaims {
   readonly #limits: AbandonedClaimsLimits;
   readonly #until = new Map<string, Instant>();
 
-  /** @param limits What is remembered. */
+  /** @param limits The limits on remembered claims. */
   constructor(limits: AbandonedClaimsLimits) {
     this.#limits = limits;
   }
 
   /**
-   * Remembers a claim.
+   * Adds a claim, and removes claims that are expired or in excess.
    * @param now The present time.
-   * @param nonce The claim.
+   * @param nonce The nonce of the claim.
    */
   add(now: Instant, nonce: string): void {
     this.#until.set(nonce, later(now, this.#limits.retention));
@@ -36,9 +36,10 @@
   }
 
   /**
-   * Takes a claim to run on it.
-   * @param nonce The claim.
-   * @returns Whether it was there; only then may it run, and only once.
+   * Removes a claim so that a request can run under it.
+   * @param nonce The nonce of the claim.
+   * @returns Whether the claim was present; only then may the request run, and
+   * only once.
    */
   take(nonce: string): boolean {
     return this.#until.delete(nonce);
--- a/packages/core/src/delivery/attempt_state.ts
+++ b/packages/core/src/delivery/attempt_state.ts
@@ -1,6 +1,6 @@
 import { assertInvariant } from "../shared/mod.ts";
 
-/** Where one attempt at a request stands. */
+/** The state of one attempt at a request. */
 export type AttemptState =
   | "accepted"
   | "claimed"
@@ -20,30 +20,30 @@
   unknown: [],
 };
 
-/** One attempt at a request; its state only ever moves forward. */
+/** Tracks the state of one attempt, which only moves forward. */
 export class AttemptProgress {
   #state: AttemptState = "accepted";
 
-  /** Where the attempt stands. */
+  /** The current state of the attempt. */
   get state(): AttemptState {
     return this.#state;
   }
 
-  /** Whether the attempt may have reached someone who can run it. */
+  /** Whether the attempt may have reached a node or engine that runs it. */
   get isOpen(): boolean {
     return this.#state === "handed_over" || this.#state === "dispatched";
   }
 
   /**
-   * Moves the attempt on.
-   * @param next The state that it reaches.
+   * Advances the attempt to another state.
+   * @param next The new state.
    */
   moveTo(next: AttemptState): void {
     if (next === this.#state) return;
     assertInvariant(
       NEXT_STATES[this.#state].includes(next),
       "attempt_moves_forward",
-      () => `From ${this.#state} an attempt cannot become ${next}.`,
+      () => `An attempt cannot go from ${this.#state} to ${next}.`,
     );
     this.#state = next;
   }
--- a/packages/core/src/delivery/claim_gathering.ts
+++ b/packages/core/src/delivery/claim_gathering.ts
@@ -10,29 +10,29 @@
 import type { ClaimRecord, KeyClaim } from "./claim_record.ts";
 import type { DeliveryRules } from "./delivery_rules.ts";
 
-/** How a claim was settled: by the key's winner, or not at all. */
+/** How a claim was settled: with the winning claim, or with a refusal. */
 export type ClaimVerdict =
   | { readonly kind: "winner"; readonly claim: KeyClaim }
   | { readonly kind: "refused"; readonly failure: Failure };
 
-/** A claim that was settled. */
+/** A settled claim. */
 export interface SettledClaim {
   readonly nonce: string;
   readonly verdict: ClaimVerdict;
 }
 
-/** How claims are gathered. */
+/** Options for batching claims. */
 export interface ClaimGatheringOptions {
-  /** The least time between two appends. */
+  /** The minimum time between two appends. */
   readonly batchInterval: Duration;
-  /** How long a claim may wait to be settled before it is refused. */
+  /** How long a claim may stay unsettled before it is refused. */
   readonly settleTimeout: Duration;
   readonly maximumBatch: number;
   readonly maximumKeys: number;
-  /** How long claims are kept; must be shorter than the log keeps records. */
+  /** How long claims are kept; must be shorter than the log's retention. */
   readonly window: Duration;
   readonly rules: DeliveryRules;
-  /** Makes the id of the next record. */
+  /** Generates the id of the next record. */
   readonly recordId: () => string;
 }
 
@@ -44,8 +44,8 @@
 }
 
 /**
- * Gathers the claims of a failure domain's nodes into few appends, and settles
- * each once it was read back with all that precedes it.
+ * Batches the claims of a failure domain's nodes into few appends, and settles
+ * each claim once it and all records before it were read back.
  */
 export class ClaimGathering {
   readonly index: ClaimIndex;
@@ -55,19 +55,19 @@
   #nextBatchAt: Instant | undefined;
   #appending = false;
 
-  /** @param options How claims are gathered. */
+  /** @param options The options. */
   constructor(options: ClaimGatheringOptions) {
     this.#options = options;
     this.index = new ClaimIndex(options.window);
   }
 
-  /** How many claims are not settled yet. */
+  /** The number of unsettled claims. */
   get pending(): number {
     return this.#pending.size;
   }
 
   /**
-   * Takes a claim.
+   * Adds a claim to the next batch, or refuses it if there are too many.
    * @param now The present time.
    * @param claim The claim.
    */
@@ -75,7 +75,7 @@
     if (this.index.size + this.#pending.size >= this.#options.maximumKeys) {
       this.#refuse(claim, {
         reason: "overloaded",
-        message: "Too many keys are claimed at present.",
+        message: "Too many keys are claimed at the moment.",
         outcome: "not_run",
       });
       return;
@@ -89,9 +89,9 @@
   }
 
   /**
-   * Takes the next record to append, where it is time for one.
+   * Takes the next record to append, if one is due.
    * @param now The present time.
-   * @returns The record; {@link appendEnded} must follow.
+   * @returns The record; {@link appendEnded} must be called for it.
    */
   takeBatch(now: Instant): ClaimRecord | undefined {
     if (this.#appending || now < (this.#nextBatchAt ?? now)) return undefined;
@@ -107,9 +107,10 @@
   }
 
   /**
-   * Learns how an append ended. Only reading it back proves that it stands.
+   * Handles the end of an append. Only reading the record back proves that the
+   * append took effect.
    * @param id The record's id.
-   * @param failure Why it failed, if it did.
+   * @param failure Why the append failed, if it did.
    */
   appendEnded(id: string, failure: Failure | undefined): void {
     this.#appending = false;
@@ -122,9 +123,9 @@
   }
 
   /**
-   * Takes the claims that a record settled, or whose time is over.
+   * Takes the claims that were settled or have timed out.
    * @param now The present time.
-   * @returns The claims, each once.
+   * @returns The claims, each returned once.
    */
   takeSettled(now: Instant): readonly SettledClaim[] {
     for (const pending of this.#pending.values()) this.#judge(now, pending);
@@ -137,8 +138,8 @@
   /**
    * Applies a record that was read from the log.
    * @param now The present time.
-   * @param offset Its offset.
-   * @param record The record, absent where it cannot be read.
+   * @param offset The record's offset.
+   * @param record The record, or nothing if it cannot be parsed.
    */
   apply(
     now: Instant,
@@ -192,19 +193,19 @@
 
 const TIMED_OUT: FailureCause = {
   reason: "unavailable",
-  message: "The log did not settle the key's claim in time.",
+  message: "The claim was not read back from the log in time.",
   outcome: "not_run",
 };
 
 const TOO_OLD: FailureCause = {
   reason: "expired",
-  message: "The key is older than the claims that are kept; it is not run.",
+  message: "The key is older than the retained claims; it is not run.",
   outcome: "unknown",
 };
 
 const AHEAD: FailureCause = {
   reason: "invalid",
-  message: "The key's epoch lies ahead of the log.",
+  message: "The key's epoch is ahead of the log.",
   outcome: "not_run",
 };
 
--- a/packages/core/src/delivery/claim_index.ts
+++ b/packages/core/src/delivery/claim_index.ts
@@ -14,35 +14,38 @@
   readonly readAt: Instant;
 }
 
-/** Whether a key is new enough for its claims to be known. */
+/** Whether the index knows all claims from a key's epoch onwards. */
 export type EpochVerdict = "covered" | "too_old" | "ahead";
 
-/** The claims of the window, each key's lowest only. */
+/**
+ * The claims read within the retention window. Only the claim with the lowest
+ * offset is kept for each key.
+ */
 export class ClaimIndex {
   readonly #window: Duration;
-  /** In the order of their offsets. */
+  /** In ascending order of offsets. */
   readonly #entries = new Map<IdempotencyKey, Entry>();
   readonly #records = new Map<string, Instant>();
   #from: LogOffset | undefined;
   #next = logOffset(0);
 
-  /** @param window How long claims are kept after they were read. */
+  /** @param window How long claims are kept after they are read. */
   constructor(window: Duration) {
     this.#window = window;
   }
 
-  /** How many keys are known. */
+  /** The number of keys in the index. */
   get size(): number {
     return this.#entries.size;
   }
 
-  /** The offset to read next. */
+  /** The next offset to read. */
   get next(): LogOffset {
     return this.#next;
   }
 
   /**
-   * Takes note of where a read of the stream began.
+   * Records the start of a read, and skips offsets that the log has dropped.
    * @param firstKept The oldest offset that the log still keeps.
    */
   readFrom(firstKept: LogOffset): void {
@@ -52,10 +55,10 @@
   }
 
   /**
-   * Applies a record, or passes one over that cannot be read.
+   * Applies a record, or skips one that cannot be parsed.
    * @param now The present time.
-   * @param offset Its offset; one that was applied before changes nothing.
-   * @param record The record, absent where it cannot be read.
+   * @param offset The record's offset; an offset applied before is ignored.
+   * @param record The record, or nothing if it cannot be parsed.
    */
   apply(
     now: Instant,
@@ -73,7 +76,7 @@
   }
 
   /**
-   * Tells whether a record was read, and so all records before it.
+   * Tells whether a record was read, and therefore all records before it.
    * @param id The record's id.
    */
   hasRead(id: string): boolean {
@@ -81,18 +84,18 @@
   }
 
   /**
-   * Finds the claim that won a key: the one of the lowest offset.
+   * Finds the winning claim of a key, which is the one with the lowest offset.
    * @param key The key.
-   * @returns The claim, or nothing.
+   * @returns The claim, if the key was claimed.
    */
   winner(key: IdempotencyKey): KeyClaim | undefined {
     return this.#entries.get(key)?.claim;
   }
 
   /**
-   * Tells whether all claims of a key are within what is known.
-   * @param epoch The offset below which no claim of the key lies.
-   * @returns The verdict; only a covered key may be claimed.
+   * Tells whether the index covers all claims of a key.
+   * @param epoch The offset below which the key has no claims.
+   * @returns The coverage; only a covered key may be claimed.
    */
   judgeEpoch(epoch: LogOffset): EpochVerdict {
     if (epoch > this.#next) return "ahead";
@@ -101,7 +104,7 @@
   }
 
   /**
-   * Forgets claims whose window is over.
+   * Removes claims that are older than the window.
    * @param now The present time.
    */
   prune(now: Instant): void {
--- a/packages/core/src/delivery/claim_record.ts
+++ b/packages/core/src/delivery/claim_record.ts
@@ -11,25 +11,28 @@
   nodeId,
 } from "../shared/mod.ts";
 
-/** The log stream that holds the claims of free keys. */
+/** The log stream that stores claims of free keys. */
 export const CLAIM_STREAM = "execution-claims";
 
 /** A node incarnation's claim to run a free key. */
 export interface KeyClaim {
   readonly key: IdempotencyKey;
-  /** Names this claim; no two claims share it. */
+  /** Uniquely identifies this claim. */
   readonly nonce: string;
-  /** Names the request's body. */
+  /** The digest of the request's body. */
   readonly digest: string;
   readonly node: NodeId;
   readonly incarnation: IncarnationId;
-  /** The offset below which no claim of the key lies, where it is stated. */
+  /** No claim of the key has an offset below this one, where given. */
   readonly epoch?: LogOffset;
 }
 
-/** The claims that one append carries. */
+/** The claims written to the log by one append. */
 export interface ClaimRecord {
-  /** Names the record, so that a lost answer is settled by reading back. */
+  /**
+   * Identifies the record when it is read back from the log, which tells
+   * whether an append with a lost answer took effect.
+   */
   readonly id: string;
   readonly claims: readonly KeyClaim[];
 }
@@ -50,24 +53,24 @@
 });
 
 /**
- * Gives a record as the text that the log keeps.
+ * Serialises a record for the log.
  * @param record The record.
- * @returns The text.
+ * @returns The record as JSON.
  */
 export function formatClaimRecord(record: ClaimRecord): string {
   return JSON.stringify({ kind: "claims", ...record });
 }
 
 /**
- * Reads a record from the log.
- * @param data The text.
- * @returns The record, or what is wrong with it.
+ * Parses a record from the log.
+ * @param data The JSON text.
+ * @returns The record, or why the text is invalid.
  */
 export function parseClaimRecord(data: string): Result<ClaimRecord, string> {
   try {
     const parsed = recordSchema.safeParse(JSON.parse(data));
     return parsed.success ? ok(parsed.data) : err(parsed.error.message);
   } catch {
-    return err("The record is not JSON.");
+    return err("The record is not valid JSON.");
   }
 }
--- a/packages/core/src/delivery/crash_record.ts
+++ b/packages/core/src/delivery/crash_record.ts
@@ -10,14 +10,14 @@
   milliseconds,
 } from "../shared/mod.ts";
 
-/** The log stream that holds what nodes know of contents that end engines. */
+/** The log stream with records of request contents that crash engines. */
 export const CRASH_STREAM = "crashing-contents";
 
-/** Something that a node has seen of a content. */
+/** What a node has observed about a request content. */
 export type CrashRecord =
-  /** A run of an engine may have ended under it. */
+  /** An engine may have crashed while it ran the content. */
   | { readonly kind: "suspected"; readonly suspicion: CrashSuspicion }
-  /** It was served to its end. */
+  /** The content was served to completion. */
   | { readonly kind: "served"; readonly content: ContentDigest };
 
 const contentSchema = z.string().min(1).transform(contentDigest);
@@ -35,35 +35,35 @@
 ]);
 
 /**
- * Names a run of an engine, which counts as a server of its own: engines tell
- * their starts apart by ids without an order.
+ * Makes the id of one run of an engine. Each run counts as a server of its own,
+ * since engines identify their starts by ids that have no order.
  * @param engine The engine.
- * @param bootId The id of its start.
- * @returns The run.
+ * @param bootId The id of the engine's start.
+ * @returns The id of the run.
  */
 export function engineRun(engine: EngineId, bootId: string): BackendServerId {
   return backendServerId(`${engine}/${bootId}`);
 }
 
 /**
- * Gives a record as the text that the log keeps.
+ * Serialises a record for the log.
  * @param record The record.
- * @returns The text.
+ * @returns The record as JSON.
  */
 export function formatCrashRecord(record: CrashRecord): string {
   return JSON.stringify(record);
 }
 
 /**
- * Reads a record from the log.
- * @param data The text.
- * @returns The record, or what is wrong with it.
+ * Parses a record from the log.
+ * @param data The JSON text.
+ * @returns The record, or why the text is invalid.
  */
 export function parseCrashRecord(data: string): Result<CrashRecord, string> {
   try {
     const parsed = recordSchema.safeParse(JSON.parse(data));
     return parsed.success ? ok(parsed.data) : err(parsed.error.message);
   } catch {
-    return err("The record is not JSON.");
+    return err("The record is not valid JSON.");
   }
 }
--- a/packages/core/src/delivery/delivery_event.ts
+++ b/packages/core/src/delivery/delivery_event.ts
@@ -1,16 +1,16 @@
 import type { AttemptNumber, Failure } from "../shared/mod.ts";
 import type { ArrivingFrame } from "./frame_gate.ts";
 
-/** How a generation ended at its engine. */
+/** The result of a generation that its engine completed. */
 export interface GenerationTotals {
   readonly finishReason: "stop" | "length" | "cancelled";
   readonly promptTokens: number;
-  /** All tokens of the answer, those before a resume included. */
+  /** All tokens of the answer, including those before a resume. */
   readonly completionTokens: number;
   readonly cachedPromptTokens: number;
 }
 
-/** What happens to a request on its way. */
+/** An event in the delivery of a request. */
 export type DeliveryEvent =
   | { readonly kind: "frame"; readonly frame: ArrivingFrame }
   | {
@@ -26,7 +26,7 @@
   | { readonly kind: "caller_left" }
   | { readonly kind: "tick" };
 
-/** What is to be done for a request. */
+/** An action that a delivery asks its caller to carry out. */
 export type DeliveryAction =
   | {
     readonly kind: "attempt";
@@ -34,7 +34,7 @@
     readonly fromSequence: number;
   }
   | {
-    /** Reads an attempt no further; where asked, the engine stops it too. */
+    /** Stops reading an attempt, and on request stops it at the engine. */
     readonly kind: "cancel";
     readonly attempt: AttemptNumber;
     readonly atEngine: boolean;
--- a/packages/core/src/delivery/delivery_failures.ts
+++ b/packages/core/src/delivery/delivery_failures.ts
@@ -3,7 +3,7 @@
 const FIRST_WAIT_MILLISECONDS = 20;
 const LONGEST_WAIT_MILLISECONDS = 1_000;
 
-/** The failure of a request whose caller left while it may have run. */
+/** The failure of a request that may have run when its caller left. */
 export const CANCELLED: Failure = {
   reason: "cancelled",
   step: "cancel",
@@ -13,7 +13,7 @@
 };
 
 /**
- * Makes the failure of a stream that lacks tokens.
+ * Creates the failure of a stream with missing tokens.
  * @param message What is missing.
  * @returns The failure.
  */
@@ -28,10 +28,10 @@
 }
 
 /**
- * Gives a failure with what is known of all attempts together.
+ * Replaces the outcome of a failure by the combined outcome of all attempts.
  * @param failure The last failure.
- * @param outcome What is known.
- * @returns The failure to answer with.
+ * @param outcome The combined outcome.
+ * @returns The failure to send to the caller.
  */
 export function withOutcome(
   failure: Failure,
@@ -41,10 +41,11 @@
 }
 
 /**
- * Tells how long to wait before another attempt: twice as long each time.
- * @param failures How many attempts failed.
- * @param failure The last failure, which may state a wait.
- * @returns The wait.
+ * Computes the exponential backoff before the next attempt, which doubles with
+ * each failure.
+ * @param failures The number of failed attempts.
+ * @param failure The last failure, which may request a minimum delay.
+ * @returns The delay, at most one second.
  */
 export function backOff(failures: number, failure: Failure): Duration {
   const doubled = FIRST_WAIT_MILLISECONDS * 2 ** (failures - 1);
--- a/packages/core/src/delivery/delivery_rules.ts
+++ b/packages/core/src/delivery/delivery_rules.ts
@@ -1,40 +1,40 @@
 import type { Failure, Instant, RunOutcome } from "../shared/mod.ts";
 import type { EpochVerdict } from "./claim_index.ts";
 
-/** What is known when an attempt failed. */
+/** What is known about a failed attempt. */
 export interface FailedAttempt {
   readonly failure: Failure;
   /** Whether the request may run more than once. */
   readonly repeatable: boolean;
-  /** Tokens received, over all attempts that were resumed. */
+  /** Tokens received so far, including those before a resume. */
   readonly received: number;
-  /** Tokens already passed on to the caller. */
+  /** Tokens already sent to the caller. */
   readonly passed: number;
-  /** Whether the attempt went on with a generation that the engine held. */
+  /** Whether the attempt resumed a generation that the engine held. */
   readonly wasResume: boolean;
 }
 
-/** How to go on after an attempt failed. */
+/** How a request continues after a failed attempt. */
 export type NextStep = "resume" | "restart" | "give_up";
 
-/** Where a claim stands after its append was answered, or not. */
+/** What is known about a claim, whether or not its append was answered. */
 export interface ClaimEvidence {
-  /** Whether the append was answered with an offset. */
+  /** Whether the log answered the append with an offset. */
   readonly appended: boolean;
-  /** Whether the record was read back, and with it all records before. */
+  /** Whether the record and all records before it were read back. */
   readonly readBack: boolean;
-  /** Whether the lowest claim read is the node's own. */
+  /** Whether the claim with the lowest offset is the node's own. */
   readonly isLowest: boolean;
 }
 
 /**
- * The rules on which "at most once" rests. Randomised runs replace single
- * rules to show that the invariants catch the difference.
+ * The rules that guarantee at-most-once execution. Randomised tests replace
+ * single rules to show that the invariants detect the change.
  */
 export class DeliveryRules {
   /**
-   * Decides how a request goes on after an attempt failed.
-   * @param attempt What is known.
+   * Decides how a request continues after a failed attempt.
+   * @param attempt What is known about the attempt.
    * @returns The next step; the retry budget may still forbid it.
    */
   nextStep(attempt: FailedAttempt): NextStep {
@@ -49,9 +49,9 @@
   }
 
   /**
-   * Decides what the caller is told of a failed request.
-   * @param failures All attempts' failures, in order.
-   * @returns Whether it ran, as far as is known.
+   * Combines the outcomes of all failed attempts into one for the caller.
+   * @param failures The failures of all attempts, in order.
+   * @returns Whether the request ran, as far as is known.
    */
   outcomeOf(failures: readonly Failure[]): Failure["outcome"] {
     const outcomes = new Set(failures.map((failure) => failure.outcome));
@@ -61,17 +61,17 @@
   }
 
   /**
-   * Decides whether a frame belongs to the present attempt.
-   * @param frame The attempt that the frame names.
-   * @param present The present attempt.
+   * Decides whether a frame belongs to the current attempt.
+   * @param frame The attempt number in the frame.
+   * @param present The current attempt.
    */
   acceptsAttempt(frame: number, present: number): boolean {
     return frame === present;
   }
 
   /**
-   * Decides whether a key of a scope may be run by this incarnation.
-   * @param scope The incarnation that the scope names.
+   * Decides whether this incarnation may run a key with a given scope.
+   * @param scope The incarnation in the scope.
    * @param self This incarnation.
    */
   mayRunScope(scope: string, self: string): boolean {
@@ -79,50 +79,53 @@
   }
 
   /**
-   * Decides whether a claim gives the right to run its key.
-   * @param evidence What is known of the claim.
+   * Decides whether a claim permits running its key.
+   * @param evidence What is known about the claim.
    */
   mayRunClaimed(evidence: ClaimEvidence): boolean {
     return evidence.readBack && evidence.isLowest;
   }
 
-  /** Decides whether free keys need a claim at all. */
+  /** Decides whether free keys have to be claimed before they run. */
   needsClaim(): boolean {
     return true;
   }
 
   /**
    * Decides whether a key may run again after its run ended.
-   * @param outcome What is known of the run.
+   * @param outcome Whether the run took place, as far as is known.
    */
   freesKey(outcome: RunOutcome): boolean {
     return outcome === "not_run";
   }
 
   /**
-   * Decides whether a key may be claimed, given what is known of its epoch.
-   * @param verdict Whether all its claims are known.
+   * Decides whether a key may be claimed, given its epoch.
+   * @param verdict Whether all claims of the key are known.
    */
   acceptsEpoch(verdict: EpochVerdict): boolean {
     return verdict === "covered";
   }
 
   /**
-   * Decides whether a key of a scope may still be run.
+   * Decides whether a key's scope is still valid.
    * @param now The present time.
-   * @param expiresAt When the scope ends.
+   * @param expiresAt When the scope expires.
    */
   acceptsExpiry(now: Instant, expiresAt: Instant): boolean {
     return now < expiresAt;
   }
 
-  /** Decides whether a stream may end though tokens are missing. */
+  /** Decides whether a stream with missing tokens may complete. */
   mayEndIncomplete(): boolean {
     return false;
   }
 }
 
-/** A resume never starts a generation anew: the engine has none, or refuses. */
+/**
+ * Tells whether a resume cannot succeed: the engine does not have the
+ * generation or refuses. A resume never starts a new generation.
+ */
 function isNothingToResume(failure: Failure): boolean {
   return failure.reason === "not_found" || failure.reason === "refused" ||
     failure.reason === "invalid";
--- a/packages/core/src/delivery/execution_key.ts
+++ b/packages/core/src/delivery/execution_key.ts
@@ -13,11 +13,11 @@
   nodeId,
 } from "../shared/mod.ts";
 
-/** The node incarnation that alone may run a key, and until when. */
+/** The only node incarnation that may run a key, and until when. */
 export interface KeyScope {
   readonly node: NodeId;
   readonly incarnation: IncarnationId;
-  /** By the steady clock of that incarnation; opaque to all others. */
+  /** On that incarnation's steady clock; has no meaning elsewhere. */
   readonly expiresAt: Instant;
 }
 
@@ -32,7 +32,10 @@
 export interface FreeKey {
   readonly kind: "free";
   readonly key: IdempotencyKey;
-  /** No claim of this key lies below this offset; absent on plain keys. */
+  /**
+   * No claim of the key has an offset below this one. Absent on keys without
+   * a prefix.
+   */
   readonly epoch?: LogOffset;
 }
 
@@ -47,9 +50,9 @@
 const MAXIMUM_KEY_LENGTH = 512;
 
 /**
- * Gives a scope as the text that callers put before their own key.
+ * Formats a scope as the prefix that callers put before their own key.
  * @param scope The scope.
- * @returns The prefix, its last separator included.
+ * @returns The prefix, including the trailing separator.
  */
 export function scopePrefix(scope: KeyScope): string {
   const parts = [
@@ -63,19 +66,19 @@
 }
 
 /**
- * Gives the prefix of free keys whose first use follows a claim offset.
+ * Formats the prefix of free keys that are first used after a claim offset.
  * @param epoch The tail of the claims stream, or an offset below it.
- * @returns The prefix, its last separator included.
+ * @returns The prefix, including the trailing separator.
  */
 export function epochPrefix(epoch: LogOffset): string {
   return [FREE_PREFIX, String(epoch), ""].join(SEPARATOR);
 }
 
 /**
- * Reads a key as a caller sent it. The whole text is the key's identity, so
- * that one own key under two scopes counts as two keys.
- * @param text The text of the header.
- * @returns The key, or why it cannot be used.
+ * Parses an idempotency key. The whole text identifies the key, so that the
+ * same caller key under two scopes counts as two keys.
+ * @param text The value of the header.
+ * @returns The key, or the failure of an invalid key.
  */
 export function parseExecutionKey(text: string): Result<ExecutionKey, Failure> {
   if (text.length === 0 || text.length > MAXIMUM_KEY_LENGTH) {
--- a/packages/core/src/delivery/frame_gate.ts
+++ b/packages/core/src/delivery/frame_gate.ts
@@ -7,7 +7,7 @@
 } from "../shared/mod.ts";
 import type { DeliveryRules } from "./delivery_rules.ts";
 
-/** A frame as it arrives, before anything is known of it. */
+/** A received frame that has not been checked yet. */
 export interface ArrivingFrame {
   readonly request: RequestId;
   readonly attempt: AttemptNumber;
@@ -16,28 +16,28 @@
   readonly adapter: AdapterReference;
 }
 
-/** What to do with a frame. */
+/** How a received frame is to be handled. */
 export type FrameVerdict =
   | { readonly kind: "pass"; readonly tokens: readonly string[] }
   | { readonly kind: "drop"; readonly reason: DropReason }
-  /** A frame before it is missing: the stream must be read again. */
+  /** An earlier frame is missing: the stream has to be read again. */
   | { readonly kind: "gap" }
   | { readonly kind: "mismatch" };
 
-/** Why a frame is dropped. */
+/** The reason for dropping a frame. */
 export type DropReason = "late" | "foreign" | "repeated" | "misordered";
 
-/** How many frames were dropped, by reason. */
+/** The number of dropped frames by reason. */
 export type DroppedFrames = Readonly<Record<DropReason, number>>;
 
-/** What a gate lets through. */
+/** The request and adapter whose frames a filter accepts. */
 export interface FrameGateOptions {
   readonly request: RequestId;
   readonly adapter: AdapterReference;
   readonly rules: DeliveryRules;
 }
 
-/** Lets through each token of one request's present attempt once, in order. */
+/** Accepts each token of a request's current attempt once, in order. */
 export class FrameGate {
   readonly #options: FrameGateOptions;
   readonly #dropped = { late: 0, foreign: 0, repeated: 0, misordered: 0 };
@@ -45,25 +45,25 @@
   #next = 0;
   #gap = false;
 
-  /** @param options What the gate lets through. */
+  /** @param options The request and adapter to accept frames for. */
   constructor(options: FrameGateOptions) {
     this.#options = options;
   }
 
-  /** The sequence of the next token wanted. */
+  /** The sequence number of the next expected token. */
   get next(): number {
     return this.#next;
   }
 
-  /** The frames dropped so far. */
+  /** The number of frames dropped so far, by reason. */
   get dropped(): DroppedFrames {
     return this.#dropped;
   }
 
   /**
-   * Opens the gate to another attempt only.
+   * Accepts frames of a new attempt only.
    * @param attempt The attempt.
-   * @param from The first sequence that it gives.
+   * @param from The sequence number of the attempt's first token.
    */
   open(attempt: AttemptNumber, from: number): void {
     this.#attempt = attempt;
@@ -71,15 +71,15 @@
     this.#gap = false;
   }
 
-  /** Closes the gate: whatever arrives now is late. */
+  /** Ends the current attempt; frames that arrive afterwards are late. */
   close(): void {
     this.#attempt = undefined;
   }
 
   /**
-   * Judges a frame.
+   * Decides how to handle a frame, and counts it if it is dropped.
    * @param frame The frame.
-   * @returns What to do with it.
+   * @returns The decision.
    */
   judge(frame: ArrivingFrame): FrameVerdict {
     const { request, adapter, rules } = this.#options;
@@ -99,7 +99,8 @@
     assertInvariant(
       frame.attempt === this.#attempt,
       "own_answer_only",
-      () => `A frame of attempt ${frame.attempt} is not of the present one.`,
+      () =>
+        `A frame of attempt ${frame.attempt} is not of the current attempt.`,
     );
     const tokens = frame.tokens.slice(this.#next - frame.sequence);
     this.#next += tokens.length;
--- a/packages/core/src/delivery/key_action.ts
+++ b/packages/core/src/delivery/key_action.ts
@@ -3,27 +3,27 @@
 import type { ExecutionKey } from "./execution_key.ts";
 import type { RunResult } from "./key_ledger.ts";
 
-/** One request with a key, as a node takes it. */
+/** A request with a key, as received by a node. */
 export interface KeyedCall {
-  /** Names the request on this node; its answer carries it. */
+  /** Identifies the request on this node and in its answer. */
   readonly ticket: number;
   readonly key: ExecutionKey;
-  /** Names the request's body: one key stands for one body. */
+  /** The digest of the request's body; a key allows only one body. */
   readonly digest: string;
-  /** Present where a peer forwarded the request. */
+  /** Present if a peer forwarded the request. */
   readonly forPeer?: {
-    /** The only incarnation that the peer wants an answer of. */
+    /** The incarnation that must answer the request. */
     readonly incarnation: IncarnationId;
-    /** The claim that won a free key; empty on bound keys. */
+    /** The nonce of the free key's winning claim; empty on bound keys. */
     readonly nonce: string;
   };
 }
 
-/** What is to be done for requests with keys. */
+/** An action that a key coordinator asks its caller to carry out. */
 export type KeyAction =
   | { readonly kind: "claim"; readonly claim: KeyClaim }
   | {
-    /** Runs the request of the ticket, once. */
+    /** Runs the request with this ticket once. */
     readonly kind: "run";
     readonly ticket: number;
     readonly key: IdempotencyKey;
--- a/packages/core/src/delivery/key_coordinator.ts
+++ b/packages/core/src/delivery/key_coordinator.ts
@@ -23,25 +23,25 @@
 import { checkScope } from "./key_scope_check.ts";
 import type { KeyTiming } from "./key_timing.ts";
 
-/** What a coordinator decides with. */
+/** Options of a key coordinator. */
 export interface KeyCoordinatorOptions {
   readonly self: NodeId;
   readonly incarnation: IncarnationId;
   readonly rules: DeliveryRules;
   readonly limits: Omit<KeyLedgerLimits, "peer">;
   readonly timing: KeyTiming;
-  /** Makes a text that names one claim and no other. */
+  /** Generates a unique nonce for a claim. */
   readonly nextNonce: () => string;
 }
 
 interface InFlight {
   readonly call: KeyedCall;
   readonly tickets: number[];
-  /** The claim under which the key runs, or is to run. */
+  /** The nonce of the claim under which the key runs or will run. */
   nonce: string | undefined;
 }
 
-/** Decides for one node incarnation which requests with keys it runs. */
+/** Decides which requests with idempotency keys a node incarnation runs. */
 export class KeyCoordinator {
   readonly #options: KeyCoordinatorOptions;
   readonly #ledger: KeyLedger;
@@ -50,7 +50,7 @@
   readonly #claimed = new Map<string, IdempotencyKey>();
   readonly #forwarded = new Map<number, IdempotencyKey>();
 
-  /** @param options What the coordinator decides with. */
+  /** @param options The options. */
   constructor(options: KeyCoordinatorOptions) {
     const { limits, self, rules } = options;
     this.#options = options;
@@ -58,16 +58,16 @@
     this.#abandoned = new AbandonedClaims(limits);
   }
 
-  /** How many keys are remembered, those in progress included. */
+  /** The number of remembered keys, including those in progress. */
   get size(): number {
     return this.#ledger.size;
   }
 
   /**
-   * Takes a request of a caller or a peer.
+   * Handles a request from a caller or a peer.
    * @param now The present time.
    * @param call The request.
-   * @returns What to do.
+   * @returns The actions to carry out.
    */
   request(now: Instant, call: KeyedCall): readonly KeyAction[] {
     switch (call.key.kind) {
@@ -79,11 +79,11 @@
   }
 
   /**
-   * Learns how a claim was settled.
+   * Handles the settlement of a claim.
    * @param now The present time.
-   * @param nonce The claim.
-   * @param verdict The verdict.
-   * @returns What to do.
+   * @param nonce The nonce of the claim.
+   * @param verdict How the claim was settled.
+   * @returns The actions to carry out.
    */
   claimSettled(
     now: Instant,
@@ -104,11 +104,11 @@
   }
 
   /**
-   * Learns how a run ended that was asked for.
+   * Handles the end of a run that a `run` action started.
    * @param now The present time.
    * @param key The key.
-   * @param result The outcome.
-   * @returns What to do.
+   * @param result The result of the run.
+   * @returns The actions to carry out.
    */
   runEnded(
     now: Instant,
@@ -125,11 +125,11 @@
   }
 
   /**
-   * Learns how a request ended that was forwarded.
+   * Handles the end of a forwarded request.
    * @param now The present time.
-   * @param ticket The request.
-   * @param result The outcome.
-   * @returns What to do.
+   * @param ticket The ticket of the request.
+   * @param result The result.
+   * @returns The actions to carry out.
    */
   forwardEnded(
     now: Instant,
@@ -242,7 +242,7 @@
     assertInvariant(
       winner.key === call.key.key,
       "own_answer_only",
-      () => `The claim is of ${winner.key}, not of ${call.key.key}.`,
+      () => `The claim is for ${winner.key}, not for ${call.key.key}.`,
     );
     if (winner.digest !== call.digest) {
       return this.#end(now, flight, err(otherBody(self)));
@@ -260,7 +260,10 @@
     return this.#runWon(now, flight, winner);
   }
 
-  /** A claim of this incarnation won: the one just made, or one given up. */
+  /**
+   * Runs the key if the winning claim of this incarnation is the present one
+   * or an abandoned one.
+   */
   #runWon(
     now: Instant,
     flight: InFlight,
--- a/packages/core/src/delivery/key_failures.ts
+++ b/packages/core/src/delivery/key_failures.ts
@@ -1,7 +1,7 @@
 import type { Failure } from "../shared/mod.ts";
 
 /**
- * Makes the failure of a key whose run this node knows nothing of.
+ * Creates the failure of a key whose run is unknown to this node.
  * @param peer This node.
  * @returns The failure.
  */
@@ -10,14 +10,14 @@
     reason: "expired",
     step: "claim_key",
     peer,
-    message: "Whether the request ran is unknown; it will not run.",
+    message: "It is unknown whether the request ran; it will not be run now.",
     outcome: "unknown",
   };
 }
 
 /**
- * Makes the failure of a key whose scope cannot be used.
- * @param reason Whether it is over, or was never given out.
+ * Creates the failure of a key with an unusable scope.
+ * @param reason Whether the scope has expired or was never issued.
  * @param peer This node.
  * @returns The failure.
  */
@@ -29,13 +29,13 @@
     reason,
     step: "claim_key",
     peer,
-    message: "The key's scope is not valid now; the request will not run.",
+    message: "The key's scope is not valid; the request will not be run.",
     outcome: "unknown",
   };
 }
 
 /**
- * Makes the failure of a key that was used with another body.
+ * Creates the failure of a key that was used with a different body.
  * @param peer This node.
  * @returns The failure.
  */
@@ -44,7 +44,7 @@
     reason: "conflict",
     step: "claim_key",
     peer,
-    message: "The key was used before with another body.",
+    message: "The key was already used with a different body.",
     outcome: "not_run",
   };
 }
--- a/packages/core/src/delivery/key_ledger.ts
+++ b/packages/core/src/delivery/key_ledger.ts
@@ -10,32 +10,32 @@
 } from "../shared/mod.ts";
 import type { DeliveryRules } from "./delivery_rules.ts";
 
-/** What a run of a key came to. */
+/** The answer of a keyed request, or its failure. */
 export type RunResult = Result<Uint8Array, Failure>;
 
-/** What a request with a key is to do. */
+/** Whether a request is run, joins a running one or replays its result. */
 export type Admission =
   | { readonly kind: "run" }
   | { readonly kind: "join" }
   | { readonly kind: "replay"; readonly result: RunResult };
 
-/** The limits of a ledger. */
+/** The limits of a key ledger. */
 export interface KeyLedgerLimits {
   readonly maximumKeys: number;
-  /** Answers beyond this are forgotten, the oldest first; keys are not. */
+  /** The oldest answers above this limit are evicted; their keys are kept. */
   readonly maximumAnswerBytes: number;
-  /** How long an outcome is kept after the key was last due. */
+  /** How long a key is kept after admission and after its run ended. */
   readonly retention: Duration;
-  /** Named in failures. */
+  /** The peer named in failures. */
   readonly peer: string;
 }
 
-/** One request with a key. */
+/** A request with a key. */
 export interface KeyUse {
   readonly key: IdempotencyKey;
-  /** Names the request's body: one key stands for one body. */
+  /** The digest of the request's body; a key allows only one body. */
   readonly digest: string;
-  /** Until when the outcome must be kept, where the key states it. */
+  /** The minimum time to keep the result, if the key specifies one. */
   readonly keepUntil?: Instant;
 }
 
@@ -48,7 +48,7 @@
   result: RunResult | undefined;
 }
 
-/** Remembers which keys one node incarnation runs and has run. */
+/** Tracks the keys that a node incarnation runs or has run. */
 export class KeyLedger {
   readonly #limits: KeyLedgerLimits;
   readonly #rules: DeliveryRules;
@@ -59,34 +59,34 @@
 
   /**
    * @param limits The limits.
-   * @param rules Which outcomes free a key.
+   * @param rules The rules that decide which outcomes free a key.
    */
   constructor(limits: KeyLedgerLimits, rules: DeliveryRules) {
     this.#limits = limits;
     this.#rules = rules;
   }
 
-  /** How many keys are remembered. */
+  /** The number of remembered keys. */
   get size(): number {
     return this.#entries.size;
   }
 
-  /** How many bytes of answers are kept. */
+  /** The total size of the retained answers in bytes. */
   get answerBytes(): number {
     return this.#answerBytes;
   }
 
   /**
-   * Looks a key up without running it.
+   * Looks up a key without admitting it.
    * @param use The request.
-   * @returns What to do, nothing where the key is new, or why it is refused.
+   * @returns The admission, nothing if the key is new, or why it is refused.
    */
   find(use: KeyUse): Result<Admission | undefined, Failure> {
     const entry = this.#entries.get(use.key);
     if (entry === undefined) return ok(undefined);
     if (entry.digest !== use.digest) {
       return err(this.#failure("conflict", {
-        message: "The key was used before with another body.",
+        message: "The key was already used with a different body.",
         outcome: "not_run",
       }));
     }
@@ -95,10 +95,11 @@
   }
 
   /**
-   * Admits a request: the first of its key is to run, others wait or replay.
+   * Admits a request. The first request of a key runs; later ones wait for its
+   * result or replay it.
    * @param now The present time.
    * @param use The request.
-   * @returns What to do, or why the request is refused.
+   * @returns The admission, or why the request is refused.
    */
   admit(now: Instant, use: KeyUse): Result<Admission, Failure> {
     const found = this.find(use);
@@ -107,7 +108,7 @@
     this.#pruneNowAndThen(now);
     if (this.#entries.size >= this.#limits.maximumKeys) {
       return err(this.#failure("overloaded", {
-        message: "Too many keys are remembered here.",
+        message: "The maximum number of remembered keys is reached.",
         outcome: "not_run",
       }));
     }
@@ -121,25 +122,26 @@
   }
 
   /**
-   * Takes note that a key's run starts.
-   * @param key The key, admitted before.
+   * Records the start of a key's run.
+   * @param key The key, which must have been admitted.
    */
   started(key: IdempotencyKey): void {
     const entry = this.#entries.get(key);
     assertInvariant(
       entry !== undefined && entry.runs === 0,
       "at_most_once",
-      () => `Key ${key} has ${entry?.runs ?? "no"} runs already.`,
+      () =>
+        `Key ${key} cannot start with ${entry?.runs ?? "no"} recorded runs.`,
     );
     entry.runs += 1;
   }
 
   /**
-   * Records how a request with a key ended. A key that did not run here, or is
-   * proven not to have run, is free again.
+   * Records the end of a request. A key that did not run here, or is proven not
+   * to have run, can be used again.
    * @param now The present time.
    * @param key The key.
-   * @param result The outcome.
+   * @param result The result.
    */
   finished(now: Instant, key: IdempotencyKey, result: RunResult): void {
     const entry = this.#entries.get(key);
@@ -159,7 +161,7 @@
   }
 
   /**
-   * Forgets keys whose time is over; never one that runs.
+   * Removes expired keys, but never a key in progress.
    * @param now The present time.
    */
   prune(now: Instant): void {
@@ -189,7 +191,7 @@
       if (this.#answerBytes <= this.#limits.maximumAnswerBytes) return;
       this.#forgetAnswer(entry);
       entry.result = err(this.#failure("expired", {
-        message: "The request ran; its answer is not kept.",
+        message: "The request ran, but its answer is no longer kept.",
         outcome: "ran",
       }));
     }
--- a/packages/core/src/delivery/key_scope_check.ts
+++ b/packages/core/src/delivery/key_scope_check.ts
@@ -10,11 +10,11 @@
 import type { KeyTiming } from "./key_timing.ts";
 
 /**
- * Checks that a key's scope of this incarnation can be used now.
+ * Checks whether a key scope of this incarnation is valid.
  * @param now The present time.
  * @param scope The scope.
- * @param options This node, and the rules and times that it goes by.
- * @returns Why it cannot, or nothing.
+ * @param options This node, its delivery rules and its limits on scopes.
+ * @returns Why the scope is not valid, or nothing if it is.
  */
 export function checkScope(
   now: Instant,
--- a/packages/core/src/delivery/key_timing.ts
+++ b/packages/core/src/delivery/key_timing.ts
@@ -1,7 +1,7 @@
 import type { Duration } from "../shared/mod.ts";
 
-/** How long keys may be used. */
+/** Limits on the validity of key scopes. */
 export interface KeyTiming {
-  /** How long a scope may be valid from now; longer ones are forged. */
+  /** The longest time to a scope's expiry; a later expiry is forged. */
   readonly maximumScopeLifetime: Duration;
 }
--- a/packages/core/src/delivery/request_delivery.ts
+++ b/packages/core/src/delivery/request_delivery.ts
@@ -22,10 +22,10 @@
   withOutcome,
 } from "./delivery_failures.ts";
 
-/** A request under which so many engines broke off is tried at no other. */
+/** A request is not retried after it was lost by this many engines. */
 const MOST_LOST_ENGINES = 3;
 
-/** Brings one request to its only outcome, over as many attempts as allowed. */
+/** Delivers one request to a single final outcome, with retries. */
 export class RequestDelivery {
   readonly #options: DeliveryOptions;
   readonly #gate: FrameGate;
@@ -39,35 +39,35 @@
   #resumed = false;
   #ended = false;
 
-  /** @param options The request, and the rules for it. */
+  /** @param options The request and its delivery rules. */
   constructor(options: DeliveryOptions) {
     this.#options = options;
     this.#gate = new FrameGate(options);
   }
 
-  /** The present attempt. */
+  /** The current attempt. */
   get attempt(): AttemptNumber {
     return this.#attempt;
   }
 
-  /** Whether the caller has its final answer. */
+  /** Whether the request has its final outcome. */
   get ended(): boolean {
     return this.#ended;
   }
 
-  /** The frames dropped so far, by reason. */
+  /** The number of frames dropped so far, by reason. */
   get dropped(): FrameGate["dropped"] {
     return this.#gate.dropped;
   }
 
-  /** When {@link handle} wants a `tick`, if nothing happens before. */
+  /** When {@link handle} needs a `tick` if no event occurs before. */
   get nextWake(): Instant | undefined {
     return this.#ended ? undefined : this.#retryAt;
   }
 
   /**
    * Starts the first attempt.
-   * @returns What to do.
+   * @returns The actions to carry out.
    */
   start(): readonly DeliveryAction[] {
     this.#options.budget.earn();
@@ -75,10 +75,10 @@
   }
 
   /**
-   * Learns of an event.
+   * Handles an event.
    * @param now The present time.
    * @param event The event.
-   * @returns What to do, in order.
+   * @returns The actions to carry out, in order.
    */
   handle(now: Instant, event: DeliveryEvent): readonly DeliveryAction[] {
     if (this.#ended) {
@@ -124,7 +124,7 @@
     return [{ kind: "pass", sequence, tokens }];
   }
 
-  /** Reads the same attempt no further, and goes on with another. */
+  /** Fails the current attempt and stops reading it. */
   #breakOff(now: Instant, failure: Failure): readonly DeliveryAction[] {
     const attempt = this.#attempt;
     const next = this.#onFailed(now, attempt, failure);
@@ -167,7 +167,8 @@
     assertInvariant(
       tokens === totals.completionTokens,
       "answer_is_whole",
-      () => `${tokens} of ${totals.completionTokens} tokens are passed on.`,
+      () =>
+        `${tokens} of ${totals.completionTokens} tokens were sent to the caller.`,
     );
     this.#ended = true;
     this.#gate.close();
@@ -206,7 +207,10 @@
     return [];
   }
 
-  /** An attempt that gave tokens ran, whatever its failure says. */
+  /**
+   * Corrects an outcome of "not run" to "unknown" once tokens were received,
+   * since the attempt must have started.
+   */
   #known(failure: Failure): Failure {
     const hasRun = this.#gate.next > 0 && failure.outcome === "not_run";
     return hasRun ? { ...failure, outcome: "unknown" } : failure;
@@ -217,7 +221,7 @@
     assertInvariant(
       resumes || this.#passed === 0,
       "answer_is_whole",
-      () => `${this.#passed} tokens of another run are passed on.`,
+      () => `${this.#passed} tokens of an earlier run were sent already.`,
     );
     const allNotRun = this.#failures.every((failure) =>
       failure.outcome === "not_run"
@@ -229,7 +233,10 @@
     );
   }
 
-  /** Whether so many engines broke off that it may be the request's doing. */
+  /**
+   * Whether so many different engines were lost during generation that the
+   * request may be the cause.
+   */
   get #lostTooManyEngines(): boolean {
     const lost = this.#failures.filter(({ step, outcome }) =>
       step === "generate" && outcome === "unknown"
@@ -269,7 +276,7 @@
     assertInvariant(
       outcome !== "not_run" || truth,
       "not_run_means_not_run",
-      () => `An attempt ended as ${last.outcome}.`,
+      () => `An attempt ended with the outcome ${last.outcome}.`,
     );
     this.#ended = true;
     this.#gate.close();
--- a/packages/core/src/delivery/retry_budget.ts
+++ b/packages/core/src/delivery/retry_budget.ts
@@ -1,12 +1,12 @@
-/** Bounds retries to a share of the requests, so that they cannot pile up. */
+/** Limits retries to a share of the requests, so that they don't pile up. */
 export class RetryBudget {
   readonly #share: number;
   readonly #maximum: number;
   #tokens: number;
 
   /**
-   * @param options The retries allowed for each request, as a share, and how
-   * many may be saved up.
+   * @param options The share of a retry that each request earns, and the
+   * maximum number of saved retries.
    */
   constructor(options: { readonly share: number; readonly maximum: number }) {
     this.#share = options.share;
@@ -14,14 +14,14 @@
     this.#tokens = options.maximum;
   }
 
-  /** Takes note of a request, which earns its share of a retry. */
+  /** Adds the share of a retry that a new request earns. */
   earn(): void {
     this.#tokens = Math.min(this.#maximum, this.#tokens + this.#share);
   }
 
   /**
-   * Takes a retry from the budget.
-   * @returns Whether there was one.
+   * Takes one retry from the budget.
+   * @returns Whether a retry was available.
    */
   take(): boolean {
     if (this.#tokens < 1) return false;
--- a/packages/core/src/dispatch/adapter_lines.ts
+++ b/packages/core/src/dispatch/adapter_lines.ts
@@ -7,12 +7,18 @@
 import type { WaitingRequest } from "./waiting_request.ts";
 
 const MILLISECONDS_PER_SECOND = 1_000;
-/** The rest of a long line is taken to be like its beginning. */
+/**
+ * The urgency of a long queue is extrapolated from this many requests at its
+ * beginning.
+ */
 const LINE_SAMPLE = 32;
-/** A request this near its deadline, or past it, is not more urgent still. */
+/**
+ * Slack below this share of the target, also past the deadline, does not make
+ * a request more urgent.
+ */
 const LEAST_SLACK_SHARE = 0.25;
 
-/** The requests for one adapter; one load serves them all. */
+/** The requests for one adapter, which share a single load. */
 export interface AdapterLine {
   readonly key: AdapterKey;
   readonly adapter: AdapterReference;
@@ -23,39 +29,39 @@
   readonly requests: Map<RequestId, WaitingRequest>;
 }
 
-/** Requests by the adapter that they name. */
+/** Groups requests by adapter. */
 export class AdapterLines {
   readonly #lines = new Map<AdapterKey, OpenLine>();
   #size = 0;
 
-  /** How many requests there are. */
+  /** The number of requests in all queues. */
   get size(): number {
     return this.#size;
   }
 
-  /** The lines, one for each adapter that is named. */
+  /** The queues, one for each adapter with requests. */
   get lines(): Iterable<AdapterLine> {
     return this.#lines.values();
   }
 
-  /** How many adapters are named. */
+  /** The number of adapters with requests. */
   get adapters(): number {
     return this.#lines.size;
   }
 
   /**
-   * Tells whether an adapter is waited for.
-   * @param key The adapter.
-   * @returns Whether a request waits for it.
+   * Tells whether an adapter has requests.
+   * @param key The key of the adapter.
+   * @returns Whether it has any.
    */
   has(key: AdapterKey): boolean {
     return this.#lines.has(key);
   }
 
   /**
-   * Finds the line for an adapter.
-   * @param key The adapter.
-   * @returns The line, or nothing where no request waits for it.
+   * Finds the queue of an adapter.
+   * @param key The key of the adapter.
+   * @returns The queue, or nothing if the adapter has no requests.
    */
   find(key: AdapterKey): AdapterLine | undefined {
     return this.#lines.get(key);
@@ -77,7 +83,7 @@
   }
 
   /**
-   * Takes a request out.
+   * Removes a request.
    * @param request The request.
    */
   remove(request: WaitingRequest): void {
@@ -88,9 +94,9 @@
   }
 
   /**
-   * Takes out all requests for an adapter.
-   * @param key The adapter.
-   * @returns The requests, in the order of their arrival.
+   * Removes all requests for an adapter.
+   * @param key The key of the adapter.
+   * @returns The requests, in the order of arrival.
    */
   release(key: AdapterKey): readonly WaitingRequest[] {
     const line = this.#lines.get(key);
@@ -102,11 +108,11 @@
 }
 
 /**
- * Works out how much waiting a load for a line saves: each request counts
- * with the inverse of what is left of its target.
+ * Estimates how much waiting a load for a queue saves. Each request counts with
+ * the inverse of the time left until its deadline.
  * @param now The present time.
- * @param line The requests that wait.
- * @returns Target lengths of waiting saved a second.
+ * @param line The queue of the adapter.
+ * @returns The saved waiting in target lengths per second.
  */
 export function lineUrgency(now: Instant, line: AdapterLine): number {
   let urgency = 0;
--- a/packages/core/src/dispatch/class_counts.ts
+++ b/packages/core/src/dispatch/class_counts.ts
@@ -1,10 +1,13 @@
 import type { ClassId, Duration } from "../shared/mod.ts";
 import type { WaitingRequest } from "./waiting_request.ts";
 
-/** Work gives way only to work whose target is so much shorter. */
+/**
+ * A request is only preempted by one whose target is shorter by at least this
+ * factor.
+ */
 export const TARGET_RATIO = 4;
 
-/** How many requests have a target. */
+/** The number of requests with a target. */
 export interface TargetLoad {
   readonly target: Duration;
   readonly count: number;
@@ -15,17 +18,17 @@
   count: number;
 }
 
-/** Counts requests by class, to compare targets without visiting them. */
+/** Counts requests by class, to compare targets without visiting each one. */
 export class ClassCounts {
   readonly #classes = new Map<ClassId, ClassCount>();
 
-  /** The targets, and how many requests have each. */
+  /** The targets with their numbers of requests. */
   get loads(): readonly TargetLoad[] {
     return [...this.#classes.values()].map((entry) => ({ ...entry }));
   }
 
   /**
-   * Counts a request.
+   * Adds a request to its class's count.
    * @param request The request.
    */
   add(request: WaitingRequest): void {
@@ -40,7 +43,7 @@
   }
 
   /**
-   * Counts a request no longer.
+   * Removes a request from its class's count.
    * @param request The request.
    */
   remove(request: WaitingRequest): void {
@@ -53,7 +56,7 @@
   /**
    * Counts the requests of classes whose target is at most a given one.
    * @param target The target.
-   * @returns How many.
+   * @returns The number of requests.
    */
   atMost(target: Duration): number {
     let total = 0;
@@ -66,7 +69,7 @@
   /**
    * Counts the requests of classes whose target is at least a given one.
    * @param target The target.
-   * @returns How many.
+   * @returns The number of requests.
    */
   atLeast(target: number): number {
     let total = 0;
--- a/packages/core/src/dispatch/class_queue.ts
+++ b/packages/core/src/dispatch/class_queue.ts
@@ -4,9 +4,9 @@
 import type { WaitingRequest } from "./waiting_request.ts";
 
 /**
- * The ready requests of one class. Tenants share by start-time fair queueing
- * (Goyal, Vin and Cheng 1996) over the tokens that they ask for: one with many
- * requests does not hold up one with few.
+ * The ready requests of one class. Start-time fair queueing (Goyal, Vin and
+ * Cheng 1996) over the maximum tokens of requests divides the service between
+ * tenants, so that a tenant with many requests does not delay one with few.
  */
 export class ClassQueue {
   readonly #lines = new Map<TenantId, TenantLine>();
@@ -32,9 +32,9 @@
   }
 
   /**
-   * Finds the request that goes next.
+   * Finds the next request.
    * @param now The present time.
-   * @returns The request, or nothing.
+   * @returns The request, or nothing if the queue is empty.
    */
   peek(now: Instant): WaitingRequest | undefined {
     for (;;) {
@@ -48,7 +48,7 @@
   }
 
   /**
-   * Takes out the request that {@link peek} finds.
+   * Removes the request that {@link peek} returns.
    * @param now The present time.
    */
   shift(now: Instant): void {
--- a/packages/core/src/dispatch/displacement.ts
+++ b/packages/core/src/dispatch/displacement.ts
@@ -3,10 +3,10 @@
 import type { WaitingRequest } from "./waiting_request.ts";
 
 /**
- * Tells whether running work may give its place to a request.
+ * Tells whether a running request may be preempted for an urgent one.
  * @param running The running request.
- * @param urgent The request that wants its place.
- * @returns Whether its target is long enough.
+ * @param urgent The urgent request.
+ * @returns Whether the running request's target is long enough.
  */
 export function givesWay(
   running: WaitingRequest,
@@ -16,12 +16,12 @@
 }
 
 /**
- * Chooses the running request that loses least by giving up its place: one
- * without a first token before one with, then the one with the most slack.
+ * Chooses the running request that loses least by preemption. Requests without
+ * a first token come before those with one, then the latest deadline decides.
  * @param now The present time.
  * @param running The running requests.
- * @param urgent The request that wants a place.
- * @returns The request to displace, or nothing.
+ * @param urgent The urgent request.
+ * @returns The request to preempt, or nothing.
  */
 export function chooseDisplaced(
   now: Instant,
@@ -37,7 +37,10 @@
   return best;
 }
 
-/** Work that is near its own deadline is not put aside any more. */
+/**
+ * Tells whether a request has its first token or enough time left. A request
+ * without a first token is not preempted close to its own deadline.
+ */
 function hasTimeLeft(
   now: Instant,
   candidate: WaitingRequest,
--- a/packages/core/src/dispatch/engine_pace.ts
+++ b/packages/core/src/dispatch/engine_pace.ts
@@ -13,29 +13,29 @@
 const INITIAL_SERVICE = seconds(2);
 const INITIAL_TOKEN = milliseconds(20);
 
-/** How fast an engine is, measured by its own answers. */
+/** Smoothed durations of an engine's generations, from its own answers. */
 export class EnginePace {
   readonly #firstToken = new SmoothedDuration(INITIAL_FIRST_TOKEN, SHARE);
   readonly #service = new SmoothedDuration(INITIAL_SERVICE, SHARE);
   readonly #token = new SmoothedDuration(INITIAL_TOKEN, SHARE);
 
-  /** From dispatch to the first token. */
+  /** The time from dispatch to the first token. */
   get firstToken(): Duration {
     return this.#firstToken.value;
   }
 
-  /** From dispatch to the end of the answer. */
+  /** The time from dispatch to the end of the answer. */
   get service(): Duration {
     return this.#service.value;
   }
 
-  /** From one token of an answer to the next. */
+  /** The time between two tokens of an answer. */
   get token(): Duration {
     return this.#token.value;
   }
 
   /**
-   * Takes note of a first token.
+   * Records a first token.
    * @param now The present time.
    * @param request The request.
    */
@@ -45,10 +45,10 @@
   }
 
   /**
-   * Takes note of the end of an answer.
+   * Records the end of an answer.
    * @param now The present time.
    * @param request The request.
-   * @param generatedTokens How many tokens it had.
+   * @param generatedTokens The number of tokens in the answer.
    */
   ended(now: Instant, request: WaitingRequest, generatedTokens: number): void {
     if (request.dispatchedAt === undefined || generatedTokens < 1) return;
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Takes note of the time of a step that the engine reported.
-   * @param stepTime The time of one step.
+   * Records the step time that the engine reported.
+   * @param stepTime The duration of one step.
    */
   stepReported(stepTime: Duration): void {
     if (stepTime > 0) this.#token.observe(stepTime);
--- a/packages/core/src/dispatch/own_history.ts
+++ b/packages/core/src/dispatch/own_history.ts
@@ -9,16 +9,17 @@
 }
 
 /**
- * Remembers how many requests this controller had at the engine, so that a
- * report from the past can be compared with the past and not with now.
+ * Records how many requests this controller had at the engine over time. An
+ * engine's report is older than the present, and is compared with the number
+ * at the time of the report.
  */
 export class OwnHistory {
   readonly #entries: Entry[] = [];
 
   /**
-   * Takes note of the number at the engine from now on.
+   * Records a change of the number of requests at the engine.
    * @param now The present time.
-   * @param running How many requests are there.
+   * @param running The new number of requests.
    */
   record(now: Instant, running: number): void {
     this.#entries.push({ at: now, running });
@@ -28,10 +29,10 @@
   }
 
   /**
-   * Works out how much of a report is not this controller's own.
+   * Estimates how many requests in a report are not this controller's own.
    * @param now The present time.
-   * @param report What the engine held, and how long ago.
-   * @returns How many requests are of others.
+   * @param report The number of requests at the engine, and the report's age.
+   * @returns The number of requests from others.
    */
   othersIn(
     now: Instant,
@@ -54,5 +55,5 @@
   }
 }
 
-/** Orders and reports travel for about so long. */
+/** The approximate transit time of orders and reports. */
 const UNCERTAIN = 100;
--- a/packages/core/src/dispatch/ready_queue.ts
+++ b/packages/core/src/dispatch/ready_queue.ts
@@ -3,24 +3,26 @@
 import { ClassQueue } from "./class_queue.ts";
 import type { WaitingRequest } from "./waiting_request.ts";
 
-/** The requests that could run now, were there a place: least slack first. */
+/**
+ * The requests that only wait for a place in the batch, ordered by least slack.
+ */
 export class ReadyQueue {
   readonly #classes = new Map<ClassId, ClassQueue>();
   readonly #counts = new ClassCounts();
   #size = 0;
 
-  /** How many requests are ready. */
+  /** The number of ready requests. */
   get size(): number {
     return this.#size;
   }
 
-  /** The targets, and how many ready requests have each. */
+  /** The targets with their numbers of ready requests. */
   get loads(): readonly TargetLoad[] {
     return this.#counts.loads;
   }
 
   /**
-   * Adds a request whose place is "ready".
+   * Adds a request in the state "ready".
    * @param request The request.
    */
   add(request: WaitingRequest): void {
@@ -30,7 +32,7 @@
   }
 
   /**
-   * Takes note that a request is not ready any more, wherever it went.
+   * Updates the counts after a request stopped being ready for any reason.
    * @param request The request.
    */
   left(request: WaitingRequest): void {
@@ -39,16 +41,16 @@
   }
 
   /**
-   * Counts the requests that are about as urgent as one with a target.
+   * Counts the requests that are at least as urgent as one with a target.
    * @param target The target.
-   * @returns How many have the same target or a shorter one.
+   * @returns The number of requests with the same or a shorter target.
    */
   countAhead(target: Duration): number {
     return this.#counts.atMost(target);
   }
 
   /**
-   * Adds a request again whose deadline has changed.
+   * Adds a request again after its deadline changed.
    * @param request The request.
    */
   refresh(request: WaitingRequest): void {
@@ -59,7 +61,7 @@
   /**
    * Finds the request with the least slack.
    * @param now The present time.
-   * @returns The request, or nothing.
+   * @returns The request, or nothing if none is ready.
    */
   peek(now: Instant): WaitingRequest | undefined {
     let best: WaitingRequest | undefined;
@@ -72,7 +74,7 @@
   }
 
   /**
-   * Takes out a request that {@link peek} found.
+   * Removes a request that {@link peek} returned.
    * @param now The present time.
    * @param request The request.
    */
--- a/packages/core/src/dispatch/request_book.ts
+++ b/packages/core/src/dispatch/request_book.ts
@@ -13,7 +13,7 @@
 import { WaitingRequest } from "./waiting_request.ts";
 
 /**
- * All requests at one engine. Each is in one place: blocked until its adapter
+ * All requests at one engine. Each is in one state: blocked until its adapter
  * is resident, ready for a place in the batch, or running.
  */
 export class RequestBook {
@@ -26,12 +26,12 @@
   readonly #runningCounts = new ClassCounts();
   #displaced = 0;
 
-  /** The requests that wait for adapters. */
+  /** The requests that wait for an adapter. */
   get blocked(): AdapterLines {
     return this.#blocked;
   }
 
-  /** The requests that wait for a place only. */
+  /** The requests that only wait for a place in the batch. */
   get ready(): ReadyQueue {
     return this.#ready;
   }
@@ -41,22 +41,22 @@
     return this.#running;
   }
 
-  /** The targets, and how many blocked requests have each. */
+  /** The targets with their numbers of blocked requests. */
   get blockedLoads(): readonly TargetLoad[] {
     return this.#blockedCounts.loads;
   }
 
-  /** The targets, and how many running requests have each. */
+  /** The targets with their numbers of running requests. */
   get runningLoads(): readonly TargetLoad[] {
     return this.#runningCounts.loads;
   }
 
-  /** How many requests the engine holds, those that gave way included. */
+  /** The number of requests at the engine, including preempted ones. */
   get atEngine(): number {
     return this.#running.size + this.#displaced;
   }
 
-  /** How many requests wait. */
+  /** The number of blocked and ready requests. */
   get waiting(): number {
     return this.#blocked.size + this.#ready.size;
   }
@@ -64,7 +64,7 @@
   /**
    * Finds a request.
    * @param request The request's id.
-   * @returns The request, or nothing.
+   * @returns The request, or nothing if it is not here.
    */
   find(request: RequestId): WaitingRequest | undefined {
     return this.#requests.get(request);
@@ -72,37 +72,38 @@
 
   /**
    * Finds the ready requests for an adapter.
-   * @param key The adapter.
-   * @returns Them, or nothing where there are none.
+   * @param key The key of the adapter.
+   * @returns The requests, or nothing if there are none.
    */
   readyLine(key: AdapterKey): AdapterLine | undefined {
     return this.#readyLines.find(key);
   }
 
   /**
-   * Counts the blocked requests that are about as urgent as one with a target.
+   * Counts the blocked requests that are at least as urgent as one with a
+   * target.
    * @param target The target.
-   * @returns How many have the same target or a shorter one.
+   * @returns The number of requests with the same or a shorter target.
    */
   blockedAhead(target: Duration): number {
     return this.#blockedCounts.atMost(target);
   }
 
   /**
-   * Counts the running requests with a target at least so long.
+   * Counts the running requests whose target is at least a given one.
    * @param target The target.
-   * @returns How many.
+   * @returns The number of requests.
    */
   runningAtLeast(target: number): number {
     return this.#runningCounts.atLeast(target);
   }
 
   /**
-   * Takes a request in.
+   * Adds a request.
    * @param now The present time.
    * @param queued The request.
    * @param resident Whether its adapter can run now.
-   * @returns The request as it waits here.
+   * @returns The added request with its state.
    */
   submit(
     now: Instant,
@@ -112,7 +113,7 @@
     assertInvariant(
       !this.#requests.has(queued.request),
       "request_queued_once",
-      () => `${queued.request} is queued already.`,
+      () => `${queued.request} is already queued.`,
     );
     const request = new WaitingRequest(now, queued);
     this.#requests.set(queued.request, request);
@@ -122,9 +123,9 @@
   }
 
   /**
-   * Makes the requests for an adapter ready.
+   * Makes the blocked requests for an adapter ready.
    * @param now The present time.
-   * @param key The adapter, now resident.
+   * @param key The key of the adapter, which is now resident.
    */
   unblock(now: Instant, key: AdapterKey): void {
     for (const request of this.#blocked.release(key)) {
@@ -134,9 +135,9 @@
   }
 
   /**
-   * Makes the ready requests for an adapter wait for it again.
+   * Blocks the ready requests for an adapter.
    * @param now The present time.
-   * @param key The adapter, which is leaving.
+   * @param key The key of the adapter, which is being evicted or is missing.
    */
   block(now: Instant, key: AdapterKey): void {
     for (const request of this.#readyLines.release(key)) {
@@ -147,9 +148,9 @@
   }
 
   /**
-   * Gives a ready request a place.
+   * Gives a ready request a place in the batch.
    * @param now The present time.
-   * @param request The request that the ready queue gave.
+   * @param request The request that the ready queue returned.
    */
   start(now: Instant, request: WaitingRequest): void {
     this.#ready.take(now, request);
@@ -163,7 +164,7 @@
   }
 
   /**
-   * Takes the place of a running request away; the engine still holds it.
+   * Takes the place of a running request, which stays at the engine.
    * @param request The request.
    */
   displace(request: WaitingRequest): void {
@@ -177,7 +178,7 @@
   }
 
   /**
-   * Takes a request out, wherever it is.
+   * Removes a request in any state.
    * @param request The request.
    */
   remove(request: WaitingRequest): void {
@@ -203,7 +204,7 @@
   }
 
   /**
-   * Changes the target of the requests of a class that wait.
+   * Changes the target of all requests of a class.
    * @param id The class.
    * @param target The new target.
    */
@@ -217,7 +218,7 @@
     this.#runningCounts.retarget(id, target);
   }
 
-  /** All requests, in the order of their arrival here. */
+  /** All requests, in the order of arrival at this engine. */
   get all(): Iterable<WaitingRequest> {
     return this.#requests.values();
   }
--- a/packages/core/src/dispatch/tenant_line.ts
+++ b/packages/core/src/dispatch/tenant_line.ts
@@ -9,12 +9,12 @@
 }
 
 /**
- * One tenant's ready requests of one class, the earliest deadline first.
- * Requests that can no longer be in time stand behind those that can.
+ * The ready requests of one tenant in one class, by earliest deadline.
+ * Requests past their deadline come after all others.
  */
 export class TenantLine {
   readonly tenant: TenantId;
-  /** Where the tenant stands in the class's fair order. */
+  /** The tenant's start tag in the class's fair queue. */
   tag = 0;
   readonly #onTime = new TinyQueue<Entry>([], byDeadline);
   #added = 0;
@@ -36,9 +36,9 @@
   }
 
   /**
-   * Finds the request that goes next.
+   * Finds the next request.
    * @param now The present time.
-   * @returns The request, or nothing.
+   * @returns The request, or nothing if the queue is empty.
    */
   peek(now: Instant): WaitingRequest | undefined {
     this.#setLateAside(now);
@@ -46,7 +46,7 @@
   }
 
   /**
-   * Takes out the request that {@link peek} finds.
+   * Removes the request that {@link peek} returns.
    * @param now The present time.
    */
   shift(now: Instant): void {
@@ -64,7 +64,10 @@
   }
 }
 
-/** Entries of requests that have left meanwhile are dropped here. */
+/**
+ * Finds the first entry that is still valid. Removes entries of requests that
+ * are no longer ready or whose deadline has changed.
+ */
 function peekReady(queue: TinyQueue<Entry>): Entry | undefined {
   for (;;) {
     const entry = queue.peek();
--- a/packages/core/src/dispatch/waiting_request.ts
+++ b/packages/core/src/dispatch/waiting_request.ts
@@ -10,18 +10,18 @@
 } from "../shared/mod.ts";
 import type { QueuedRequest } from "../serving/engine_event.ts";
 
-/** Where a request stands at its engine. */
+/** The state of a request at its engine. */
 export type WaitingPlace = "blocked" | "ready" | "running" | "over";
 
-/** A request at an engine, with what changes while it waits. */
+/** A request at an engine, with its state and times. */
 export class WaitingRequest {
   readonly queued: QueuedRequest;
   readonly key: AdapterKey;
   readonly submittedAt: Instant;
   place: WaitingPlace = "blocked";
-  /** Since when it has waited for its adapter. */
+  /** When the request last began to wait for its adapter. */
   blockedSince: Instant;
-  /** Whether the engine still holds it, though it gave up its place. */
+  /** Whether the request lost its place but is still at the engine. */
   displaced = false;
   dispatchedAt: Instant | undefined;
   firstTokenAt: Instant | undefined;
@@ -40,22 +40,22 @@
     this.#target = queued.firstTokenTarget;
   }
 
-  /** The target for its first token. */
+  /** The target for the time to the first token. */
   get target(): Duration {
     return this.#target;
   }
 
-  /** When its first token is due. */
+  /** When the first token is due. */
   get deadline(): Instant {
     return instant(this.submittedAt - this.queued.waitedBefore + this.#target);
   }
 
-  /** Whether the engine has it, with a place in the batch or without. */
+  /** Whether the request is at the engine, running or preempted. */
   get isAtEngine(): boolean {
     return this.place === "running" || this.displaced;
   }
 
-  /** How long it waited for its adapter. */
+  /** The total time that the request waited for its adapter. */
   get loadStall(): Duration {
     return milliseconds(this.#stalled);
   }
@@ -69,7 +69,7 @@
   }
 
   /**
-   * Takes note that its adapter can run.
+   * Makes the request ready, since its adapter can run.
    * @param now The present time.
    */
   unblock(now: Instant): void {
@@ -78,7 +78,7 @@
   }
 
   /**
-   * Takes note that its adapter has left before the request ran.
+   * Blocks the request, since its adapter left before the request ran.
    * @param now The present time.
    */
   block(now: Instant): void {
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Tells when it is given up if it still waits and others suffer from that.
-   * @returns One target after its deadline.
+   * Tells when the request is refused if it still waits and delays others.
+   * @returns The time, one target after the deadline.
    */
   givenUpAt(): Instant {
     return later(this.deadline, this.#target);
--- a/packages/core/src/serving/adapter_serving_policy.ts
+++ b/packages/core/src/serving/adapter_serving_policy.ts
@@ -30,12 +30,12 @@
 import { LoadGrants } from "./load_grants.ts";
 import { PrefetchScout } from "./prefetch_scout.ts";
 
-/** How soon to look again while requests wait. */
+/** The longest time to the next decision while requests wait. */
 const LOOK_AGAIN = milliseconds(50);
 
 /**
- * The whole policy in one process: a controller for each engine, the router
- * of an entry node, and the holder of the load permits.
+ * The complete policy in one process: a controller for each engine, the router
+ * of an entry node, and the ledger of load permits.
  */
 export class AdapterServingPolicy extends DeploymentPolicy {
   readonly #engines = new Map<EngineId, EngineController>();
@@ -47,11 +47,11 @@
   readonly #router: AdapterRouter;
   readonly #grants: LoadGrants;
   readonly #changed = new Set<EngineId>();
-  /** Requests that no engine could take yet. */
+  /** Requests that arrived while there was no engine. */
   readonly #unplaced = new Map<RequestId, QueuedRequest>();
   #orders: DeploymentOrder[] = [];
 
-  /** @param limits What the weight store allows. */
+  /** @param limits The load limits of the weight store. */
   constructor(limits: LoadLimits) {
     super();
     this.#ledger = new LoadPermitLedger(limits);
--- a/packages/core/src/serving/adapter_value.ts
+++ b/packages/core/src/serving/adapter_value.ts
@@ -7,10 +7,10 @@
 import type { AdapterKey, Instant } from "../shared/mod.ts";
 
 const MILLISECONDS_PER_SECOND = 1_000;
-/** What a further replica is worth while others hold the adapter. */
+/** The share of its value that a further replica of an adapter has. */
 const REPLICA_SHARE = 0.1;
 
-/** What values of adapters are worked out from. */
+/** The data from which values of adapters are estimated. */
 export interface AdapterValueParts {
   readonly demand: DemandTracker;
   readonly index: ResidenceIndex;
@@ -18,22 +18,22 @@
 }
 
 /**
- * Estimates what an adapter is worth to its callers: expected demand times
- * the cost to reload times the tightness of the targets.
+ * Estimates the value of an adapter to its callers: expected demand times
+ * reload time times the tightness of the targets.
  */
 export class AdapterValue {
   readonly #parts: AdapterValueParts;
 
-  /** @param parts What to work it out from. */
+  /** @param parts The data for the estimates. */
   constructor(parts: AdapterValueParts) {
     this.#parts = parts;
   }
 
   /**
-   * Estimates what the absence of an adapter costs.
+   * Estimates the cost of not having an adapter.
    * @param now The present time.
-   * @param key The adapter.
-   * @returns Target lengths of waiting a second.
+   * @param key The key of the adapter.
+   * @returns The cost in target lengths of waiting per second.
    */
   absenceCost(now: Instant, key: AdapterKey): number {
     const demand = this.#parts.demand.find(key);
@@ -44,9 +44,9 @@
   /**
    * Estimates what an engine loses by evicting an adapter.
    * @param now The present time.
-   * @param key The adapter.
-   * @param ready The requests for it that could run now, if any.
-   * @returns Target lengths of waiting a second.
+   * @param key The key of the adapter.
+   * @param ready The ready requests for the adapter, if any.
+   * @returns The loss in target lengths of waiting per second.
    */
   evictionLoss(
     now: Instant,
--- a/packages/core/src/serving/deployment_policy.ts
+++ b/packages/core/src/serving/deployment_policy.ts
@@ -8,7 +8,7 @@
 } from "../shared/mod.ts";
 import type { EngineCapacity, QueuedRequest } from "./engine_event.ts";
 
-/** What happens in a deployment, as a policy learns of it. */
+/** An event in a deployment that a policy handles. */
 export type DeploymentEvent =
   | {
     readonly kind: "request_arrived";
@@ -16,8 +16,8 @@
   }
   | {
     /**
-     * The caller has left. A request that waits is forgotten; one that was
-     * dispatched still ends by `request_ended`, once the engine let it go.
+     * The caller has left. A waiting request is removed; a dispatched one
+     * still ends with `request_ended` once the engine has released it.
      */
     readonly kind: "request_cancelled";
     readonly request: RequestId;
@@ -32,7 +32,7 @@
     readonly kind: "eviction_ended";
     readonly engine: EngineId;
     readonly adapter: AdapterReference;
-    /** Whether the adapter has left; `true` where absent. */
+    /** Whether the adapter was evicted; defaults to `true`. */
     readonly evicted?: boolean;
   }
   | {
@@ -48,9 +48,9 @@
   }
   | {
     /**
-     * The engine is new or restarted: nothing is loaded, nothing runs. What
-     * waited for it is placed again; a request that ran there is forgotten,
-     * and arrives anew where the shell may run it again.
+     * The engine is new or has restarted: nothing is loaded or running.
+     * Requests that waited for it are routed again. Requests that ran on it
+     * are removed, and arrive again if the shell may rerun them.
      */
     readonly kind: "engine_started";
     readonly engine: EngineId;
@@ -78,7 +78,7 @@
     readonly firstTokenTarget: Duration;
   };
 
-/** What a policy wants done; the shell carries it out. */
+/** A decision of a policy, which the shell carries out. */
 export type DeploymentOrder =
   | {
     readonly kind: "dispatch";
@@ -98,9 +98,9 @@
   }
   | {
     /**
-     * Gives a running request's place up for a more urgent one; it is
-     * dispatched again later. An engine that honours priorities may hold it
-     * on and even finish it, which `request_ended` tells.
+     * Gives the place of a running request to a more urgent one. The request
+     * is dispatched again later. An engine that honours priorities may keep
+     * and even finish it, which `request_ended` reports.
      */
     readonly kind: "preempt";
     readonly engine: EngineId;
@@ -113,27 +113,27 @@
   };
 
 /**
- * Decides for a whole deployment. The daemon spreads these decisions over its
- * nodes; measurements and randomised runs drive them in one place, ours and
- * the baselines alike.
+ * Decides for a whole deployment. The daemon distributes these decisions over
+ * its nodes; benchmarks and randomised tests run this policy and the baselines
+ * in one process.
  */
 export abstract class DeploymentPolicy {
   /**
-   * Learns of an event.
+   * Handles an event.
    * @param now The present time.
    * @param event The event.
    */
   abstract handle(now: Instant, event: DeploymentEvent): void;
 
   /**
-   * Decides what to do now.
+   * Makes the decisions that are due.
    * @param now The present time.
-   * @returns The orders, in the order in which to carry them out.
+   * @returns The orders to carry out, in order.
    */
   abstract decide(now: Instant): readonly DeploymentOrder[];
 
   /**
-   * Tells when a decision may change though nothing happens before.
+   * Tells when decisions may change without an event.
    * @param now The present time.
    * @returns The time to decide again, or nothing.
    */
@@ -141,10 +141,10 @@
 }
 
 /**
- * Tells whether an event may change what is decided at its engine: a first
- * token or a cached prefix frees nothing and asks for nothing.
+ * Tells whether an event may change the decisions at its engine. A first token
+ * or a cached prefix neither frees nor requests any resource.
  * @param event The event.
- * @returns Whether to decide anew.
+ * @returns Whether to decide again.
  */
 export function bearsOnDecisions(event: DeploymentEvent): boolean {
   return event.kind !== "first_token" && event.kind !== "prefix_event" &&
--- a/packages/core/src/serving/engine_controller.ts
+++ b/packages/core/src/serving/engine_controller.ts
@@ -23,8 +23,8 @@
 import { RequestDispatcher } from "./request_dispatcher.ts";
 
 /**
- * Decides for one engine: which adapters it holds and which requests run on
- * it. Only the engine's controlling node has one.
+ * Decides which adapters one engine holds and which requests run on it. Only
+ * the node that controls the engine has a controller for it.
  */
 export class EngineController extends EngineControllerView {
   readonly #hopeless = new HopelessRequests(this.book);
@@ -37,24 +37,24 @@
   #isClosed = false;
 
   /**
-   * Takes in what the engine says that it holds, after a restart or takeover.
+   * Adopts the adapters that the engine reports after a restart or takeover.
    * @param now The present time.
-   * @param found The engine's own state.
+   * @param found The state that the engine reported.
    */
   takeIn(now: Instant, found: FoundResidences): void {
     this.residency.takeIn(now, found);
     for (const residence of this.residency.all) this.#reindex(residence.key);
   }
 
-  /** Whether adapters were found that others may still use or load. */
+  /** Whether the engine has adapters that others may still use or load. */
   get hasUnproven(): boolean {
     return this.residency.hasUnproven();
   }
 
   /**
-   * Compares adapters that were found with a later state of the engine.
+   * Compares adopted adapters with a later state of the engine.
    * @param now The present time.
-   * @param state What the engine holds, and uses for requests of others.
+   * @param state The engine's adapters, and those used by others' requests.
    */
   found(now: Instant, state: FoundState): void {
     const { gone, loaded } = this.residency.compare(now, state);
@@ -64,7 +64,7 @@
   }
 
   /**
-   * Takes note that the engine does not have an adapter that it should have.
+   * Handles the absence of an adapter that the engine should have.
    * @param now The present time.
    * @param adapter The adapter.
    */
@@ -89,9 +89,9 @@
   }
 
   /**
-   * Forgets a request that waits.
-   * @param request The request.
-   * @returns Whether it waited here, and so will not run.
+   * Removes a waiting request.
+   * @param request The request's id.
+   * @returns Whether the request waited here, and therefore will not run.
    */
   withdraw(request: RequestId): boolean {
     const found = this.book.find(request);
@@ -101,9 +101,9 @@
   }
 
   /**
-   * Takes all waiting requests back, to be handed to another controller.
+   * Removes all waiting requests, to be passed to another controller.
    * @param now The present time.
-   * @returns The requests, with the time that they waited here.
+   * @returns The requests, with the time that they waited here added.
    */
   handBack(now: Instant): readonly QueuedRequest[] {
     const waiting = [...this.book.all].filter((one) => !one.isAtEngine);
@@ -116,12 +116,12 @@
     }));
   }
 
-  /** Lists the requests that are here. */
+  /** Lists the ids of all requests at this engine. */
   requests(): readonly RequestId[] {
     return [...this.book.all].map((request) => request.queued.request);
   }
 
-  /** Withdraws everything that this controller told the index. */
+  /** Removes all entries of this controller from the residence index. */
   close(): void {
     this.#isClosed = true;
     for (const { key } of this.residency.all) this.#unindex(key);
@@ -129,7 +129,7 @@
   }
 
   /**
-   * Takes note that a load ended.
+   * Handles the end of a load.
    * @param now The present time.
    * @param load The adapter, and whether it is now resident.
    */
@@ -146,9 +146,9 @@
   }
 
   /**
-   * Takes note that an eviction ended.
+   * Handles the end of an eviction.
    * @param now The present time.
-   * @param eviction The adapter, and whether it has left.
+   * @param eviction The adapter, and whether it was evicted.
    */
   evictionEnded(
     now: Instant,
@@ -167,9 +167,9 @@
   }
 
   /**
-   * Takes note of a first token.
+   * Handles the first token of a request.
    * @param now The present time.
-   * @param request The request.
+   * @param request The request's id.
    */
   firstToken(now: Instant, request: RequestId): void {
     const found = this.book.find(request);
@@ -179,10 +179,10 @@
   }
 
   /**
-   * Takes note that a dispatched request ended, however it did.
+   * Handles the end of a dispatched request with any outcome.
    * @param now The present time.
-   * @param request The request.
-   * @param generatedTokens How many tokens it generated here.
+   * @param request The request's id.
+   * @param generatedTokens The number of tokens generated at this engine.
    */
   requestEnded(
     now: Instant,
@@ -198,7 +198,7 @@
   }
 
   /**
-   * Takes note of the engine's report of its load, which lags.
+   * Handles the engine's report of its load, which lags behind.
    * @param now The present time.
    * @param report The report.
    */
@@ -211,7 +211,7 @@
   }
 
   /**
-   * Changes the target of a class, also for requests that wait.
+   * Changes the target of a class, including its queued requests.
    * @param id The class.
    * @param target The new target.
    */
@@ -220,10 +220,10 @@
   }
 
   /**
-   * Lists the adapters that the engine wants most.
+   * Lists the most urgent adapter loads for the engine.
    * @param now The present time.
-   * @param prefetch Adapters worth having before anyone waits for them.
-   * @returns A few wishes.
+   * @param prefetch Candidates for loading before a request needs them.
+   * @returns A limited number of load wishes.
    */
   wishes(
     now: Instant,
@@ -233,10 +233,10 @@
   }
 
   /**
-   * Takes a permit to load an adapter.
+   * Uses a permit to load an adapter.
    * @param now The present time.
    * @param adapter The adapter.
-   * @returns Whether it is used; otherwise it is to be given back.
+   * @returns Whether the permit is used; otherwise it must be returned.
    */
   usePermit(now: Instant, adapter: AdapterReference): boolean {
     const key = adapterKey(adapter);
@@ -246,9 +246,9 @@
   }
 
   /**
-   * Decides what to do now.
+   * Makes the decisions that are due.
    * @param now The present time.
-   * @returns The decisions, in the order in which to carry them out.
+   * @returns The decisions to carry out, in order.
    */
   decide(now: Instant): readonly EngineDecision[] {
     const decisions = [...this.planner.takeOrders()];
@@ -257,7 +257,7 @@
     return decisions;
   }
 
-  /** When a waiting request may have to be given up. */
+  /** When a waiting request may next have to be refused as overdue. */
   get nextGiveUp(): Instant | undefined {
     return this.#hopeless.next;
   }
--- a/packages/core/src/serving/engine_controller_view.ts
+++ b/packages/core/src/serving/engine_controller_view.ts
@@ -23,34 +23,40 @@
 import type { EngineCapacity } from "./engine_event.ts";
 import { LoadPlanner } from "./load_planner.ts";
 
-/** What a controller works with. */
+/** The dependencies of an engine controller. */
 export interface EngineControllerParts extends AdapterValueParts {
   readonly engine: EngineId;
   readonly capacity: EngineCapacity;
 }
 
-/** How many awaited adapters a summary names. */
+/** The maximum number of awaited adapters in a summary. */
 const SUMMARISED_AWAITED = 64;
-/** A pace that an engine of middling speed has, for weights of homes. */
+/**
+ * The time per token of an engine of average speed, in milliseconds. Engine
+ * weights are relative to it.
+ */
 const COMMON_TOKEN_TIME = 20;
-/** Others' requests take at most this share of a batch away from us. */
+/**
+ * The maximum share of a batch that is reserved for requests of other
+ * controllers.
+ */
 const OTHERS_SHARE = 0.5;
 
-/** The state of an engine that is controlled here, as routers view it. */
+/** The view of a locally controlled engine that routers use. */
 export abstract class EngineControllerView extends EngineView {
   override readonly engine: EngineId;
   override readonly hash: number;
   protected readonly parts: EngineControllerParts;
-  /** The adapters in slots. */
+  /** The adapters in the engine's slots. */
   readonly residency: EngineResidency;
   protected readonly book = new RequestBook();
   protected readonly pace = new EnginePace();
   protected readonly history = new OwnHistory();
   protected readonly planner: LoadPlanner;
-  /** How many requests of others the engine holds, by its report. */
+  /** The number of requests from others, estimated from engine reports. */
   protected others = 0;
 
-  /** @param parts What the controller works with. */
+  /** @param parts The dependencies of the controller. */
   constructor(parts: EngineControllerParts) {
     super();
     this.engine = parts.engine;
@@ -65,17 +71,17 @@
     });
   }
 
-  /** How many requests wait. */
+  /** The number of waiting requests. */
   get waiting(): number {
     return this.book.waiting;
   }
 
-  /** How many requests have a place in the batch. */
+  /** The number of requests with a place in the batch. */
   get running(): number {
     return this.book.running.size;
   }
 
-  /** How many adapters are waited for. */
+  /** The number of adapters that blocked requests wait for. */
   get awaitedAdapters(): number {
     return this.book.blocked.adapters;
   }
@@ -130,7 +136,7 @@
     );
   }
 
-  /** What other nodes are told, besides the adapters. */
+  /** The engine's state for other nodes, without its adapters. */
   get summary(): EngineSummary {
     return {
       engine: this.engine,
@@ -149,8 +155,8 @@
   }
 
   /**
-   * Lists the adapters that are here or waited for.
-   * @returns The adapters; of those waited for, only some.
+   * Lists the adapters that are in slots or awaited.
+   * @returns The adapters, with a limited number of awaited ones.
    */
   standings(): readonly StandingAdapter[] {
     const standings = new Map<AdapterKey, StandingAdapter>();
@@ -168,7 +174,7 @@
     return this.parts.capacity.adapterSlots;
   }
 
-  /** The places of the batch that this controller's requests may take. */
+  /** The number of batch places available to this controller's requests. */
   protected places(): number {
     const { batchCapacity } = this.parts.capacity;
     const others = Math.min(this.others, OTHERS_SHARE * batchCapacity);
--- a/packages/core/src/serving/engine_event.ts
+++ b/packages/core/src/serving/engine_event.ts
@@ -6,51 +6,51 @@
   TenantId,
 } from "../shared/mod.ts";
 
-/** A request as the engine's controller queues it. */
+/** A request to be queued by an engine's controller. */
 export interface QueuedRequest {
   readonly request: RequestId;
   readonly adapter: AdapterReference;
   readonly class: ClassId;
   readonly tenant: TenantId;
-  /** The class's target for the first token, counted from arrival. */
+  /** The class's target for the time from arrival to the first token. */
   readonly firstTokenTarget: Duration;
-  /** How long the request had waited elsewhere before it came here. */
+  /** How long the request waited before it reached this controller. */
   readonly waitedBefore: Duration;
-  /** Estimates, for expected waits. */
+  /** Token counts, estimated to predict waits. */
   readonly promptTokens: number;
   readonly maximumTokens: number;
-  /** Names the prompt's prefix, for affinity to cached prefixes. */
+  /** The hash of the prompt's prefix, for affinity to prefix caches. */
   readonly prefixHash?: string;
 }
 
-/** What a controller wants done; the shell carries it out. */
+/** A decision of an engine controller, which the shell carries out. */
 export type EngineDecision =
   | {
     readonly kind: "dispatch";
     readonly request: RequestId;
     readonly priority: number;
-    /** How long it waited for a place in the batch. */
+    /** How long the request waited for a place in the batch. */
     readonly queueWait: Duration;
-    /** How long it waited for its adapter. */
+    /** How long the request waited for its adapter. */
     readonly loadStall: Duration;
   }
   | {
     /**
-     * Gives up a running request's place for a more urgent one. The engine
-     * may hold it on; it is dispatched again when there is a place.
+     * Gives the place of a running request to a more urgent one. The engine
+     * may keep the request, which is dispatched again when there is a place.
      */
     readonly kind: "preempt";
     readonly request: RequestId;
   }
   | {
-    /** The permit for this adapter's load will not be used. */
+    /** Returns the unused load permit of an adapter. */
     readonly kind: "return_permit";
     readonly adapter: AdapterReference;
   }
   | {
     readonly kind: "load";
     readonly adapter: AdapterReference;
-    /** What left to make room for it. */
+    /** The adapter that was evicted to free a slot. */
     readonly evicted?: AdapterReference;
   }
   | { readonly kind: "evict"; readonly adapter: AdapterReference }
@@ -60,18 +60,18 @@
     readonly retryAfter: Duration;
   };
 
-/** What is known of an engine's capacity. */
+/** The capacity of an engine. */
 export interface EngineCapacity {
   readonly adapterSlots: number;
   readonly batchCapacity: number;
 }
 
-/** An engine's own report of its load, as of some time ago. */
+/** An engine's report of its load at an earlier time. */
 export interface EngineReport {
   readonly running: number;
   readonly waiting: number;
-  /** How long a step of its batch takes. */
+  /** The duration of one step of the batch. */
   readonly stepTime: Duration;
-  /** How old the figures are. */
+  /** The age of the report. */
   readonly age: Duration;
 }
--- a/packages/core/src/serving/give_up_timer.ts
+++ b/packages/core/src/serving/give_up_timer.ts
@@ -7,21 +7,21 @@
   readonly at: Instant;
 }
 
-/** Finds the requests that have waited too long, without a visit to all. */
+/** Finds requests that have waited too long without visiting all of them. */
 export class GiveUpTimer {
   readonly #entries = new TinyQueue<Entry>(
     [],
     (left, right) => left.at - right.at,
   );
 
-  /** When the next request is due; it may have left meanwhile. */
+  /** When the next waiting request is due. */
   get next(): Instant | undefined {
     this.#dropOver();
     return this.#entries.peek()?.at;
   }
 
   /**
-   * Watches a request from its arrival.
+   * Schedules a new request.
    * @param request The request.
    */
   watch(request: WaitingRequest): void {
@@ -29,7 +29,7 @@
   }
 
   /**
-   * Watches a request for another target's length.
+   * Schedules a request again, one target length from now.
    * @param now The present time.
    * @param request The request.
    */
@@ -38,9 +38,9 @@
   }
 
   /**
-   * Takes out the requests that are due.
+   * Removes the entries that are due.
    * @param now The present time.
-   * @returns The requests.
+   * @returns Their requests, some of which may no longer wait.
    */
   due(now: Instant): readonly WaitingRequest[] {
     const due: WaitingRequest[] = [];
--- a/packages/core/src/serving/hopeless_requests.ts
+++ b/packages/core/src/serving/hopeless_requests.ts
@@ -2,7 +2,7 @@
 import type { Instant } from "../shared/mod.ts";
 import { GiveUpTimer } from "./give_up_timer.ts";
 
-/** Finds the requests that are too late and hold up others by their wait. */
+/** Finds waiting requests that are overdue and delay others. */
 export class HopelessRequests {
   readonly #book: RequestBook;
   readonly #timer = new GiveUpTimer();
@@ -12,13 +12,13 @@
     this.#book = book;
   }
 
-  /** When a waiting request may have to be given up. */
+  /** When a waiting request may next have to be refused. */
   get next(): Instant | undefined {
     return this.#timer.next;
   }
 
   /**
-   * Watches a request from its arrival.
+   * Starts to watch a new request.
    * @param request The request.
    */
   watch(request: WaitingRequest): void {
@@ -26,11 +26,10 @@
   }
 
   /**
-   * Goes through the requests that are due, and lets go on waiting those that
-   * harm nobody.
+   * Refuses the overdue requests that delay others; the rest keep waiting.
    * @param now The present time.
-   * @param refuse Takes each of the others out of the book at once, since
-   * whether the next one harms anybody depends on it.
+   * @param refuse Removes a request from the engine's requests. It must do so
+   * at once, since the check of the next request depends on it.
    */
   refuseDue(now: Instant, refuse: (request: WaitingRequest) => void): void {
     for (const request of this.#timer.due(now)) {
--- a/packages/core/src/serving/load_grants.ts
+++ b/packages/core/src/serving/load_grants.ts
@@ -9,30 +9,32 @@
 import type { EngineController } from "./engine_controller.ts";
 import type { PrefetchScout } from "./prefetch_scout.ts";
 
-/** How long wishes stand while no request, load or eviction changes them. */
+/**
+ * How often wishes are refreshed if no request, load or eviction changes them.
+ */
 const WISHES_LAST = milliseconds(50);
 
-/** What grants are made from. */
+/** The dependencies of {@link LoadGrants}. */
 export interface LoadGrantsParts {
   readonly ledger: LoadPermitLedger;
   readonly scout: PrefetchScout;
   readonly engines: ReadonlyMap<EngineId, EngineController>;
 }
 
-/** Brings the engines' wishes to the ledger, and its permits to them. */
+/** Offers the engines' wishes to the ledger and applies its permits. */
 export class LoadGrants {
   readonly #parts: LoadGrantsParts;
-  /** Engines whose wishes may differ from those that they last offered. */
+  /** Engines whose wishes may have changed since their last offer. */
   readonly #changed = new Set<EngineId>();
   #nextLook = CLOCK_START;
 
-  /** @param parts What grants are made from. */
+  /** @param parts The dependencies. */
   constructor(parts: LoadGrantsParts) {
     this.#parts = parts;
   }
 
   /**
-   * Takes note that an engine may now wish for other adapters.
+   * Marks an engine whose wishes may have changed.
    * @param engine The engine.
    */
   wishesChanged(engine: EngineId): void {
@@ -40,9 +42,9 @@
   }
 
   /**
-   * Grants what the weight store has room for.
+   * Grants loads up to the limits of the weight store.
    * @param now The present time.
-   * @returns The engines that got a permit.
+   * @returns The engines that received a permit.
    */
   grant(now: Instant): ReadonlySet<EngineId> {
     if (!this.#parts.ledger.hasRoom(now)) return new Set();
--- a/packages/core/src/serving/load_planner.ts
+++ b/packages/core/src/serving/load_planner.ts
@@ -16,20 +16,22 @@
 import type { AdapterValue } from "./adapter_value.ts";
 import type { EngineDecision } from "./engine_event.ts";
 
-/** How many wishes are offered at once. */
+/** The maximum number of wishes that are offered at once. */
 const MOST_WISHES = 4;
-/** How much more a prefetched adapter must be worth than what it displaces. */
+/**
+ * How many times the value of its victim a prefetched adapter must be worth.
+ */
 const PREFETCH_MARGIN = 2;
 
-/** An adapter that may be worth loading before anyone waits for it. */
+/** An adapter that may be worth loading before a request needs it. */
 export interface PrefetchCandidate {
   readonly key: AdapterKey;
   readonly adapter: AdapterReference;
-  /** Target lengths of waiting that it would save a second. */
+  /** The waiting that it would save, in target lengths per second. */
   readonly worth: number;
 }
 
-/** What a planner works on. */
+/** The dependencies of a load planner. */
 export interface LoadPlannerParts {
   readonly engine: EngineId;
   readonly residency: EngineResidency;
@@ -46,33 +48,34 @@
   readonly key: AdapterKey;
 }
 
-/** Decides which adapters one engine wants, and which leave for them. */
+/** Decides which adapters an engine loads and evicts. */
 export class LoadPlanner {
   readonly #parts: LoadPlannerParts;
   readonly #backoff = new LoadBackoff();
-  /** Loads that wait for the eviction of another adapter. */
+  /** Planned loads by the adapter that is being evicted for them. */
   readonly #afterEviction = new Map<AdapterKey, PlannedLoad>();
   readonly #awaiting = new Set<AdapterKey>();
   #orders: EngineDecision[] = [];
 
-  /** @param parts What to work on. */
+  /** @param parts The dependencies of the planner. */
   constructor(parts: LoadPlannerParts) {
     this.#parts = parts;
   }
 
   /**
-   * Tells whether a load is decided that waits for an eviction.
-   * @param key The adapter.
-   * @returns Whether one is.
+   * Tells whether the load of an adapter waits for an eviction.
+   * @param key The key of the adapter.
+   * @returns Whether such a load is planned.
    */
   isAwaiting(key: AdapterKey): boolean {
     return this.#awaiting.has(key);
   }
 
   /**
-   * Estimates what is lost by the eviction that a load would need.
+   * Estimates the loss by the eviction that a load would need.
    * @param now The present time.
-   * @returns Target lengths of waiting a second; 0 where a slot is free.
+   * @returns The loss in target lengths of waiting per second, or 0 if a slot
+   * is free.
    */
   roomLoss(now: Instant): number {
     if (this.#freeSlots() > 0) return 0;
@@ -82,8 +85,8 @@
   /**
    * Lists the most urgent adapters that the engine could load now.
    * @param now The present time.
-   * @param prefetch Adapters worth having before anyone waits for them.
-   * @returns A few wishes.
+   * @param prefetch Candidates for loading before a request needs them.
+   * @returns A limited number of load wishes.
    */
   wishes(
     now: Instant,
@@ -100,7 +103,7 @@
   }
 
   /**
-   * Uses a permit: orders the load, or first the eviction that makes room.
+   * Uses a permit: orders the load, or first an eviction if no slot is free.
    * @param now The present time.
    * @param adapter The adapter that may be loaded.
    * @param key The adapter's key.
@@ -128,11 +131,12 @@
   }
 
   /**
-   * Goes on after an eviction, or gives its permit back where it failed.
+   * Starts the load that waited for an eviction, or returns its permit if the
+   * eviction failed.
    * @param now The present time.
-   * @param victim The adapter that was to leave.
-   * @param evicted Whether it has left.
-   * @returns The adapter that was to take its place.
+   * @param victim The key of the adapter to evict.
+   * @param evicted Whether it was evicted.
+   * @returns The key of the adapter whose load waited, if any.
    */
   afterEviction(
     now: Instant,
@@ -149,10 +153,10 @@
   }
 
   /**
-   * Takes note of the end of a load.
+   * Records the end of a load, for backoff.
    * @param now The present time.
-   * @param key The adapter.
-   * @param loaded Whether it is resident now.
+   * @param key The key of the adapter.
+   * @param loaded Whether the adapter is now resident.
    */
   loadEnded(now: Instant, key: AdapterKey, loaded: boolean): void {
     if (loaded) this.#backoff.succeeded(key);
@@ -160,7 +164,7 @@
   }
 
   /**
-   * Takes the orders decided since the last call.
+   * Takes the orders that were decided since the last call.
    * @returns The orders.
    */
   takeOrders(): readonly EngineDecision[] {
@@ -195,7 +199,7 @@
     });
   }
 
-  /** Slots that no decided load will take. */
+  /** The number of slots without an adapter or a planned load. */
   #freeSlots(): number {
     return this.#parts.residency.freeSlots;
   }
@@ -210,9 +214,9 @@
   }
 
   /**
-   * How much more a wish counts against remembered demand than it did when
-   * its oldest request was due: remembered demand fades over minutes, and a
-   * request must not wait for that.
+   * Computes the factor by which a wish gains weight against past demand once
+   * its oldest request is overdue. Past demand decays over minutes, which is
+   * too long for a request to wait.
    */
   #patienceLost(now: Instant, wish: LoadWish): number {
     const line = this.#parts.book.blocked.find(wish.key);
--- a/packages/core/src/serving/prefetch_scout.ts
+++ b/packages/core/src/serving/prefetch_scout.ts
@@ -9,13 +9,16 @@
 import type { AdapterValue } from "./adapter_value.ts";
 import type { PrefetchCandidate } from "./load_planner.ts";
 
-/** How many candidates an engine keeps. */
+/** The maximum number of candidates per engine. */
 const KEPT = 8;
-/** An adapter needs another replica when it fills this share of a batch. */
+/**
+ * An adapter needs another replica when its requests fill this share of its
+ * holders' batches.
+ */
 const GROWTH_SHARE = 0.5;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What a scout works on. */
+/** The dependencies of a prefetch planner. */
 export interface PrefetchScoutParts {
   readonly demand: DemandTracker;
   readonly index: ResidenceIndex;
@@ -24,21 +27,22 @@
 }
 
 /**
- * Looks for hot adapters that need more replicas, and has them loaded before
- * anyone waits. It looks only at those that were asked for since it last did,
- * so that its cost does not grow with the number of adapters.
+ * Finds frequently used adapters that need more replicas, so that they are
+ * loaded before requests wait. Only considers adapters that were requested
+ * since the last update, so that the cost does not grow with the number of
+ * adapters.
  */
 export class PrefetchScout {
   readonly #parts: PrefetchScoutParts;
   readonly #candidates = new Map<EngineId, PrefetchCandidate[]>();
 
-  /** @param parts What to work on. */
+  /** @param parts The dependencies of the planner. */
   constructor(parts: PrefetchScoutParts) {
     this.#parts = parts;
   }
 
   /**
-   * Looks at the adapters that were asked for since the last call.
+   * Considers the adapters that were requested since the last call.
    * @param now The present time.
    * @param views The engines.
    */
@@ -49,7 +53,7 @@
   }
 
   /**
-   * Lists the candidates for an engine, worked out anew.
+   * Lists the candidates for an engine with their current worth.
    * @param now The present time.
    * @param engine The engine.
    * @returns The candidates.
@@ -94,7 +98,10 @@
   }
 }
 
-/** By Little's law: arrivals a second times seconds of service. */
+/**
+ * Compares the concurrent requests with the holders' batch capacity. By Little's
+ * law, the concurrency is the arrival rate times the service time.
+ */
 function needsReplica(
   now: Instant,
   { demand, holders, views }: {
--- a/packages/core/src/serving/request_dispatcher.ts
+++ b/packages/core/src/serving/request_dispatcher.ts
@@ -9,28 +9,29 @@
 import { elapsed, type Instant, milliseconds } from "../shared/mod.ts";
 import type { EngineDecision } from "./engine_event.ts";
 
-/** What a dispatcher works on. */
+/** The dependencies of a request dispatcher. */
 export interface RequestDispatcherParts {
   readonly book: RequestBook;
   readonly residency: EngineResidency;
   readonly history: OwnHistory;
-  /** Counts the places of the batch that requests may take. */
+  /** Returns the number of batch places available to requests. */
   readonly places: () => number;
 }
 
-/** Gives the places of one engine's batch to requests, least slack first. */
+/** Assigns an engine's batch places to requests by least slack. */
 export class RequestDispatcher {
   readonly #parts: RequestDispatcherParts;
 
-  /** @param parts What to work on. */
+  /** @param parts The dependencies of the dispatcher. */
   constructor(parts: RequestDispatcherParts) {
     this.#parts = parts;
   }
 
   /**
-   * Dispatches while there are places, or work that gives way.
+   * Dispatches ready requests while there are free places or running requests
+   * that can be preempted.
    * @param now The present time.
-   * @param decisions Receives the decisions.
+   * @param decisions The list to which decisions are added.
    */
   dispatch(now: Instant, decisions: EngineDecision[]): void {
     for (;;) {
--- a/packages/core/tests/delivery/crash_record_test.ts
+++ b/packages/core/tests/delivery/crash_record_test.ts
@@ -31,7 +31,7 @@
   );
 });
 
-test("records of another form are told apart", (t) => {
+test("malformed records are rejected", (t) => {
   const foreign = [
     "",
     "{}",
--- a/packages/core/tests/delivery/keys_test.ts
+++ b/packages/core/tests/delivery/keys_test.ts
@@ -52,7 +52,7 @@
   t.snapshot(texts.map((text) => parseExecutionKey(text)));
 });
 
-test("a key with another body is refused as not run", (t) => {
+test("a key with a different body is refused as not run", (t) => {
   const ledger = ledgerOf();
   ledger.admit(NOW, { key: KEY, digest: "one" });
   const second = ledger.admit(NOW, { key: KEY, digest: "two" });
@@ -87,7 +87,7 @@
   });
 });
 
-test("a run that starts twice breaks the invariant", (t) => {
+test("starting a run twice violates the at-most-once invariant", (t) => {
   const ledger = ledgerOf();
   ledger.admit(NOW, { key: KEY, digest: "d" });
   ledger.started(KEY);
@@ -96,7 +96,7 @@
   }, { message: /at_most_once/ });
 });
 
-test("a key proven not run is free again, an unknown one is not", (t) => {
+test("a key that is proven not run can run again, an unknown one cannot", (t) => {
   const ledger = ledgerOf();
   const failure: Failure = {
     reason: "timeout",
@@ -117,7 +117,7 @@
   t.is(last.kind, "replay");
 });
 
-test("the lowest claim wins, whatever is read after it", (t) => {
+test("the claim with the lowest offset wins", (t) => {
   const index = new ClaimIndex(milliseconds(1_000));
   index.readFrom(logOffset(0));
   index.apply(NOW, logOffset(0), { id: "r1", claims: [claimOf("1")] });
@@ -127,7 +127,7 @@
   t.false(index.hasRead("r0"));
 });
 
-test("an epoch below the claims that are kept is too old", (t) => {
+test("an epoch below the retained claims is too old", (t) => {
   const index = new ClaimIndex(milliseconds(1_000));
   index.readFrom(logOffset(0));
   index.apply(NOW, logOffset(0), { id: "r1", claims: [claimOf("1")] });
--- a/packages/core/tests/delivery/request_delivery_test.ts
+++ b/packages/core/tests/delivery/request_delivery_test.ts
@@ -74,7 +74,7 @@
   ]);
 });
 
-test("a late frame between two attempts is dropped, not passed on", (t) => {
+test("a late frame between two attempts is dropped", (t) => {
   const delivery = deliveryOf();
   delivery.start();
   delivery.handle(NOW, failed(1));
@@ -107,7 +107,7 @@
   t.like(end, { kind: "fail", failure: { outcome: "unknown" } });
 });
 
-test("an attempt proven not run is followed by another one", (t) => {
+test("an attempt that is proven not run is retried", (t) => {
   const delivery = deliveryOf({ repeatable: false });
   delivery.start();
   t.deepEqual(delivery.handle(NOW, failed(1, { outcome: "not_run" })), []);
@@ -115,7 +115,7 @@
   t.like(next, { kind: "attempt", fromSequence: 0 });
 });
 
-test("a stream that cannot be resumed ends with an error", (t) => {
+test("a stream that cannot be resumed fails", (t) => {
   const delivery = deliveryOf();
   delivery.start();
   delivery.handle(NOW, frame(1, 0));
@@ -126,7 +126,7 @@
   t.like(end, { kind: "fail", failure: { outcome: "unknown" } });
 });
 
-test("an answer that is held back restarts unseen by the caller", (t) => {
+test("a buffered answer restarts without tokens for the caller", (t) => {
   const delivery = deliveryOf({ streamed: false });
   delivery.start();
   delivery.handle(NOW, frame(1, 0));
@@ -138,14 +138,14 @@
   t.like(again, { kind: "attempt", fromSequence: 0 });
 });
 
-test("an empty retry budget gives the final answer at once", (t) => {
+test("an empty retry budget fails the request at once", (t) => {
   const budget = new RetryBudget({ share: 0, maximum: 0 });
   const delivery = deliveryOf({ budget });
   delivery.start();
   t.like(delivery.handle(NOW, failed(1))[0], { kind: "fail" });
 });
 
-test("tokens of another adapter are never passed on", (t) => {
+test("tokens of another adapter are never sent to the caller", (t) => {
   const delivery = deliveryOf();
   delivery.start();
   const wrong = frame(1, 0);
@@ -157,7 +157,7 @@
   t.deepEqual(actions.map((action) => action.kind), ["cancel", "fail"]);
 });
 
-test("a caller who leaves has the engine stopped and its end at once", (t) => {
+test("a request whose caller leaves is cancelled at the engine and fails at once", (t) => {
   const delivery = deliveryOf();
   delivery.start();
   const actions = delivery.handle(NOW, { kind: "caller_left" });
@@ -165,8 +165,9 @@
   t.like(actions[1], { kind: "fail", failure: { outcome: "unknown" } });
 });
 
-// Guards against engines that end one after the other under one request.
-test("a request under which three engines broke off is tried at no fourth", (t) => {
+// A request that crashes its engine must not be retried on one engine after
+// the other.
+test("a request that lost three engines is not retried on a fourth", (t) => {
   const delivery = deliveryOf({ maximumAttempts: 5 });
   delivery.start();
   const engines = ["engine-1", "engine-2", "engine-2", "engine-3"];
--- a/packages/core/tests/serving/engine_controller_test.ts
+++ b/packages/core/tests/serving/engine_controller_test.ts
@@ -67,7 +67,7 @@
   t.deepEqual(dispatched(controller.decide(instant(5))), ["a", "b", "c"]);
 });
 
-test("the wait for the adapter and for a place are told apart", (t) => {
+test("the waits for the adapter and for a place are reported separately", (t) => {
   const controller = make(1, 1);
   controller.submit(instant(0), queued("first"));
   controller.submit(instant(0), queued("second"));
@@ -79,7 +79,7 @@
   t.like(decision, { kind: "dispatch", loadStall: 400, queueWait: 500 });
 });
 
-test("the shorter target goes first", (t) => {
+test("the request with the shorter target is dispatched first", (t) => {
   const controller = make(1, 1);
   load(controller);
   controller.submit(instant(0), queued("batch", { target: 60_000 }));
@@ -87,7 +87,7 @@
   t.deepEqual(dispatched(controller.decide(instant(0))), ["live"]);
 });
 
-test("batch work gives its place to interactive work, and keeps its pin", (t) => {
+test("a preempted batch request keeps its adapter pinned", (t) => {
   const controller = make(1, 1);
   load(controller);
   controller.submit(instant(0), queued("batch", { target: 60_000 }));
@@ -101,7 +101,7 @@
   t.deepEqual(dispatched(controller.decide(instant(20))), ["batch"]);
 });
 
-test("no tenant starves another inside a class", (t) => {
+test("a tenant does not starve another one in the same class", (t) => {
   const controller = make(1, 1);
   load(controller);
   for (let index = 0; index < 20; index += 1) {
@@ -117,7 +117,7 @@
   t.true(order.includes("few-0"), order.join(" "));
 });
 
-test("a request that is given up is refused at once, and is not run", (t) => {
+test("an overdue request that delays others is refused and not run", (t) => {
   const controller = make(1, 1);
   load(controller);
   controller.submit(instant(0), queued("running"));
@@ -131,7 +131,7 @@
   t.deepEqual(dispatched(controller.decide(instant(2_100))), ["fresh"]);
 });
 
-test("a failed load backs off and does not jam other adapters", (t) => {
+test("a failed load backs off and does not block other adapters", (t) => {
   const controller = make(2, 4);
   controller.submit(instant(0), queued("a"));
   controller.usePermit(instant(0), NOTES);
@@ -143,7 +143,7 @@
   t.true(later.includes(adapterKey(NOTES)));
 });
 
-test("requests that wait are handed back with the time they waited", (t) => {
+test("withdrawn requests include the time that they waited", (t) => {
   const controller = make(1, 1);
   controller.submit(instant(0), queued("a"));
   const [back] = controller.handBack(instant(250));
