--- a/packages/core/src/delivery/abandoned_claims.ts
+++ b/packages/core/src/delivery/abandoned_claims.ts
@@ -14,7 +14,7 @@
  */
 export class AbandonedClaims {
   readonly #limits: AbandonedClaimsLimits;
-  readonly #until = new Map<string, Instant>();
+  readonly #expiryByNonce = new Map<string, Instant>();
 
   /** @param limits The limits on remembered claims. */
   constructor(limits: AbandonedClaimsLimits) {
@@ -27,11 +27,11 @@
    * @param nonce The nonce of the claim.
    */
   add(now: Instant, nonce: string): void {
-    this.#until.set(nonce, later(now, this.#limits.retention));
-    for (const [oldest, until] of this.#until) {
-      const isFull = this.#until.size > this.#limits.maximumKeys;
-      if (!isFull && until > now) return;
-      this.#until.delete(oldest);
+    this.#expiryByNonce.set(nonce, later(now, this.#limits.retention));
+    for (const [oldest, expiresAt] of this.#expiryByNonce) {
+      const isFull = this.#expiryByNonce.size > this.#limits.maximumKeys;
+      if (!isFull && expiresAt > now) return;
+      this.#expiryByNonce.delete(oldest);
     }
   }
 
@@ -42,6 +42,6 @@
    * only once.
    */
   take(nonce: string): boolean {
-    return this.#until.delete(nonce);
+    return this.#expiryByNonce.delete(nonce);
   }
 }
--- a/packages/core/src/delivery/attempt_state.ts
+++ b/packages/core/src/delivery/attempt_state.ts
@@ -30,7 +30,7 @@
   }
 
   /** Whether the attempt may have reached a node or engine that runs it. */
-  get isOpen(): boolean {
+  get isInFlight(): boolean {
     return this.#state === "handed_over" || this.#state === "dispatched";
   }
 
@@ -38,7 +38,7 @@
    * Advances the attempt to another state.
    * @param next The new state.
    */
-  moveTo(next: AttemptState): void {
+  advanceTo(next: AttemptState): void {
     if (next === this.#state) return;
     assertInvariant(
       NEXT_STATES[this.#state].includes(next),
--- a/packages/core/src/delivery/claim_gathering.ts
+++ b/packages/core/src/delivery/claim_batcher.ts
@@ -22,7 +22,7 @@
 }
 
 /** Options for batching claims. */
-export interface ClaimGatheringOptions {
+export interface ClaimBatcherOptions {
   /** The minimum time between two appends. */
   readonly batchInterval: Duration;
   /** How long a claim may stay unsettled before it is refused. */
@@ -36,7 +36,7 @@
   readonly recordId: () => string;
 }
 
-interface Pending {
+interface PendingClaim {
   readonly claim: KeyClaim;
   readonly deadline: Instant;
   record: string | undefined;
@@ -49,20 +49,20 @@
  */
 export class ClaimGathering {
   readonly index: ClaimIndex;
-  readonly #options: ClaimGatheringOptions;
-  readonly #pending = new Map<string, Pending>();
+  readonly #options: ClaimBatcherOptions;
+  readonly #pending = new Map<string, PendingClaim>();
   #settled: SettledClaim[] = [];
   #nextBatchAt: Instant | undefined;
-  #appending = false;
+  #isAppending = false;
 
   /** @param options The options. */
-  constructor(options: ClaimGatheringOptions) {
+  constructor(options: ClaimBatcherOptions) {
     this.#options = options;
     this.index = new ClaimIndex(options.window);
   }
 
   /** The number of unsettled claims. */
-  get pending(): number {
+  get pendingCount(): number {
     return this.#pending.size;
   }
 
@@ -94,16 +94,16 @@
    * @returns The record; {@link appendEnded} must be called for it.
    */
   takeBatch(now: Instant): ClaimRecord | undefined {
-    if (this.#appending || now < (this.#nextBatchAt ?? now)) return undefined;
-    const waiting = [...this.#pending.values()]
+    if (this.#isAppending || now < (this.#nextBatchAt ?? now)) return undefined;
+    const unsent = [...this.#pending.values()]
       .filter((pending) => pending.record === undefined)
       .slice(0, this.#options.maximumBatch);
-    if (waiting.length === 0) return undefined;
+    if (unsent.length === 0) return undefined;
     const id = this.#options.recordId();
-    for (const pending of waiting) pending.record = id;
-    this.#appending = true;
+    for (const pending of unsent) pending.record = id;
+    this.#isAppending = true;
     this.#nextBatchAt = later(now, this.#options.batchInterval);
-    return { id, claims: waiting.map((pending) => pending.claim) };
+    return { id, claims: unsent.map((pending) => pending.claim) };
   }
 
   /**
@@ -113,7 +113,7 @@
    * @param failure Why the append failed, if it did.
    */
   appendEnded(id: string, failure: Failure | undefined): void {
-    this.#appending = false;
+    this.#isAppending = false;
     for (const pending of this.#pending.values()) {
       if (pending.record !== id) continue;
       pending.appended = failure === undefined;
@@ -128,7 +128,7 @@
    * @returns The claims, each returned once.
    */
   takeSettled(now: Instant): readonly SettledClaim[] {
-    for (const pending of this.#pending.values()) this.#judge(now, pending);
+    for (const pending of this.#pending.values()) this.#trySettle(now, pending);
     this.index.prune(now);
     const settled = this.#settled;
     this.#settled = [];
@@ -149,32 +149,35 @@
     this.index.apply(now, offset, record);
   }
 
-  #judge(now: Instant, pending: Pending): void {
+  #trySettle(now: Instant, pending: PendingClaim): void {
     const { claim, record, appended } = pending;
     const readBack = record !== undefined && this.index.hasRead(record);
     const winner = this.index.winner(claim.key);
-    const trusted = this.#options.rules.mayRunClaimed({
+    const mayRun = this.#options.rules.mayRunClaimed({
       appended,
       readBack,
       isLowest: winner?.nonce === claim.nonce,
     });
-    if (readBack || trusted) {
-      this.#settle(pending, this.#verdict(claim, trusted ? claim : winner));
+    if (readBack || mayRun) {
+      this.#settle(pending, this.#verdictFor(claim, mayRun ? claim : winner));
       return;
     }
     if (now < pending.deadline) return;
     this.#settle(pending, refusedClaim(claim.key, TIMED_OUT));
   }
 
-  #verdict(claim: KeyClaim, winner: KeyClaim | undefined): ClaimVerdict {
+  #verdictFor(claim: KeyClaim, winner: KeyClaim | undefined): ClaimVerdict {
     if (winner === undefined) return refusedClaim(claim.key, TIMED_OUT);
-    const judged = claim.epoch === undefined
+    const coverage = claim.epoch === undefined
       ? "covered"
-      : this.index.judgeEpoch(claim.epoch);
-    if (this.#options.rules.acceptsEpoch(judged)) {
+      : this.index.checkEpoch(claim.epoch);
+    if (this.#options.rules.acceptsEpoch(coverage)) {
       return { kind: "winner", claim: winner };
     }
-    return refusedClaim(claim.key, judged === "ahead" ? AHEAD : TOO_OLD);
+    return refusedClaim(
+      claim.key,
+      coverage === "ahead" ? EPOCH_AHEAD : EPOCH_TOO_OLD,
+    );
   }
 
   #refuse(claim: KeyClaim, cause: FailureCause): void {
@@ -182,7 +185,7 @@
     this.#settled.push({ nonce, verdict: refusedClaim(key, cause) });
   }
 
-  #settle(pending: Pending, verdict: ClaimVerdict): void {
+  #settle(pending: PendingClaim, verdict: ClaimVerdict): void {
     const { nonce } = pending.claim;
     this.#pending.delete(nonce);
     this.#settled.push({ nonce, verdict });
@@ -197,13 +200,13 @@
   outcome: "not_run",
 };
 
-const TOO_OLD: FailureCause = {
+const EPOCH_TOO_OLD: FailureCause = {
   reason: "expired",
   message: "The key is older than the retained claims; it is not run.",
   outcome: "unknown",
 };
 
-const AHEAD: FailureCause = {
+const EPOCH_AHEAD: FailureCause = {
   reason: "invalid",
   message: "The key's epoch is ahead of the log.",
   outcome: "not_run",
--- a/packages/core/src/delivery/claim_index.ts
+++ b/packages/core/src/delivery/claim_index.ts
@@ -15,7 +15,7 @@
 }
 
 /** Whether the index knows all claims from a key's epoch onwards. */
-export type EpochVerdict = "covered" | "too_old" | "ahead";
+export type EpochCoverage = "covered" | "too_old" | "ahead";
 
 /**
  * The claims read within the retention window. Only the claim with the lowest
@@ -25,9 +25,9 @@
   readonly #window: Duration;
   /** In ascending order of offsets. */
   readonly #entries = new Map<IdempotencyKey, Entry>();
-  readonly #records = new Map<string, Instant>();
-  #from: LogOffset | undefined;
-  #next = logOffset(0);
+  readonly #recordReadTimes = new Map<string, Instant>();
+  #firstOffset: LogOffset | undefined;
+  #nextOffset = logOffset(0);
 
   /** @param window How long claims are kept after they are read. */
   constructor(window: Duration) {
@@ -41,7 +41,7 @@
 
   /** The next offset to read. */
   get next(): LogOffset {
-    return this.#next;
+    return this.#nextOffset;
   }
 
   /**
@@ -49,9 +49,9 @@
    * @param firstKept The oldest offset that the log still keeps.
    */
   readFrom(firstKept: LogOffset): void {
-    const isGap = firstKept > this.#next;
-    if (this.#from === undefined || isGap) this.#from = firstKept;
-    if (isGap) this.#next = firstKept;
+    const isGap = firstKept > this.#nextOffset;
+    if (this.#firstOffset === undefined || isGap) this.#firstOffset = firstKept;
+    if (isGap) this.#nextOffset = firstKept;
   }
 
   /**
@@ -65,10 +65,10 @@
     offset: LogOffset,
     record: ClaimRecord | undefined,
   ): void {
-    if (offset < this.#next) return;
-    this.#next = logOffset(offset + 1);
+    if (offset < this.#nextOffset) return;
+    this.#nextOffset = logOffset(offset + 1);
     if (record === undefined) return;
-    this.#records.set(record.id, now);
+    this.#recordReadTimes.set(record.id, now);
     for (const claim of record.claims) {
       if (this.#entries.has(claim.key)) continue;
       this.#entries.set(claim.key, { claim, offset, readAt: now });
@@ -80,7 +80,7 @@
    * @param id The record's id.
    */
   hasRead(id: string): boolean {
-    return this.#records.has(id);
+    return this.#recordReadTimes.has(id);
   }
 
   /**
@@ -97,9 +97,11 @@
    * @param epoch The offset below which the key has no claims.
    * @returns The coverage; only a covered key may be claimed.
    */
-  judgeEpoch(epoch: LogOffset): EpochVerdict {
-    if (epoch > this.#next) return "ahead";
-    if (this.#from === undefined || epoch < this.#from) return "too_old";
+  checkEpoch(epoch: LogOffset): EpochCoverage {
+    if (epoch > this.#nextOffset) return "ahead";
+    if (this.#firstOffset === undefined || epoch < this.#firstOffset) {
+      return "too_old";
+    }
     return "covered";
   }
 
@@ -111,11 +113,13 @@
     for (const [key, entry] of this.#entries) {
       if (elapsed(entry.readAt, now) <= this.#window) break;
       this.#entries.delete(key);
-      this.#from = logOffset(Math.max(this.#from ?? 0, entry.offset + 1));
+      this.#firstOffset = logOffset(
+        Math.max(this.#firstOffset ?? 0, entry.offset + 1),
+      );
     }
-    for (const [id, readAt] of this.#records) {
+    for (const [id, readAt] of this.#recordReadTimes) {
       if (elapsed(readAt, now) <= this.#window) return;
-      this.#records.delete(id);
+      this.#recordReadTimes.delete(id);
     }
   }
 }
--- a/packages/core/src/delivery/delivery_event.ts
+++ b/packages/core/src/delivery/delivery_event.ts
@@ -1,5 +1,5 @@
 import type { AttemptNumber, Failure } from "../shared/mod.ts";
-import type { ArrivingFrame } from "./frame_gate.ts";
+import type { ReceivedFrame } from "./frame_filter.ts";
 
 /** The result of a generation that its engine completed. */
 export interface GenerationTotals {
@@ -12,7 +12,7 @@
 
 /** An event in the delivery of a request. */
 export type DeliveryEvent =
-  | { readonly kind: "frame"; readonly frame: ArrivingFrame }
+  | { readonly kind: "frame"; readonly frame: ReceivedFrame }
   | {
     readonly kind: "completed";
     readonly attempt: AttemptNumber;
--- a/packages/core/src/delivery/delivery_failures.ts
+++ b/packages/core/src/delivery/delivery_failures.ts
@@ -1,10 +1,10 @@
 import { type Duration, type Failure, milliseconds } from "../shared/mod.ts";
 
-const FIRST_WAIT_MILLISECONDS = 20;
-const LONGEST_WAIT_MILLISECONDS = 1_000;
+const INITIAL_BACKOFF_MILLISECONDS = 20;
+const MAXIMUM_BACKOFF_MILLISECONDS = 1_000;
 
 /** The failure of a request that may have run when its caller left. */
-export const CANCELLED: Failure = {
+export const CANCELLED_BY_CALLER: Failure = {
   reason: "cancelled",
   step: "cancel",
   peer: "caller",
@@ -17,7 +17,7 @@
  * @param message What is missing.
  * @returns The failure.
  */
-export function incomplete(message: string): Failure {
+export function incompleteStream(message: string): Failure {
   return {
     reason: "corrupt",
     step: "resume_stream",
@@ -43,14 +43,18 @@
 /**
  * Computes the exponential backoff before the next attempt, which doubles with
  * each failure.
- * @param failures The number of failed attempts.
+ * @param failureCount The number of failed attempts.
  * @param failure The last failure, which may request a minimum delay.
  * @returns The delay, at most one second.
  */
-export function backOff(failures: number, failure: Failure): Duration {
-  const doubled = FIRST_WAIT_MILLISECONDS * 2 ** (failures - 1);
-  const stated = failure.retryAfterMilliseconds ?? 0;
+export function backoffDelay(failureCount: number, failure: Failure): Duration {
+  const exponentialDelay = INITIAL_BACKOFF_MILLISECONDS *
+    2 ** (failureCount - 1);
+  const requestedDelay = failure.retryAfterMilliseconds ?? 0;
   return milliseconds(
-    Math.min(LONGEST_WAIT_MILLISECONDS, Math.max(doubled, stated)),
+    Math.min(
+      MAXIMUM_BACKOFF_MILLISECONDS,
+      Math.max(exponentialDelay, requestedDelay),
+    ),
   );
 }
--- a/packages/core/src/delivery/delivery_rules.ts
+++ b/packages/core/src/delivery/delivery_rules.ts
@@ -1,5 +1,5 @@
 import type { Failure, Instant, RunOutcome } from "../shared/mod.ts";
-import type { EpochVerdict } from "./claim_index.ts";
+import type { EpochCoverage } from "./claim_index.ts";
 
 /** What is known about a failed attempt. */
 export interface FailedAttempt {
@@ -40,10 +40,10 @@
   nextStep(attempt: FailedAttempt): NextStep {
     const { failure, repeatable, received, passed, wasResume } = attempt;
     const mayRestart = repeatable && passed === 0;
-    if (wasResume && isNothingToResume(failure)) {
+    if (wasResume && isResumeImpossible(failure)) {
       return mayRestart ? "restart" : "give_up";
     }
-    if (!isPassing(failure)) return "give_up";
+    if (!isTransient(failure)) return "give_up";
     if (received > 0) return "resume";
     return mayRestart || failure.outcome === "not_run" ? "restart" : "give_up";
   }
@@ -103,7 +103,7 @@
    * Decides whether a key may be claimed, given its epoch.
    * @param verdict Whether all claims of the key are known.
    */
-  acceptsEpoch(verdict: EpochVerdict): boolean {
+  acceptsEpoch(verdict: EpochCoverage): boolean {
     return verdict === "covered";
   }
 
@@ -126,12 +126,12 @@
  * Tells whether a resume cannot succeed: the engine does not have the
  * generation or refuses. A resume never starts a new generation.
  */
-function isNothingToResume(failure: Failure): boolean {
+function isResumeImpossible(failure: Failure): boolean {
   return failure.reason === "not_found" || failure.reason === "refused" ||
     failure.reason === "invalid";
 }
 
-function isPassing(failure: Failure): boolean {
+function isTransient(failure: Failure): boolean {
   switch (failure.reason) {
     case "unavailable":
     case "timeout":
--- a/packages/core/src/delivery/execution_key.ts
+++ b/packages/core/src/delivery/execution_key.ts
@@ -45,8 +45,8 @@
 const SEPARATOR = "~";
 const BOUND_PREFIX = "bound";
 const FREE_PREFIX = "free";
-const BOUND_PARTS = 5;
-const FREE_PARTS = 3;
+const MINIMUM_BOUND_PARTS = 5;
+const MINIMUM_FREE_PARTS = 3;
 const MAXIMUM_KEY_LENGTH = 512;
 
 /**
@@ -82,15 +82,15 @@
  */
 export function parseExecutionKey(text: string): Result<ExecutionKey, Failure> {
   if (text.length === 0 || text.length > MAXIMUM_KEY_LENGTH) {
-    return err(badKey(`its length is not 1 to ${MAXIMUM_KEY_LENGTH}`));
+    return err(invalidKey(`its length is not 1 to ${MAXIMUM_KEY_LENGTH}`));
   }
   const key = idempotencyKey(text);
   const parts = text.split(SEPARATOR);
-  if (parts[0] === BOUND_PREFIX && parts.length >= BOUND_PARTS) {
+  if (parts[0] === BOUND_PREFIX && parts.length >= MINIMUM_BOUND_PARTS) {
     return parseScope(parts).map((scope) => ({ kind: "bound", scope, key }));
   }
-  if (parts[0] === FREE_PREFIX && parts.length >= FREE_PARTS) {
-    return parseCount(parts[1] ?? "").map((epoch) => ({
+  if (parts[0] === FREE_PREFIX && parts.length >= MINIMUM_FREE_PARTS) {
+    return parseInteger(parts[1] ?? "").map((epoch) => ({
       kind: "free",
       key,
       epoch: logOffset(epoch),
@@ -102,27 +102,27 @@
 function parseScope(parts: readonly string[]): Result<KeyScope, Failure> {
   const [, node = "", incarnation = "", expiry = ""] = parts;
   if (node === "" || incarnation === "") {
-    return err(badKey("its scope names no node"));
+    return err(invalidKey("its scope names no node"));
   }
-  return parseCount(expiry).map((expiresAt) => ({
+  return parseInteger(expiry).map((expiresAt) => ({
     node: nodeId(node),
     incarnation: incarnationId(incarnation),
     expiresAt: instant(expiresAt),
   }));
 }
 
-function parseCount(text: string): Result<number, Failure> {
+function parseInteger(text: string): Result<number, Failure> {
   const value = Number(text);
-  const isCount = /^\d+$/.test(text) && Number.isSafeInteger(value);
-  return isCount ? ok(value) : err(badKey(`"${text}" is not a number`));
+  const isInteger = /^\d+$/.test(text) && Number.isSafeInteger(value);
+  return isInteger ? ok(value) : err(invalidKey(`"${text}" is not a number`));
 }
 
-function badKey(why: string): Failure {
+function invalidKey(problem: string): Failure {
   return {
     reason: "invalid",
     step: "claim_key",
     peer: "caller",
-    message: `Idempotency key cannot be used: ${why}.`,
+    message: `Idempotency key cannot be used: ${problem}.`,
     outcome: "not_run",
   };
 }
--- a/packages/core/src/delivery/frame_gate.ts
+++ b/packages/core/src/delivery/frame_filter.ts
@@ -8,7 +8,7 @@
 import type { DeliveryRules } from "./delivery_rules.ts";
 
 /** A received frame that has not been checked yet. */
-export interface ArrivingFrame {
+export interface ReceivedFrame {
   readonly request: RequestId;
   readonly attempt: AttemptNumber;
   readonly sequence: number;
@@ -17,7 +17,7 @@
 }
 
 /** How a received frame is to be handled. */
-export type FrameVerdict =
+export type FrameDecision =
   | { readonly kind: "pass"; readonly tokens: readonly string[] }
   | { readonly kind: "drop"; readonly reason: DropReason }
   /** An earlier frame is missing: the stream has to be read again. */
@@ -31,28 +31,28 @@
 export type DroppedFrames = Readonly<Record<DropReason, number>>;
 
 /** The request and adapter whose frames a filter accepts. */
-export interface FrameGateOptions {
+export interface FrameFilterOptions {
   readonly request: RequestId;
   readonly adapter: AdapterReference;
   readonly rules: DeliveryRules;
 }
 
 /** Accepts each token of a request's current attempt once, in order. */
-export class FrameGate {
-  readonly #options: FrameGateOptions;
+export class FrameFilter {
+  readonly #options: FrameFilterOptions;
   readonly #dropped = { late: 0, foreign: 0, repeated: 0, misordered: 0 };
   #attempt: AttemptNumber | undefined;
-  #next = 0;
-  #gap = false;
+  #nextSequence = 0;
+  #hasReportedGap = false;
 
   /** @param options The request and adapter to accept frames for. */
-  constructor(options: FrameGateOptions) {
+  constructor(options: FrameFilterOptions) {
     this.#options = options;
   }
 
   /** The sequence number of the next expected token. */
-  get next(): number {
-    return this.#next;
+  get nextSequence(): number {
+    return this.#nextSequence;
   }
 
   /** The number of frames dropped so far, by reason. */
@@ -65,14 +65,14 @@
    * @param attempt The attempt.
    * @param from The sequence number of the attempt's first token.
    */
-  open(attempt: AttemptNumber, from: number): void {
+  startAttempt(attempt: AttemptNumber, from: number): void {
     this.#attempt = attempt;
-    this.#next = from;
-    this.#gap = false;
+    this.#nextSequence = from;
+    this.#hasReportedGap = false;
   }
 
   /** Ends the current attempt; frames that arrive afterwards are late. */
-  close(): void {
+  endAttempt(): void {
     this.#attempt = undefined;
   }
 
@@ -81,7 +81,7 @@
    * @param frame The frame.
    * @returns The decision.
    */
-  judge(frame: ArrivingFrame): FrameVerdict {
+  classify(frame: ReceivedFrame): FrameDecision {
     const { request, adapter, rules } = this.#options;
     if (frame.request !== request) return this.#drop("foreign");
     if (
@@ -90,31 +90,31 @@
     ) return this.#drop("late");
     if (!sameAdapter(frame.adapter, adapter)) return { kind: "mismatch" };
     const end = frame.sequence + frame.tokens.length;
-    if (end <= this.#next) return this.#drop("repeated");
-    if (frame.sequence > this.#next) return this.#misordered();
+    if (end <= this.#nextSequence) return this.#drop("repeated");
+    if (frame.sequence > this.#nextSequence) return this.#reportGap();
     return this.#pass(frame);
   }
 
-  #pass(frame: ArrivingFrame): FrameVerdict {
+  #pass(frame: ReceivedFrame): FrameDecision {
     assertInvariant(
       frame.attempt === this.#attempt,
       "own_answer_only",
       () =>
         `A frame of attempt ${frame.attempt} is not of the current attempt.`,
     );
-    const tokens = frame.tokens.slice(this.#next - frame.sequence);
-    this.#next += tokens.length;
+    const tokens = frame.tokens.slice(this.#nextSequence - frame.sequence);
+    this.#nextSequence += tokens.length;
     return { kind: "pass", tokens };
   }
 
-  #misordered(): FrameVerdict {
+  #reportGap(): FrameDecision {
     this.#dropped.misordered += 1;
-    if (this.#gap) return { kind: "drop", reason: "misordered" };
-    this.#gap = true;
+    if (this.#hasReportedGap) return { kind: "drop", reason: "misordered" };
+    this.#hasReportedGap = true;
     return { kind: "gap" };
   }
 
-  #drop(reason: DropReason): FrameVerdict {
+  #drop(reason: DropReason): FrameDecision {
     this.#dropped[reason] += 1;
     return { kind: "drop", reason };
   }
--- a/packages/core/src/delivery/key_coordinator.ts
+++ b/packages/core/src/delivery/key_coordinator.ts
@@ -8,12 +8,12 @@
   type NodeId,
 } from "../shared/mod.ts";
 import { AbandonedClaims } from "./abandoned_claims.ts";
-import type { ClaimVerdict } from "./claim_gathering.ts";
+import type { ClaimVerdict } from "./claim_batcher.ts";
 import type { KeyClaim } from "./claim_record.ts";
 import type { DeliveryRules } from "./delivery_rules.ts";
 import type { BoundKey, FreeKey } from "./execution_key.ts";
 import type { KeyAction, KeyedCall } from "./key_action.ts";
-import { forgotten, otherBody } from "./key_failures.ts";
+import { bodyMismatch, unknownRun } from "./key_failures.ts";
 import {
   KeyLedger,
   type KeyLedgerLimits,
@@ -34,7 +34,7 @@
   readonly nextNonce: () => string;
 }
 
-interface InFlight {
+interface InFlightRequest {
   readonly call: KeyedCall;
   readonly tickets: number[];
   /** The nonce of the claim under which the key runs or will run. */
@@ -45,17 +45,17 @@
 export class KeyCoordinator {
   readonly #options: KeyCoordinatorOptions;
   readonly #ledger: KeyLedger;
-  readonly #abandoned: AbandonedClaims;
-  readonly #inFlight = new Map<IdempotencyKey, InFlight>();
-  readonly #claimed = new Map<string, IdempotencyKey>();
-  readonly #forwarded = new Map<number, IdempotencyKey>();
+  readonly #abandonedClaims: AbandonedClaims;
+  readonly #inFlight = new Map<IdempotencyKey, InFlightRequest>();
+  readonly #keyByNonce = new Map<string, IdempotencyKey>();
+  readonly #keyByForwardedTicket = new Map<number, IdempotencyKey>();
 
   /** @param options The options. */
   constructor(options: KeyCoordinatorOptions) {
     const { limits, self, rules } = options;
     this.#options = options;
     this.#ledger = new KeyLedger({ ...limits, peer: self }, rules);
-    this.#abandoned = new AbandonedClaims(limits);
+    this.#abandonedClaims = new AbandonedClaims(limits);
   }
 
   /** The number of remembered keys, including those in progress. */
@@ -90,16 +90,16 @@
     nonce: string,
     verdict: ClaimVerdict,
   ): readonly KeyAction[] {
-    const key = this.#claimed.get(nonce);
-    const flight = key === undefined ? undefined : this.#inFlight.get(key);
-    this.#claimed.delete(nonce);
-    if (flight === undefined) return [];
+    const key = this.#keyByNonce.get(nonce);
+    const inFlight = key === undefined ? undefined : this.#inFlight.get(key);
+    this.#keyByNonce.delete(nonce);
+    if (inFlight === undefined) return [];
     switch (verdict.kind) {
       case "refused":
-        this.#abandoned.add(now, nonce);
-        return this.#end(now, flight, err(verdict.failure));
+        this.#abandonedClaims.add(now, nonce);
+        return this.#finish(now, inFlight, err(verdict.failure));
       case "winner":
-        return this.#followWinner(now, flight, verdict.claim);
+        return this.#followWinner(now, inFlight, verdict.claim);
     }
   }
 
@@ -115,13 +115,13 @@
     key: IdempotencyKey,
     result: RunResult,
   ): readonly KeyAction[] {
-    const flight = this.#inFlight.get(key);
-    if (flight === undefined) return [];
-    const notRun = result.isErr() && result.error.outcome === "not_run";
-    if (notRun && flight.nonce !== undefined) {
-      this.#abandoned.add(now, flight.nonce);
+    const inFlight = this.#inFlight.get(key);
+    if (inFlight === undefined) return [];
+    const isProvenNotRun = result.isErr() && result.error.outcome === "not_run";
+    if (isProvenNotRun && inFlight.nonce !== undefined) {
+      this.#abandonedClaims.add(now, inFlight.nonce);
     }
-    return this.#end(now, flight, result);
+    return this.#finish(now, inFlight, result);
   }
 
   /**
@@ -136,11 +136,11 @@
     ticket: number,
     result: RunResult,
   ): readonly KeyAction[] {
-    const key = this.#forwarded.get(ticket);
-    this.#forwarded.delete(ticket);
-    const flight = key === undefined ? undefined : this.#inFlight.get(key);
-    if (flight === undefined) return [{ kind: "answer", ticket, result }];
-    return this.#end(now, flight, result);
+    const key = this.#keyByForwardedTicket.get(ticket);
+    this.#keyByForwardedTicket.delete(ticket);
+    const inFlight = key === undefined ? undefined : this.#inFlight.get(key);
+    if (inFlight === undefined) return [{ kind: "answer", ticket, result }];
+    return this.#finish(now, inFlight, result);
   }
 
   #requestBound(
@@ -151,7 +151,7 @@
     const { incarnation, rules, self } = this.#options;
     const { scope } = key;
     if (!rules.mayRunScope(scope.incarnation, incarnation)) {
-      if (call.forPeer !== undefined) return refuse(call, forgotten(self));
+      if (call.forPeer !== undefined) return refuse(call, unknownRun(self));
       return [{
         kind: "forward",
         ticket: call.ticket,
@@ -162,7 +162,7 @@
     }
     const refused = checkScope(now, scope, this.#options);
     if (refused !== undefined) return refuse(call, refused);
-    const use = { ...useOf(call), keepUntil: scope.expiresAt };
+    const use = { ...keyUseOf(call), keepUntil: scope.expiresAt };
     return this.#admit(now, { call, use }, () => this.#run(call, undefined));
   }
 
@@ -171,7 +171,7 @@
     call: KeyedCall,
     key: FreeKey,
   ): readonly KeyAction[] {
-    const use = useOf(call);
+    const use = keyUseOf(call);
     const { forPeer } = call;
     if (forPeer === undefined) {
       return this.#admit(now, { call, use }, () => this.#claim(call, key));
@@ -179,9 +179,11 @@
     const { incarnation, self } = this.#options;
     const found = this.#ledger.find(use);
     const isNew = found.isOk() && found.value === undefined;
-    const isMine = forPeer.incarnation === incarnation;
-    if (!isMine || (isNew && !this.#abandoned.take(forPeer.nonce))) {
-      return refuse(call, forgotten(self));
+    const isOwnIncarnation = forPeer.incarnation === incarnation;
+    if (
+      !isOwnIncarnation || (isNew && !this.#abandonedClaims.take(forPeer.nonce))
+    ) {
+      return refuse(call, unknownRun(self));
     }
     return this.#admit(
       now,
@@ -193,7 +195,7 @@
   #admit(
     now: Instant,
     request: { readonly call: KeyedCall; readonly use: KeyUse },
-    first: () => readonly KeyAction[],
+    onNewKey: () => readonly KeyAction[],
   ): readonly KeyAction[] {
     const { call, use } = request;
     const { ticket } = call;
@@ -211,7 +213,7 @@
           tickets: [ticket],
           nonce: undefined,
         });
-        return first();
+        return onNewKey();
     }
   }
 
@@ -226,29 +228,29 @@
       incarnation,
       ...(key.epoch !== undefined && { epoch: key.epoch }),
     };
-    this.#claimed.set(claim.nonce, key.key);
-    const flight = this.#inFlight.get(key.key);
-    if (flight !== undefined) flight.nonce = claim.nonce;
+    this.#keyByNonce.set(claim.nonce, key.key);
+    const inFlight = this.#inFlight.get(key.key);
+    if (inFlight !== undefined) inFlight.nonce = claim.nonce;
     return [{ kind: "claim", claim }];
   }
 
   #followWinner(
     now: Instant,
-    flight: InFlight,
+    inFlight: InFlightRequest,
     winner: KeyClaim,
   ): readonly KeyAction[] {
     const { incarnation, self, rules } = this.#options;
-    const { call } = flight;
+    const { call } = inFlight;
     assertInvariant(
       winner.key === call.key.key,
       "own_answer_only",
       () => `The claim is for ${winner.key}, not for ${call.key.key}.`,
     );
     if (winner.digest !== call.digest) {
-      return this.#end(now, flight, err(otherBody(self)));
+      return this.#finish(now, inFlight, err(bodyMismatch(self)));
     }
     if (!rules.mayRunScope(winner.incarnation, incarnation)) {
-      this.#forwarded.set(call.ticket, winner.key);
+      this.#keyByForwardedTicket.set(call.ticket, winner.key);
       return [{
         kind: "forward",
         ticket: call.ticket,
@@ -257,44 +259,50 @@
         nonce: winner.nonce,
       }];
     }
-    return this.#runWon(now, flight, winner);
+    return this.#runIfOwnClaim(now, inFlight, winner);
   }
 
   /**
    * Runs the key if the winning claim of this incarnation is the present one
    * or an abandoned one.
    */
-  #runWon(
+  #runIfOwnClaim(
     now: Instant,
-    flight: InFlight,
+    inFlight: InFlightRequest,
     winner: KeyClaim,
   ): readonly KeyAction[] {
-    const mayRun = winner.nonce === flight.nonce ||
-      this.#abandoned.take(winner.nonce);
-    if (!mayRun) return this.#end(now, flight, err(forgotten(winner.node)));
-    return this.#run(flight.call, winner.nonce);
+    const mayRun = winner.nonce === inFlight.nonce ||
+      this.#abandonedClaims.take(winner.nonce);
+    if (!mayRun) {
+      return this.#finish(now, inFlight, err(unknownRun(winner.node)));
+    }
+    return this.#run(inFlight.call, winner.nonce);
   }
 
   #run(call: KeyedCall, nonce: string | undefined): readonly KeyAction[] {
-    const flight = this.#inFlight.get(call.key.key);
-    if (flight !== undefined) flight.nonce = nonce;
+    const inFlight = this.#inFlight.get(call.key.key);
+    if (inFlight !== undefined) inFlight.nonce = nonce;
     this.#ledger.started(call.key.key);
     return [{ kind: "run", ticket: call.ticket, key: call.key.key }];
   }
 
-  #end(
+  #finish(
     now: Instant,
-    flight: InFlight,
+    inFlight: InFlightRequest,
     result: RunResult,
   ): readonly KeyAction[] {
-    const { key } = flight.call.key;
+    const { key } = inFlight.call.key;
     this.#inFlight.delete(key);
     this.#ledger.finished(now, key, result);
-    return flight.tickets.map((ticket) => ({ kind: "answer", ticket, result }));
+    return inFlight.tickets.map((ticket) => ({
+      kind: "answer",
+      ticket,
+      result,
+    }));
   }
 }
 
-function useOf(call: KeyedCall): KeyUse {
+function keyUseOf(call: KeyedCall): KeyUse {
   return { key: call.key.key, digest: call.digest };
 }
 
--- a/packages/core/src/delivery/key_failures.ts
+++ b/packages/core/src/delivery/key_failures.ts
@@ -5,7 +5,7 @@
  * @param peer This node.
  * @returns The failure.
  */
-export function forgotten(peer: string): Failure {
+export function unknownRun(peer: string): Failure {
   return {
     reason: "expired",
     step: "claim_key",
@@ -21,7 +21,7 @@
  * @param peer This node.
  * @returns The failure.
  */
-export function badScope(
+export function invalidScope(
   reason: "expired" | "invalid",
   peer: string,
 ): Failure {
@@ -39,7 +39,7 @@
  * @param peer This node.
  * @returns The failure.
  */
-export function otherBody(peer: string): Failure {
+export function bodyMismatch(peer: string): Failure {
   return {
     reason: "conflict",
     step: "claim_key",
--- a/packages/core/src/delivery/key_ledger.ts
+++ b/packages/core/src/delivery/key_ledger.ts
@@ -53,9 +53,9 @@
   readonly #limits: KeyLedgerLimits;
   readonly #rules: DeliveryRules;
   readonly #entries = new Map<IdempotencyKey, Entry>();
-  readonly #answered = new Set<Entry>();
+  readonly #answeredEntries = new Set<Entry>();
   #answerBytes = 0;
-  #pruneAt: Instant | undefined;
+  #nextPruneAt: Instant | undefined;
 
   /**
    * @param limits The limits.
@@ -105,7 +105,7 @@
     const found = this.find(use);
     if (found.isErr()) return err(found.error);
     if (found.value !== undefined) return ok(found.value);
-    this.#pruneNowAndThen(now);
+    this.#pruneIfDue(now);
     if (this.#entries.size >= this.#limits.maximumKeys) {
       return err(this.#failure("overloaded", {
         message: "The maximum number of remembered keys is reached.",
@@ -151,13 +151,13 @@
       this.#entries.delete(key);
       return;
     }
-    const kept = later(now, this.#limits.retention);
-    if (kept > entry.keepUntil) entry.keepUntil = kept;
+    const retainedUntil = later(now, this.#limits.retention);
+    if (retainedUntil > entry.keepUntil) entry.keepUntil = retainedUntil;
     entry.result = result;
     if (result.isErr()) return;
-    this.#answered.add(entry);
+    this.#answeredEntries.add(entry);
     this.#answerBytes += result.value.length;
-    this.#forgetAnswers();
+    this.#evictOldAnswers();
   }
 
   /**
@@ -168,28 +168,28 @@
     for (const [key, entry] of this.#entries) {
       if (entry.result === undefined || entry.keepUntil > now) continue;
       this.#entries.delete(key);
-      this.#forgetAnswer(entry);
+      this.#removeAnswer(entry);
     }
   }
 
-  #pruneNowAndThen(now: Instant): void {
+  #pruneIfDue(now: Instant): void {
     const isFull = this.#entries.size >= this.#limits.maximumKeys;
-    if (!isFull && now < (this.#pruneAt ?? now)) return;
+    if (!isFull && now < (this.#nextPruneAt ?? now)) return;
     this.prune(now);
     const wait = milliseconds(this.#limits.retention / PRUNES_PER_RETENTION);
-    this.#pruneAt = later(now, wait);
+    this.#nextPruneAt = later(now, wait);
   }
 
   #keepUntil(now: Instant, use: KeyUse): Instant {
-    const least = later(now, this.#limits.retention);
-    const stated = use.keepUntil ?? least;
-    return stated > least ? stated : least;
+    const minimum = later(now, this.#limits.retention);
+    const requested = use.keepUntil ?? minimum;
+    return requested > minimum ? requested : minimum;
   }
 
-  #forgetAnswers(): void {
-    for (const entry of this.#answered) {
+  #evictOldAnswers(): void {
+    for (const entry of this.#answeredEntries) {
       if (this.#answerBytes <= this.#limits.maximumAnswerBytes) return;
-      this.#forgetAnswer(entry);
+      this.#removeAnswer(entry);
       entry.result = err(this.#failure("expired", {
         message: "The request ran, but its answer is no longer kept.",
         outcome: "ran",
@@ -197,8 +197,8 @@
     }
   }
 
-  #forgetAnswer(entry: Entry): void {
-    if (!this.#answered.delete(entry)) return;
+  #removeAnswer(entry: Entry): void {
+    if (!this.#answeredEntries.delete(entry)) return;
     if (entry.result?.isOk() === true) {
       this.#answerBytes -= entry.result.value.length;
     }
@@ -206,8 +206,8 @@
 
   #failure(
     reason: Failure["reason"],
-    rest: Pick<Failure, "message" | "outcome">,
+    details: Pick<Failure, "message" | "outcome">,
   ): Failure {
-    return { reason, step: "claim_key", peer: this.#limits.peer, ...rest };
+    return { reason, step: "claim_key", peer: this.#limits.peer, ...details };
   }
 }
--- a/packages/core/src/delivery/key_scope_check.ts
+++ b/packages/core/src/delivery/key_scope_check.ts
@@ -6,7 +6,7 @@
 } from "../shared/mod.ts";
 import type { DeliveryRules } from "./delivery_rules.ts";
 import type { KeyScope } from "./execution_key.ts";
-import { badScope } from "./key_failures.ts";
+import { invalidScope } from "./key_failures.ts";
 import type { KeyTiming } from "./key_timing.ts";
 
 /**
@@ -27,9 +27,9 @@
 ): Failure | undefined {
   const { self, rules, timing } = options;
   if (!rules.acceptsExpiry(now, scope.expiresAt)) {
-    return badScope("expired", self);
+    return invalidScope("expired", self);
   }
   const latest = later(now, timing.maximumScopeLifetime);
-  if (scope.expiresAt > latest) return badScope("invalid", self);
+  if (scope.expiresAt > latest) return invalidScope("invalid", self);
   return undefined;
 }
--- a/packages/core/src/delivery/mod.ts
+++ b/packages/core/src/delivery/mod.ts
@@ -1,6 +1,6 @@
 export * from "./abandoned_claims.ts";
 export * from "./attempt_state.ts";
-export * from "./claim_gathering.ts";
+export * from "./claim_batcher.ts";
 export * from "./claim_index.ts";
 export * from "./claim_record.ts";
 export * from "./crash_record.ts";
@@ -8,7 +8,7 @@
 export * from "./delivery_options.ts";
 export * from "./delivery_rules.ts";
 export * from "./execution_key.ts";
-export * from "./frame_gate.ts";
+export * from "./frame_filter.ts";
 export * from "./key_action.ts";
 export * from "./key_coordinator.ts";
 export * from "./key_failures.ts";
--- a/packages/core/src/delivery/request_delivery.ts
+++ b/packages/core/src/delivery/request_delivery.ts
@@ -8,7 +8,7 @@
   later,
 } from "../shared/mod.ts";
 import { AttemptProgress } from "./attempt_state.ts";
-import { type ArrivingFrame, FrameGate } from "./frame_gate.ts";
+import { FrameFilter, type ReceivedFrame } from "./frame_filter.ts";
 import type { DeliveryOptions } from "./delivery_options.ts";
 import type {
   DeliveryAction,
@@ -16,33 +16,33 @@
   GenerationTotals,
 } from "./delivery_event.ts";
 import {
-  backOff,
-  CANCELLED,
-  incomplete,
+  backoffDelay,
+  CANCELLED_BY_CALLER,
+  incompleteStream,
   withOutcome,
 } from "./delivery_failures.ts";
 
 /** A request is not retried after it was lost by this many engines. */
-const MOST_LOST_ENGINES = 3;
+const MAXIMUM_LOST_ENGINES = 3;
 
 /** Delivers one request to a single final outcome, with retries. */
 export class RequestDelivery {
   readonly #options: DeliveryOptions;
-  readonly #gate: FrameGate;
+  readonly #frameFilter: FrameFilter;
   readonly #failures: Failure[] = [];
-  readonly #held: string[] = [];
+  readonly #bufferedTokens: string[] = [];
   #progress = new AttemptProgress();
   #attempt = attemptNumber(1);
-  #passed = 0;
+  #passedTokenCount = 0;
   #retryAt: Instant | undefined;
-  #retryFrom = 0;
-  #resumed = false;
+  #retryFromSequence = 0;
+  #isResumed = false;
   #ended = false;
 
   /** @param options The request and its delivery rules. */
   constructor(options: DeliveryOptions) {
     this.#options = options;
-    this.#gate = new FrameGate(options);
+    this.#frameFilter = new FrameFilter(options);
   }
 
   /** The current attempt. */
@@ -56,8 +56,8 @@
   }
 
   /** The number of frames dropped so far, by reason. */
-  get dropped(): FrameGate["dropped"] {
-    return this.#gate.dropped;
+  get dropped(): FrameFilter["dropped"] {
+    return this.#frameFilter.dropped;
   }
 
   /** When {@link handle} needs a `tick` if no event occurs before. */
@@ -82,7 +82,7 @@
    */
   handle(now: Instant, event: DeliveryEvent): readonly DeliveryAction[] {
     if (this.#ended) {
-      if (event.kind === "frame") this.#gate.judge(event.frame);
+      if (event.kind === "frame") this.#frameFilter.classify(event.frame);
       return [];
     }
     switch (event.kind) {
@@ -99,50 +99,55 @@
     }
   }
 
-  #onFrame(now: Instant, frame: ArrivingFrame): readonly DeliveryAction[] {
-    const verdict = this.#gate.judge(frame);
+  #onFrame(now: Instant, frame: ReceivedFrame): readonly DeliveryAction[] {
+    const verdict = this.#frameFilter.classify(frame);
     switch (verdict.kind) {
       case "pass":
-        this.#progress.moveTo("dispatched");
-        return this.#pass(verdict.tokens);
+        this.#progress.advanceTo("dispatched");
+        return this.#passTokens(verdict.tokens);
       case "drop":
         return [];
       case "gap":
-        return this.#breakOff(now, incomplete("A frame is missing."));
+        return this.#abandonAttempt(
+          now,
+          incompleteStream("A frame is missing."),
+        );
       case "mismatch":
-        return this.#mismatch(frame);
+        return this.#onAdapterMismatch(frame);
     }
   }
 
-  #pass(tokens: readonly string[]): readonly DeliveryAction[] {
+  #passTokens(tokens: readonly string[]): readonly DeliveryAction[] {
     if (!this.#options.streamed) {
-      this.#held.push(...tokens);
+      this.#bufferedTokens.push(...tokens);
       return [];
     }
-    const sequence = this.#passed;
-    this.#passed += tokens.length;
+    const sequence = this.#passedTokenCount;
+    this.#passedTokenCount += tokens.length;
     return [{ kind: "pass", sequence, tokens }];
   }
 
   /** Fails the current attempt and stops reading it. */
-  #breakOff(now: Instant, failure: Failure): readonly DeliveryAction[] {
+  #abandonAttempt(now: Instant, failure: Failure): readonly DeliveryAction[] {
     const attempt = this.#attempt;
     const next = this.#onFailed(now, attempt, failure);
     return [{ kind: "cancel", attempt, atEngine: this.#ended }, ...next];
   }
 
-  #mismatch(frame: ArrivingFrame): readonly DeliveryAction[] {
+  #onAdapterMismatch(frame: ReceivedFrame): readonly DeliveryAction[] {
     const { adapter } = frame;
     const failure: Failure = {
-      ...incomplete(`The engine ran ${adapter.adapter}@${adapter.version}.`),
+      ...incompleteStream(
+        `The engine ran ${adapter.adapter}@${adapter.version}.`,
+      ),
       reason: "mismatch",
       outcome: "ran",
     };
-    this.#progress.moveTo("unknown");
+    this.#progress.advanceTo("unknown");
     const attempt = this.#attempt;
     return [
       { kind: "cancel", attempt, atEngine: true },
-      ...this.#giveUp(failure),
+      ...this.#fail(failure),
     ];
   }
 
@@ -153,28 +158,32 @@
   ): readonly DeliveryAction[] {
     if (attempt !== this.#attempt || this.#retryAt !== undefined) return [];
     const { rules } = this.#options;
-    const isWhole = totals.completionTokens === this.#gate.next;
-    if (!isWhole && !rules.mayEndIncomplete()) {
-      return this.#onFailed(now, attempt, incomplete("Tokens are missing."));
+    const isComplete =
+      totals.completionTokens === this.#frameFilter.nextSequence;
+    if (!isComplete && !rules.mayEndIncomplete()) {
+      return this.#onFailed(
+        now,
+        attempt,
+        incompleteStream("Tokens are missing."),
+      );
     }
-    this.#progress.moveTo("answered");
-    return this.#end(totals);
+    this.#progress.advanceTo("answered");
+    return this.#complete(totals);
   }
 
-  #end(totals: GenerationTotals): readonly DeliveryAction[] {
-    const held = this.#held.splice(0);
-    const tokens = this.#passed + held.length;
+  #complete(totals: GenerationTotals): readonly DeliveryAction[] {
+    const buffered = this.#bufferedTokens.splice(0);
+    const tokenCount = this.#passedTokenCount + buffered.length;
     assertInvariant(
-      tokens === totals.completionTokens,
+      tokenCount === totals.completionTokens,
       "answer_is_whole",
-      () =>
-        `${tokens} of ${totals.completionTokens} tokens were sent to the caller.`,
+      () => `${tokenCount} of ${totals.completionTokens} tokens are delivered.`,
     );
     this.#ended = true;
-    this.#gate.close();
-    const passed: DeliveryAction[] = held.length === 0
+    this.#frameFilter.endAttempt();
+    const passed: DeliveryAction[] = buffered.length === 0
       ? []
-      : [{ kind: "pass", sequence: 0, tokens: held }];
+      : [{ kind: "pass", sequence: 0, tokens: buffered }];
     return [...passed, { kind: "complete", totals }];
   }
 
@@ -184,26 +193,30 @@
     failure: Failure,
   ): readonly DeliveryAction[] {
     if (attempt !== this.#attempt || this.#retryAt !== undefined) return [];
-    const known = this.#known(failure);
-    this.#progress.moveTo(known.outcome === "not_run" ? "not_run" : "unknown");
-    this.#failures.push(known);
-    this.#gate.close();
+    const corrected = this.#correctOutcome(failure);
+    this.#progress.advanceTo(
+      corrected.outcome === "not_run" ? "not_run" : "unknown",
+    );
+    this.#failures.push(corrected);
+    this.#frameFilter.endAttempt();
     const { rules, repeatable } = this.#options;
     const step = rules.nextStep({
-      failure: known,
+      failure: corrected,
       repeatable,
-      received: this.#gate.next,
-      passed: this.#passed,
-      wasResume: this.#resumed,
+      received: this.#frameFilter.nextSequence,
+      passed: this.#passedTokenCount,
+      wasResume: this.#isResumed,
     });
     if (
-      step === "give_up" || this.#lostTooManyEngines || !this.#takeRetry()
+      step === "give_up" || this.#hasLostTooManyEngines || !this.#takeRetry()
     ) {
-      return this.#giveUp(known);
+      return this.#fail(corrected);
     }
-    this.#checkRepeat(step === "resume");
-    this.#retryFrom = step === "resume" ? this.#gate.next : 0;
-    this.#retryAt = later(now, this.#wait(known));
+    this.#assertRetryAllowed(step === "resume");
+    this.#retryFromSequence = step === "resume"
+      ? this.#frameFilter.nextSequence
+      : 0;
+    this.#retryAt = later(now, this.#retryDelay(corrected));
     return [];
   }
 
@@ -211,23 +224,25 @@
    * Corrects an outcome of "not run" to "unknown" once tokens were received,
    * since the attempt must have started.
    */
-  #known(failure: Failure): Failure {
-    const hasRun = this.#gate.next > 0 && failure.outcome === "not_run";
+  #correctOutcome(failure: Failure): Failure {
+    const hasRun = this.#frameFilter.nextSequence > 0 &&
+      failure.outcome === "not_run";
     return hasRun ? { ...failure, outcome: "unknown" } : failure;
   }
 
-  #checkRepeat(resumes: boolean): void {
+  #assertRetryAllowed(isResume: boolean): void {
     const { repeatable } = this.#options;
     assertInvariant(
-      resumes || this.#passed === 0,
+      isResume || this.#passedTokenCount === 0,
       "answer_is_whole",
-      () => `${this.#passed} tokens of an earlier run were sent already.`,
+      () =>
+        `${this.#passedTokenCount} tokens of an earlier run were sent already.`,
     );
     const allNotRun = this.#failures.every((failure) =>
       failure.outcome === "not_run"
     );
     assertInvariant(
-      repeatable || resumes || allNotRun,
+      repeatable || isResume || allNotRun,
       "at_most_once",
       () => `Attempt ${this.#attempt + 1} follows one that may have run.`,
     );
@@ -237,11 +252,11 @@
    * Whether so many different engines were lost during generation that the
    * request may be the cause.
    */
-  get #lostTooManyEngines(): boolean {
+  get #hasLostTooManyEngines(): boolean {
     const lost = this.#failures.filter(({ step, outcome }) =>
       step === "generate" && outcome === "unknown"
     );
-    return new Set(lost.map(({ peer }) => peer)).size >= MOST_LOST_ENGINES;
+    return new Set(lost.map(({ peer }) => peer)).size >= MAXIMUM_LOST_ENGINES;
   }
 
   #takeRetry(): boolean {
@@ -249,52 +264,60 @@
     return this.#attempt < maximumAttempts && budget.take();
   }
 
-  #wait(failure: Failure): Duration {
-    return backOff(this.#failures.length, failure);
+  #retryDelay(failure: Failure): Duration {
+    return backoffDelay(this.#failures.length, failure);
   }
 
   #onTick(now: Instant): readonly DeliveryAction[] {
     if (this.#retryAt === undefined || now < this.#retryAt) return [];
     this.#retryAt = undefined;
     this.#attempt = attemptNumber(this.#attempt + 1);
-    return this.#startAttempt(this.#retryFrom);
+    return this.#startAttempt(this.#retryFromSequence);
   }
 
-  #startAttempt(from: number): readonly DeliveryAction[] {
-    if (from === 0) this.#held.length = 0;
-    this.#resumed = from > 0;
+  #startAttempt(fromSequence: number): readonly DeliveryAction[] {
+    if (fromSequence === 0) this.#bufferedTokens.length = 0;
+    this.#isResumed = fromSequence > 0;
     this.#progress = new AttemptProgress();
-    this.#progress.moveTo("handed_over");
-    this.#gate.open(this.#attempt, from);
-    return [{ kind: "attempt", attempt: this.#attempt, fromSequence: from }];
+    this.#progress.advanceTo("handed_over");
+    this.#frameFilter.startAttempt(this.#attempt, fromSequence);
+    return [{
+      kind: "attempt",
+      attempt: this.#attempt,
+      fromSequence,
+    }];
   }
 
-  #giveUp(last: Failure): readonly DeliveryAction[] {
-    const failures = this.#failures.length === 0 ? [last] : this.#failures;
+  #fail(lastFailure: Failure): readonly DeliveryAction[] {
+    const failures = this.#failures.length === 0
+      ? [lastFailure]
+      : this.#failures;
     const outcome = this.#options.rules.outcomeOf(failures);
-    const truth = failures.every((failure) => failure.outcome === "not_run");
+    const isProvenNotRun = failures.every((failure) =>
+      failure.outcome === "not_run"
+    );
     assertInvariant(
-      outcome !== "not_run" || truth,
+      outcome !== "not_run" || isProvenNotRun,
       "not_run_means_not_run",
-      () => `An attempt ended with the outcome ${last.outcome}.`,
+      () => `An attempt ended with the outcome ${lastFailure.outcome}.`,
     );
     this.#ended = true;
-    this.#gate.close();
-    return [{ kind: "fail", failure: withOutcome(last, outcome) }];
+    this.#frameFilter.endAttempt();
+    return [{ kind: "fail", failure: withOutcome(lastFailure, outcome) }];
   }
 
   #onCallerLeft(): readonly DeliveryAction[] {
     const attempt = this.#attempt;
-    const isOpen = this.#progress.isOpen;
-    if (isOpen) this.#progress.moveTo("unknown");
+    const isInFlight = this.#progress.isInFlight;
+    if (isInFlight) this.#progress.advanceTo("unknown");
     this.#failures.push(
-      isOpen ? CANCELLED : {
-        ...CANCELLED,
+      isInFlight ? CANCELLED_BY_CALLER : {
+        ...CANCELLED_BY_CALLER,
         outcome: "not_run",
       },
     );
-    const end = this.#giveUp(CANCELLED);
-    if (!isOpen) return end;
+    const end = this.#fail(CANCELLED_BY_CALLER);
+    if (!isInFlight) return end;
     return [{ kind: "cancel", attempt, atEngine: true }, ...end];
   }
 }
--- a/packages/core/src/dispatch/class_counts.ts
+++ b/packages/core/src/dispatch/class_counts.ts
@@ -1,5 +1,5 @@
 import type { ClassId, Duration } from "../shared/mod.ts";
-import type { WaitingRequest } from "./waiting_request.ts";
+import type { EngineRequest } from "./engine_request.ts";
 
 /**
  * A request is only preempted by one whose target is shorter by at least this
@@ -23,7 +23,7 @@
   readonly #classes = new Map<ClassId, ClassCount>();
 
   /** The targets with their numbers of requests. */
-  get loads(): readonly TargetLoad[] {
+  get byTarget(): readonly TargetLoad[] {
     return [...this.#classes.values()].map((entry) => ({ ...entry }));
   }
 
@@ -31,26 +31,26 @@
    * Adds a request to its class's count.
    * @param request The request.
    */
-  add(request: WaitingRequest): void {
+  add(request: EngineRequest): void {
     const id = request.queued.class;
-    const known = this.#classes.get(id);
-    if (known === undefined) {
+    const entry = this.#classes.get(id);
+    if (entry === undefined) {
       this.#classes.set(id, { target: request.target, count: 1 });
       return;
     }
-    known.target = request.target;
-    known.count += 1;
+    entry.target = request.target;
+    entry.count += 1;
   }
 
   /**
    * Removes a request from its class's count.
    * @param request The request.
    */
-  remove(request: WaitingRequest): void {
-    const known = this.#classes.get(request.queued.class);
-    if (known === undefined) return;
-    known.count -= 1;
-    if (known.count === 0) this.#classes.delete(request.queued.class);
+  remove(request: EngineRequest): void {
+    const entry = this.#classes.get(request.queued.class);
+    if (entry === undefined) return;
+    entry.count -= 1;
+    if (entry.count === 0) this.#classes.delete(request.queued.class);
   }
 
   /**
@@ -58,7 +58,7 @@
    * @param target The target.
    * @returns The number of requests.
    */
-  atMost(target: Duration): number {
+  countWithTargetAtMost(target: Duration): number {
     let total = 0;
     for (const entry of this.#classes.values()) {
       if (entry.target <= target) total += entry.count;
@@ -71,7 +71,7 @@
    * @param target The target.
    * @returns The number of requests.
    */
-  atLeast(target: number): number {
+  countWithTargetAtLeast(target: number): number {
     let total = 0;
     for (const entry of this.#classes.values()) {
       if (entry.target >= target) total += entry.count;
@@ -85,7 +85,7 @@
    * @param target The new target.
    */
   retarget(id: ClassId, target: Duration): void {
-    const known = this.#classes.get(id);
-    if (known !== undefined) known.target = target;
+    const entry = this.#classes.get(id);
+    if (entry !== undefined) entry.target = target;
   }
 }
--- a/packages/core/src/dispatch/class_queue.ts
+++ b/packages/core/src/dispatch/class_queue.ts
@@ -1,7 +1,7 @@
 import type { Instant, TenantId } from "../shared/mod.ts";
 import TinyQueue from "tinyqueue";
-import { TenantLine } from "./tenant_line.ts";
-import type { WaitingRequest } from "./waiting_request.ts";
+import { TenantQueue } from "./tenant_queue.ts";
+import type { EngineRequest } from "./engine_request.ts";
 
 /**
  * The ready requests of one class. Start-time fair queueing (Goyal, Vin and
@@ -9,26 +9,26 @@
  * tenants, so that a tenant with many requests does not delay one with few.
  */
 export class ClassQueue {
-  readonly #lines = new Map<TenantId, TenantLine>();
-  readonly #active = new TinyQueue<TenantLine>([], byTag);
+  readonly #tenantQueues = new Map<TenantId, TenantQueue>();
+  readonly #activeQueues = new TinyQueue<TenantQueue>([], byStartTag);
   #virtualTime = 0;
 
   /**
    * Adds a request.
    * @param request The request.
    */
-  add(request: WaitingRequest): void {
+  add(request: EngineRequest): void {
     const { tenant } = request.queued;
-    const known = this.#lines.get(tenant);
-    if (known !== undefined) {
-      known.add(request);
+    const existing = this.#tenantQueues.get(tenant);
+    if (existing !== undefined) {
+      existing.add(request);
       return;
     }
-    const line = new TenantLine(tenant);
-    line.tag = this.#virtualTime;
-    line.add(request);
-    this.#lines.set(tenant, line);
-    this.#active.push(line);
+    const queue = new TenantQueue(tenant);
+    queue.startTag = this.#virtualTime;
+    queue.add(request);
+    this.#tenantQueues.set(tenant, queue);
+    this.#activeQueues.push(queue);
   }
 
   /**
@@ -36,14 +36,14 @@
    * @param now The present time.
    * @returns The request, or nothing if the queue is empty.
    */
-  peek(now: Instant): WaitingRequest | undefined {
+  peek(now: Instant): EngineRequest | undefined {
     for (;;) {
-      const line = this.#active.peek();
-      if (line === undefined) return undefined;
-      const request = line.peek(now);
+      const queue = this.#activeQueues.peek();
+      if (queue === undefined) return undefined;
+      const request = queue.peek(now);
       if (request !== undefined) return request;
-      this.#active.pop();
-      this.#lines.delete(line.tenant);
+      this.#activeQueues.pop();
+      this.#tenantQueues.delete(queue.tenant);
     }
   }
 
@@ -53,15 +53,15 @@
    */
   shift(now: Instant): void {
     const request = this.peek(now);
-    const line = this.#active.pop();
-    if (request === undefined || line === undefined) return;
-    line.shift(now);
-    this.#virtualTime = line.tag;
-    line.tag += 1 + request.queued.maximumTokens;
-    this.#active.push(line);
+    const queue = this.#activeQueues.pop();
+    if (request === undefined || queue === undefined) return;
+    queue.shift(now);
+    this.#virtualTime = queue.startTag;
+    queue.startTag += 1 + request.queued.maximumTokens;
+    this.#activeQueues.push(queue);
   }
 }
 
-function byTag(left: TenantLine, right: TenantLine): number {
-  return left.tag - right.tag;
+function byStartTag(left: TenantQueue, right: TenantQueue): number {
+  return left.startTag - right.startTag;
 }
--- a/packages/core/src/dispatch/own_history.ts
+++ b/packages/core/src/dispatch/dispatch_history.ts
@@ -1,7 +1,7 @@
 import { type Duration, type Instant, seconds } from "../shared/mod.ts";
 
-const KEPT = seconds(5);
-const MOST_ENTRIES = 256;
+const MAXIMUM_REPORT_AGE = seconds(5);
+const MAXIMUM_ENTRIES = 256;
 
 interface Entry {
   readonly at: Instant;
@@ -13,7 +13,7 @@
  * engine's report is older than the present, and is compared with the number
  * at the time of the report.
  */
-export class OwnHistory {
+export class DispatchHistory {
   readonly #entries: Entry[] = [];
 
   /**
@@ -23,8 +23,8 @@
    */
   record(now: Instant, running: number): void {
     this.#entries.push({ at: now, running });
-    if (this.#entries.length > 2 * MOST_ENTRIES) {
-      this.#entries.splice(0, this.#entries.length - MOST_ENTRIES);
+    if (this.#entries.length > 2 * MAXIMUM_ENTRIES) {
+      this.#entries.splice(0, this.#entries.length - MAXIMUM_ENTRIES);
     }
   }
 
@@ -34,26 +34,28 @@
    * @param report The number of requests at the engine, and the report's age.
    * @returns The number of requests from others.
    */
-  othersIn(
+  countForeign(
     now: Instant,
     report: { readonly held: number; readonly age: Duration },
   ): number {
-    if (report.age > KEPT) return 0;
-    const own = this.#mostSince(now - report.age - UNCERTAIN);
+    if (report.age > MAXIMUM_REPORT_AGE) return 0;
+    const own = this.#maximumRunningSince(
+      now - report.age - TRANSIT_MILLISECONDS,
+    );
     return Math.max(0, report.held - own);
   }
 
-  #mostSince(from: number): number {
-    let most = 0;
+  #maximumRunningSince(from: number): number {
+    let maximum = 0;
     for (let index = this.#entries.length - 1; index >= 0; index -= 1) {
       const entry = this.#entries[index];
       if (entry === undefined) break;
-      most = Math.max(most, entry.running);
+      maximum = Math.max(maximum, entry.running);
       if (entry.at <= from) break;
     }
-    return most;
+    return maximum;
   }
 }
 
 /** The approximate transit time of orders and reports. */
-const UNCERTAIN = 100;
+const TRANSIT_MILLISECONDS = 100;
--- a/packages/core/src/dispatch/waiting_request.ts
+++ b/packages/core/src/dispatch/engine_request.ts
@@ -11,22 +11,22 @@
 import type { QueuedRequest } from "../serving/engine_event.ts";
 
 /** The state of a request at its engine. */
-export type WaitingPlace = "blocked" | "ready" | "running" | "over";
+export type RequestState = "blocked" | "ready" | "running" | "over";
 
 /** A request at an engine, with its state and times. */
-export class WaitingRequest {
+export class EngineRequest {
   readonly queued: QueuedRequest;
   readonly key: AdapterKey;
   readonly submittedAt: Instant;
-  place: WaitingPlace = "blocked";
+  state: RequestState = "blocked";
   /** When the request last began to wait for its adapter. */
   blockedSince: Instant;
   /** Whether the request lost its place but is still at the engine. */
-  displaced = false;
+  isPreempted = false;
   dispatchedAt: Instant | undefined;
   firstTokenAt: Instant | undefined;
   #target: Duration;
-  #stalled = 0;
+  #loadStallMilliseconds = 0;
 
   /**
    * @param now The present time.
@@ -52,12 +52,12 @@
 
   /** Whether the request is at the engine, running or preempted. */
   get isAtEngine(): boolean {
-    return this.place === "running" || this.displaced;
+    return this.state === "running" || this.isPreempted;
   }
 
   /** The total time that the request waited for its adapter. */
   get loadStall(): Duration {
-    return milliseconds(this.#stalled);
+    return milliseconds(this.#loadStallMilliseconds);
   }
 
   /**
@@ -73,8 +73,8 @@
    * @param now The present time.
    */
   unblock(now: Instant): void {
-    this.#stalled += elapsed(this.blockedSince, now);
-    this.place = "ready";
+    this.#loadStallMilliseconds += elapsed(this.blockedSince, now);
+    this.state = "ready";
   }
 
   /**
@@ -83,14 +83,14 @@
    */
   block(now: Instant): void {
     this.blockedSince = now;
-    this.place = "blocked";
+    this.state = "blocked";
   }
 
   /**
    * Tells when the request is refused if it still waits and delays others.
    * @returns The time, one target after the deadline.
    */
-  givenUpAt(): Instant {
+  giveUpAt(): Instant {
     return later(this.deadline, this.#target);
   }
 }
--- a/packages/core/src/dispatch/request_book.ts
+++ b/packages/core/src/dispatch/engine_requests.ts
@@ -7,27 +7,27 @@
   type RequestId,
 } from "../shared/mod.ts";
 import type { QueuedRequest } from "../serving/engine_event.ts";
-import { type AdapterLine, AdapterLines } from "./adapter_lines.ts";
+import { type AdapterQueue, AdapterQueues } from "./adapter_queues.ts";
 import { ClassCounts, type TargetLoad } from "./class_counts.ts";
 import { ReadyQueue } from "./ready_queue.ts";
-import { WaitingRequest } from "./waiting_request.ts";
+import { EngineRequest } from "./engine_request.ts";
 
 /**
  * All requests at one engine. Each is in one state: blocked until its adapter
  * is resident, ready for a place in the batch, or running.
  */
-export class RequestBook {
-  readonly #requests = new Map<RequestId, WaitingRequest>();
-  readonly #blocked = new AdapterLines();
+export class EngineRequests {
+  readonly #requests = new Map<RequestId, EngineRequest>();
+  readonly #blocked = new AdapterQueues();
   readonly #blockedCounts = new ClassCounts();
-  readonly #readyLines = new AdapterLines();
+  readonly #readyByAdapter = new AdapterQueues();
   readonly #ready = new ReadyQueue();
-  readonly #running = new Set<WaitingRequest>();
+  readonly #running = new Set<EngineRequest>();
   readonly #runningCounts = new ClassCounts();
-  #displaced = 0;
+  #preemptedCount = 0;
 
   /** The requests that wait for an adapter. */
-  get blocked(): AdapterLines {
+  get blocked(): AdapterQueues {
     return this.#blocked;
   }
 
@@ -37,23 +37,23 @@
   }
 
   /** The requests that have a place in the batch. */
-  get running(): ReadonlySet<WaitingRequest> {
+  get running(): ReadonlySet<EngineRequest> {
     return this.#running;
   }
 
   /** The targets with their numbers of blocked requests. */
-  get blockedLoads(): readonly TargetLoad[] {
-    return this.#blockedCounts.loads;
+  get blockedByTarget(): readonly TargetLoad[] {
+    return this.#blockedCounts.byTarget;
   }
 
   /** The targets with their numbers of running requests. */
-  get runningLoads(): readonly TargetLoad[] {
-    return this.#runningCounts.loads;
+  get runningByTarget(): readonly TargetLoad[] {
+    return this.#runningCounts.byTarget;
   }
 
   /** The number of requests at the engine, including preempted ones. */
-  get atEngine(): number {
-    return this.#running.size + this.#displaced;
+  get heldByEngine(): number {
+    return this.#running.size + this.#preemptedCount;
   }
 
   /** The number of blocked and ready requests. */
@@ -66,7 +66,7 @@
    * @param request The request's id.
    * @returns The request, or nothing if it is not here.
    */
-  find(request: RequestId): WaitingRequest | undefined {
+  find(request: RequestId): EngineRequest | undefined {
     return this.#requests.get(request);
   }
 
@@ -75,8 +75,8 @@
    * @param key The key of the adapter.
    * @returns The requests, or nothing if there are none.
    */
-  readyLine(key: AdapterKey): AdapterLine | undefined {
-    return this.#readyLines.find(key);
+  findReady(key: AdapterKey): AdapterQueue | undefined {
+    return this.#readyByAdapter.find(key);
   }
 
   /**
@@ -85,8 +85,8 @@
    * @param target The target.
    * @returns The number of requests with the same or a shorter target.
    */
-  blockedAhead(target: Duration): number {
-    return this.#blockedCounts.atMost(target);
+  countBlockedAhead(target: Duration): number {
+    return this.#blockedCounts.countWithTargetAtMost(target);
   }
 
   /**
@@ -94,30 +94,30 @@
    * @param target The target.
    * @returns The number of requests.
    */
-  runningAtLeast(target: number): number {
-    return this.#runningCounts.atLeast(target);
+  countRunningAtLeast(target: number): number {
+    return this.#runningCounts.countWithTargetAtLeast(target);
   }
 
   /**
    * Adds a request.
    * @param now The present time.
    * @param queued The request.
-   * @param resident Whether its adapter can run now.
+   * @param isResident Whether its adapter can run now.
    * @returns The added request with its state.
    */
   submit(
     now: Instant,
     queued: QueuedRequest,
-    resident: boolean,
-  ): WaitingRequest {
+    isResident: boolean,
+  ): EngineRequest {
     assertInvariant(
       !this.#requests.has(queued.request),
       "request_queued_once",
       () => `${queued.request} is already queued.`,
     );
-    const request = new WaitingRequest(now, queued);
+    const request = new EngineRequest(now, queued);
     this.#requests.set(queued.request, request);
-    if (resident) this.#makeReady(now, request);
+    if (isResident) this.#makeReady(now, request);
     else this.#makeBlocked(request);
     return request;
   }
@@ -140,8 +140,8 @@
    * @param key The key of the adapter, which is being evicted or is missing.
    */
   block(now: Instant, key: AdapterKey): void {
-    for (const request of this.#readyLines.release(key)) {
-      this.#ready.left(request);
+    for (const request of this.#readyByAdapter.release(key)) {
+      this.#ready.noteRemoved(request);
       request.block(now);
       this.#makeBlocked(request);
     }
@@ -152,12 +152,12 @@
    * @param now The present time.
    * @param request The request that the ready queue returned.
    */
-  start(now: Instant, request: WaitingRequest): void {
+  start(now: Instant, request: EngineRequest): void {
     this.#ready.take(now, request);
-    this.#readyLines.remove(request);
-    if (request.displaced) this.#displaced -= 1;
-    request.displaced = false;
-    request.place = "running";
+    this.#readyByAdapter.remove(request);
+    if (request.isPreempted) this.#preemptedCount -= 1;
+    request.isPreempted = false;
+    request.state = "running";
     request.dispatchedAt = now;
     this.#running.add(request);
     this.#runningCounts.add(request);
@@ -167,13 +167,13 @@
    * Takes the place of a running request, which stays at the engine.
    * @param request The request.
    */
-  displace(request: WaitingRequest): void {
+  preempt(request: EngineRequest): void {
     this.#running.delete(request);
     this.#runningCounts.remove(request);
-    request.displaced = true;
-    this.#displaced += 1;
-    request.place = "ready";
-    this.#readyLines.add(request);
+    request.isPreempted = true;
+    this.#preemptedCount += 1;
+    request.state = "ready";
+    this.#readyByAdapter.add(request);
     this.#ready.add(request);
   }
 
@@ -181,17 +181,17 @@
    * Removes a request in any state.
    * @param request The request.
    */
-  remove(request: WaitingRequest): void {
+  remove(request: EngineRequest): void {
     this.#requests.delete(request.queued.request);
-    switch (request.place) {
+    switch (request.state) {
       case "blocked":
         this.#blocked.remove(request);
         this.#blockedCounts.remove(request);
         break;
       case "ready":
-        if (request.displaced) this.#displaced -= 1;
-        this.#readyLines.remove(request);
-        this.#ready.left(request);
+        if (request.isPreempted) this.#preemptedCount -= 1;
+        this.#readyByAdapter.remove(request);
+        this.#ready.noteRemoved(request);
         break;
       case "running":
         this.#running.delete(request);
@@ -200,7 +200,7 @@
       case "over":
         break;
     }
-    request.place = "over";
+    request.state = "over";
   }
 
   /**
@@ -212,24 +212,24 @@
     for (const request of this.#requests.values()) {
       if (request.queued.class !== id) continue;
       request.retarget(target);
-      if (request.place === "ready") this.#ready.refresh(request);
+      if (request.state === "ready") this.#ready.requeue(request);
     }
     this.#blockedCounts.retarget(id, target);
     this.#runningCounts.retarget(id, target);
   }
 
   /** All requests, in the order of arrival at this engine. */
-  get all(): Iterable<WaitingRequest> {
+  get all(): Iterable<EngineRequest> {
     return this.#requests.values();
   }
 
-  #makeReady(now: Instant, request: WaitingRequest): void {
+  #makeReady(now: Instant, request: EngineRequest): void {
     request.unblock(now);
-    this.#readyLines.add(request);
+    this.#readyByAdapter.add(request);
     this.#ready.add(request);
   }
 
-  #makeBlocked(request: WaitingRequest): void {
+  #makeBlocked(request: EngineRequest): void {
     this.#blocked.add(request);
     this.#blockedCounts.add(request);
   }
--- a/packages/core/src/dispatch/displacement.ts
+++ b/packages/core/src/dispatch/preemption.ts
@@ -1,6 +1,6 @@
 import type { Instant } from "../shared/mod.ts";
 import { TARGET_RATIO } from "./class_counts.ts";
-import type { WaitingRequest } from "./waiting_request.ts";
+import type { EngineRequest } from "./engine_request.ts";
 
 /**
  * Tells whether a running request may be preempted for an urgent one.
@@ -8,9 +8,9 @@
  * @param urgent The urgent request.
  * @returns Whether the running request's target is long enough.
  */
-export function givesWay(
-  running: WaitingRequest,
-  urgent: WaitingRequest,
+export function isPreemptible(
+  running: EngineRequest,
+  urgent: EngineRequest,
 ): boolean {
   return running.target >= TARGET_RATIO * urgent.target;
 }
@@ -23,16 +23,18 @@
  * @param urgent The urgent request.
  * @returns The request to preempt, or nothing.
  */
-export function chooseDisplaced(
+export function choosePreempted(
   now: Instant,
-  running: Iterable<WaitingRequest>,
-  urgent: WaitingRequest,
-): WaitingRequest | undefined {
-  let best: WaitingRequest | undefined;
+  running: Iterable<EngineRequest>,
+  urgent: EngineRequest,
+): EngineRequest | undefined {
+  let best: EngineRequest | undefined;
   for (const candidate of running) {
-    if (!givesWay(candidate, urgent)) continue;
-    if (!hasTimeLeft(now, candidate, urgent)) continue;
-    if (best === undefined || losesLess(candidate, best)) best = candidate;
+    if (!isPreemptible(candidate, urgent)) continue;
+    if (!hasEnoughSlack(now, candidate, urgent)) continue;
+    if (best === undefined || isCheaperToPreempt(candidate, best)) {
+      best = candidate;
+    }
   }
   return best;
 }
@@ -41,18 +43,21 @@
  * Tells whether a request has its first token or enough time left. A request
  * without a first token is not preempted close to its own deadline.
  */
-function hasTimeLeft(
+function hasEnoughSlack(
   now: Instant,
-  candidate: WaitingRequest,
-  urgent: WaitingRequest,
+  candidate: EngineRequest,
+  urgent: EngineRequest,
 ): boolean {
   if (candidate.firstTokenAt !== undefined) return true;
   return candidate.deadline - now >= TARGET_RATIO * urgent.target;
 }
 
-function losesLess(candidate: WaitingRequest, best: WaitingRequest): boolean {
-  const started = candidate.firstTokenAt !== undefined;
-  const bestStarted = best.firstTokenAt !== undefined;
-  if (started !== bestStarted) return !started;
+function isCheaperToPreempt(
+  candidate: EngineRequest,
+  best: EngineRequest,
+): boolean {
+  const hasFirstToken = candidate.firstTokenAt !== undefined;
+  const bestHasFirstToken = best.firstTokenAt !== undefined;
+  if (hasFirstToken !== bestHasFirstToken) return !hasFirstToken;
   return candidate.deadline > best.deadline;
 }
--- a/packages/core/src/dispatch/ready_queue.ts
+++ b/packages/core/src/dispatch/ready_queue.ts
@@ -1,7 +1,7 @@
 import type { ClassId, Duration, Instant } from "../shared/mod.ts";
 import { ClassCounts, type TargetLoad } from "./class_counts.ts";
 import { ClassQueue } from "./class_queue.ts";
-import type { WaitingRequest } from "./waiting_request.ts";
+import type { EngineRequest } from "./engine_request.ts";
 
 /**
  * The requests that only wait for a place in the batch, ordered by least slack.
@@ -17,15 +17,15 @@
   }
 
   /** The targets with their numbers of ready requests. */
-  get loads(): readonly TargetLoad[] {
-    return this.#counts.loads;
+  get byTarget(): readonly TargetLoad[] {
+    return this.#counts.byTarget;
   }
 
   /**
    * Adds a request in the state "ready".
    * @param request The request.
    */
-  add(request: WaitingRequest): void {
+  add(request: EngineRequest): void {
     this.#size += 1;
     this.#counts.add(request);
     this.#classQueue(request.queued.class).add(request);
@@ -35,7 +35,7 @@
    * Updates the counts after a request stopped being ready for any reason.
    * @param request The request.
    */
-  left(request: WaitingRequest): void {
+  noteRemoved(request: EngineRequest): void {
     this.#size -= 1;
     this.#counts.remove(request);
   }
@@ -46,14 +46,14 @@
    * @returns The number of requests with the same or a shorter target.
    */
   countAhead(target: Duration): number {
-    return this.#counts.atMost(target);
+    return this.#counts.countWithTargetAtMost(target);
   }
 
   /**
    * Adds a request again after its deadline changed.
    * @param request The request.
    */
-  refresh(request: WaitingRequest): void {
+  requeue(request: EngineRequest): void {
     this.#counts.retarget(request.queued.class, request.target);
     this.#classQueue(request.queued.class).add(request);
   }
@@ -63,8 +63,8 @@
    * @param now The present time.
    * @returns The request, or nothing if none is ready.
    */
-  peek(now: Instant): WaitingRequest | undefined {
-    let best: WaitingRequest | undefined;
+  peek(now: Instant): EngineRequest | undefined {
+    let best: EngineRequest | undefined;
     for (const queue of this.#classes.values()) {
       const head = queue.peek(now);
       if (head === undefined) continue;
@@ -78,16 +78,16 @@
    * @param now The present time.
    * @param request The request.
    */
-  take(now: Instant, request: WaitingRequest): void {
+  take(now: Instant, request: EngineRequest): void {
     this.#classes.get(request.queued.class)?.shift(now);
-    this.left(request);
+    this.noteRemoved(request);
   }
 
   #classQueue(id: ClassId): ClassQueue {
-    const known = this.#classes.get(id);
-    if (known !== undefined) return known;
-    const made = new ClassQueue();
-    this.#classes.set(id, made);
-    return made;
+    const existing = this.#classes.get(id);
+    if (existing !== undefined) return existing;
+    const created = new ClassQueue();
+    this.#classes.set(id, created);
+    return created;
   }
 }
--- a/packages/core/src/dispatch/tenant_line.ts
+++ b/packages/core/src/dispatch/tenant_queue.ts
@@ -1,9 +1,9 @@
 import type { Instant, TenantId } from "../shared/mod.ts";
 import TinyQueue from "tinyqueue";
-import type { WaitingRequest } from "./waiting_request.ts";
+import type { EngineRequest } from "./engine_request.ts";
 
 interface Entry {
-  readonly request: WaitingRequest;
+  readonly request: EngineRequest;
   readonly deadline: Instant;
   readonly order: number;
 }
@@ -12,12 +12,12 @@
  * The ready requests of one tenant in one class, by earliest deadline.
  * Requests past their deadline come after all others.
  */
-export class TenantLine {
+export class TenantQueue {
   readonly tenant: TenantId;
   /** The tenant's start tag in the class's fair queue. */
-  tag = 0;
+  startTag = 0;
   readonly #onTime = new TinyQueue<Entry>([], byDeadline);
-  #added = 0;
+  #nextOrder = 0;
   readonly #late = new TinyQueue<Entry>([], byDeadline);
 
   /** @param tenant The tenant. */
@@ -29,10 +29,10 @@
    * Adds a request.
    * @param request The request.
    */
-  add(request: WaitingRequest): void {
+  add(request: EngineRequest): void {
     const { deadline } = request;
-    this.#onTime.push({ request, deadline, order: this.#added });
-    this.#added += 1;
+    this.#onTime.push({ request, deadline, order: this.#nextOrder });
+    this.#nextOrder += 1;
   }
 
   /**
@@ -40,9 +40,9 @@
    * @param now The present time.
    * @returns The request, or nothing if the queue is empty.
    */
-  peek(now: Instant): WaitingRequest | undefined {
-    this.#setLateAside(now);
-    return this.#onTime.peek()?.request ?? peekReady(this.#late)?.request;
+  peek(now: Instant): EngineRequest | undefined {
+    this.#moveLateRequests(now);
+    return this.#onTime.peek()?.request ?? peekCurrent(this.#late)?.request;
   }
 
   /**
@@ -50,13 +50,13 @@
    * @param now The present time.
    */
   shift(now: Instant): void {
-    this.#setLateAside(now);
+    this.#moveLateRequests(now);
     if (this.#onTime.pop() === undefined) this.#late.pop();
   }
 
-  #setLateAside(now: Instant): void {
+  #moveLateRequests(now: Instant): void {
     for (;;) {
-      const entry = peekReady(this.#onTime);
+      const entry = peekCurrent(this.#onTime);
       if (entry === undefined || entry.deadline >= now) return;
       this.#onTime.pop();
       this.#late.push(entry);
@@ -68,13 +68,13 @@
  * Finds the first entry that is still valid. Removes entries of requests that
  * are no longer ready or whose deadline has changed.
  */
-function peekReady(queue: TinyQueue<Entry>): Entry | undefined {
+function peekCurrent(queue: TinyQueue<Entry>): Entry | undefined {
   for (;;) {
     const entry = queue.peek();
     if (entry === undefined) return undefined;
-    const valid = entry.request.place === "ready" &&
+    const isCurrent = entry.request.state === "ready" &&
       entry.deadline === entry.request.deadline;
-    if (valid) return entry;
+    if (isCurrent) return entry;
     queue.pop();
   }
 }
--- a/packages/core/src/serving/adapter_serving_policy.ts
+++ b/packages/core/src/serving/adapter_serving_policy.ts
@@ -14,9 +14,9 @@
   milliseconds,
   type RequestId,
 } from "../shared/mod.ts";
-import { AdapterValue } from "./adapter_value.ts";
+import { AdapterValue } from "./adapter_value_estimator.ts";
 import {
-  bearsOnDecisions,
+  affectsDecisions,
   type DeploymentEvent,
   type DeploymentOrder,
   DeploymentPolicy,
@@ -28,10 +28,10 @@
   QueuedRequest,
 } from "./engine_event.ts";
 import { LoadGrants } from "./load_grants.ts";
-import { PrefetchScout } from "./prefetch_scout.ts";
+import { PrefetchScout } from "./prefetch_planner.ts";
 
 /** The longest time to the next decision while requests wait. */
-const LOOK_AGAIN = milliseconds(50);
+const RECHECK_INTERVAL = milliseconds(50);
 
 /**
  * The complete policy in one process: a controller for each engine, the router
@@ -39,16 +39,16 @@
  */
 export class AdapterServingPolicy extends DeploymentPolicy {
   readonly #engines = new Map<EngineId, EngineController>();
-  readonly #locations = new Map<RequestId, EngineId>();
+  readonly #engineByRequest = new Map<RequestId, EngineId>();
   readonly #demand = new DemandTracker();
   readonly #index = new ResidenceIndex();
   readonly #prefixes = new PrefixHistory();
   readonly #ledger: LoadPermitLedger;
   readonly #router: AdapterRouter;
-  readonly #grants: LoadGrants;
-  readonly #changed = new Set<EngineId>();
-  /** Requests that arrived while there was no engine. */
-  readonly #unplaced = new Map<RequestId, QueuedRequest>();
+  readonly #loadGrants: LoadGrants;
+  readonly #changedEngines = new Set<EngineId>();
+  /** Requests for which the router found no engine. */
+  readonly #unrouted = new Map<RequestId, QueuedRequest>();
   #orders: DeploymentOrder[] = [];
 
   /** @param limits The load limits of the weight store. */
@@ -63,9 +63,13 @@
     };
     this.#router = new AdapterRouter(parts);
     const value = new AdapterValue(parts);
-    this.#grants = new LoadGrants({
+    this.#loadGrants = new LoadGrants({
       ledger: this.#ledger,
-      scout: new PrefetchScout({ ...parts, router: this.#router, value }),
+      prefetchPlanner: new PrefetchScout({
+        ...parts,
+        router: this.#router,
+        value,
+      }),
       engines: this.#engines,
     });
   }
@@ -73,16 +77,16 @@
   override handle(now: Instant, event: DeploymentEvent): void {
     switch (event.kind) {
       case "request_arrived":
-        this.#arrived(now, event.queued);
+        this.#onArrival(now, event.queued);
         break;
       case "request_cancelled":
-        this.#cancelled(event.request);
+        this.#onCancelled(event.request);
         break;
       case "engine_started":
-        this.#engineStarted(now, event.engine, event.capacity);
+        this.#onEngineStarted(now, event.engine, event.capacity);
         break;
       case "engine_left":
-        this.#engineLeft(now, event.engine);
+        this.#onEngineLeft(now, event.engine);
         break;
       case "target_changed":
         for (const controller of this.#engines.values()) {
@@ -95,39 +99,41 @@
       case "request_ended":
       case "engine_reported":
       case "prefix_event":
-        this.#atEngine(now, event);
+        this.#onEngineEvent(now, event);
         break;
     }
   }
 
   override decide(now: Instant): readonly DeploymentOrder[] {
-    for (const engine of this.#grants.grant(now)) this.#changed.add(engine);
-    this.#findHopeless(now);
-    for (const engine of this.#changed) this.#decideAt(now, engine);
-    this.#changed.clear();
+    for (const engine of this.#loadGrants.grant(now)) {
+      this.#changedEngines.add(engine);
+    }
+    this.#markDueGiveUps(now);
+    for (const engine of this.#changedEngines) this.#decideFor(now, engine);
+    this.#changedEngines.clear();
     const orders = this.#orders;
     if (orders.length > 0) this.#orders = [];
     return orders;
   }
 
   override nextWake(now: Instant): Instant | undefined {
-    const waits = [...this.#engines.values()]
+    const hasWaiting = [...this.#engines.values()]
       .some((controller) => controller.waiting > 0);
-    if (!waits) return undefined;
-    const grant = this.#ledger.nextGrantAt(now);
-    return grant > now ? grant : later(now, LOOK_AGAIN);
+    if (!hasWaiting) return undefined;
+    const nextGrantAt = this.#ledger.nextGrantAt(now);
+    return nextGrantAt > now ? nextGrantAt : later(now, RECHECK_INTERVAL);
   }
 
-  #arrived(now: Instant, queued: QueuedRequest): void {
+  #onArrival(now: Instant, queued: QueuedRequest): void {
     this.#demand.arrived(now, {
       key: adapterKey(queued.adapter),
       adapter: queued.adapter,
       target: queued.firstTokenTarget,
     });
-    this.#place(now, queued);
+    this.#route(now, queued);
   }
 
-  #place(now: Instant, queued: QueuedRequest): void {
+  #route(now: Instant, queued: QueuedRequest): void {
     const choice = this.#router.route(now, queued, this.#engines);
     switch (choice.kind) {
       case "engine":
@@ -141,7 +147,7 @@
         });
         break;
       case "no_engine":
-        this.#unplaced.set(queued.request, queued);
+        this.#unrouted.set(queued.request, queued);
         break;
     }
   }
@@ -152,22 +158,22 @@
     choice: Extract<RouteChoice, { readonly kind: "engine" }>,
   ): void {
     const { engine } = choice;
-    this.#locations.set(queued.request, engine);
+    this.#engineByRequest.set(queued.request, engine);
     const controller = this.#engines.get(engine);
     controller?.submit(now, queued);
-    if (choice.reason !== "resident") this.#grants.wishesChanged(engine);
-    this.#changed.add(engine);
+    if (choice.reason !== "resident") this.#loadGrants.markChanged(engine);
+    this.#changedEngines.add(engine);
   }
 
-  #cancelled(request: RequestId): void {
-    if (this.#unplaced.delete(request)) return;
-    const engine = this.#locations.get(request);
+  #onCancelled(request: RequestId): void {
+    if (this.#unrouted.delete(request)) return;
+    const engine = this.#engineByRequest.get(request);
     if (engine === undefined) return;
     if (this.#engines.get(engine)?.withdraw(request) !== true) return;
-    this.#locations.delete(request);
+    this.#engineByRequest.delete(request);
   }
 
-  #engineStarted(
+  #onEngineStarted(
     now: Instant,
     engine: EngineId,
     capacity: EngineCapacity,
@@ -181,52 +187,52 @@
       loads: this.#ledger,
     });
     this.#engines.set(engine, controller);
-    this.#placeAgain(now, waiting);
+    this.#rerouteAll(now, waiting);
   }
 
-  #engineLeft(now: Instant, engine: EngineId): void {
-    this.#placeAgain(now, this.#removeEngine(now, engine));
+  #onEngineLeft(now: Instant, engine: EngineId): void {
+    this.#rerouteAll(now, this.#removeEngine(now, engine));
   }
 
   #removeEngine(now: Instant, engine: EngineId): readonly QueuedRequest[] {
     const controller = this.#engines.get(engine);
     if (controller === undefined) return [];
-    const waiting = controller.handBack(now);
+    const waiting = controller.withdrawWaiting(now);
     controller.close();
-    for (const request of controller.requests()) {
-      this.#locations.delete(request);
+    for (const request of controller.requestIds()) {
+      this.#engineByRequest.delete(request);
     }
     this.#engines.delete(engine);
     this.#ledger.forget(engine);
     return waiting;
   }
 
-  #placeAgain(now: Instant, waiting: readonly QueuedRequest[]): void {
-    const unplaced = [...this.#unplaced.values()];
-    this.#unplaced.clear();
+  #rerouteAll(now: Instant, waiting: readonly QueuedRequest[]): void {
+    const unplaced = [...this.#unrouted.values()];
+    this.#unrouted.clear();
     for (const queued of [...unplaced, ...waiting]) {
-      this.#locations.delete(queued.request);
-      this.#place(now, queued);
+      this.#engineByRequest.delete(queued.request);
+      this.#route(now, queued);
     }
   }
 
-  #atEngine(
+  #onEngineEvent(
     now: Instant,
     event: Extract<DeploymentEvent, { readonly engine: EngineId }>,
   ): void {
     const controller = this.#engines.get(event.engine);
     if (controller === undefined) return;
-    if (bearsOnDecisions(event)) this.#changed.add(event.engine);
+    if (affectsDecisions(event)) this.#changedEngines.add(event.engine);
     switch (event.kind) {
       case "load_ended": {
         const key = adapterKey(event.adapter);
         this.#ledger.finished(now, { ...event, key });
         controller.loadEnded(now, event);
-        this.#grants.wishesChanged(event.engine);
+        this.#loadGrants.markChanged(event.engine);
         break;
       }
       case "eviction_ended":
-        this.#grants.wishesChanged(event.engine);
+        this.#loadGrants.markChanged(event.engine);
         controller.evictionEnded(now, {
           adapter: event.adapter,
           evicted: event.evicted ?? true,
@@ -236,14 +242,14 @@
         controller.firstToken(now, event.request);
         break;
       case "request_ended":
-        this.#locations.delete(event.request);
+        this.#engineByRequest.delete(event.request);
         controller.requestEnded(now, event.request, event.generatedTokens);
         break;
       case "engine_reported":
         controller.reported(now, event);
         break;
       case "prefix_event":
-        this.#prefixChanged(event);
+        this.#onPrefixEvent(event);
         break;
       case "engine_started":
       case "engine_left":
@@ -251,7 +257,7 @@
     }
   }
 
-  #prefixChanged(
+  #onPrefixEvent(
     event: Extract<DeploymentEvent, { readonly kind: "prefix_event" }>,
   ): void {
     const prefix = { key: adapterKey(event.adapter), hash: event.prefixHash };
@@ -259,22 +265,26 @@
     else this.#prefixes.evicted(prefix, event.engine);
   }
 
-  #findHopeless(now: Instant): void {
+  #markDueGiveUps(now: Instant): void {
     for (const [engine, controller] of this.#engines) {
-      const next = controller.nextGiveUp;
-      if (next !== undefined && next <= now) this.#changed.add(engine);
+      const next = controller.nextGiveUpAt;
+      if (next !== undefined && next <= now) this.#changedEngines.add(engine);
     }
   }
 
-  #decideAt(now: Instant, engine: EngineId): void {
+  #decideFor(now: Instant, engine: EngineId): void {
     const controller = this.#engines.get(engine);
     if (controller === undefined) return;
     for (const decision of controller.decide(now)) {
-      this.#carryOver(now, engine, decision);
+      this.#applyDecision(now, engine, decision);
     }
   }
 
-  #carryOver(now: Instant, engine: EngineId, decision: EngineDecision): void {
+  #applyDecision(
+    now: Instant,
+    engine: EngineId,
+    decision: EngineDecision,
+  ): void {
     switch (decision.kind) {
       case "dispatch":
       case "preempt":
@@ -283,7 +293,7 @@
         this.#orders.push({ ...decision, engine });
         break;
       case "refuse":
-        this.#locations.delete(decision.request);
+        this.#engineByRequest.delete(decision.request);
         this.#orders.push(decision);
         break;
       case "return_permit":
--- a/packages/core/src/serving/adapter_value.ts
+++ b/packages/core/src/serving/adapter_value_estimator.ts
@@ -1,4 +1,4 @@
-import { type AdapterLine, lineUrgency } from "../dispatch/mod.ts";
+import { type AdapterQueue, queueUrgency } from "../dispatch/mod.ts";
 import type {
   DemandTracker,
   LoadOutlook,
@@ -8,7 +8,7 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 /** The share of its value that a further replica of an adapter has. */
-const REPLICA_SHARE = 0.1;
+const REPLICA_VALUE_SHARE = 0.1;
 
 /** The data from which values of adapters are estimated. */
 export interface AdapterValueParts {
@@ -51,11 +51,11 @@
   evictionLoss(
     now: Instant,
     key: AdapterKey,
-    ready: AdapterLine | undefined,
+    ready: AdapterQueue | undefined,
   ): number {
-    const waiting = ready === undefined ? 0 : lineUrgency(now, ready);
+    const waiting = ready === undefined ? 0 : queueUrgency(now, ready);
     const isOnly = this.#parts.index.enginesOf(key).length < 2;
-    const share = isOnly ? 1 : REPLICA_SHARE;
+    const share = isOnly ? 1 : REPLICA_VALUE_SHARE;
     return waiting + share * this.absenceCost(now, key);
   }
 
--- a/packages/core/src/serving/deployment_policy.ts
+++ b/packages/core/src/serving/deployment_policy.ts
@@ -146,7 +146,7 @@
  * @param event The event.
  * @returns Whether to decide again.
  */
-export function bearsOnDecisions(event: DeploymentEvent): boolean {
+export function affectsDecisions(event: DeploymentEvent): boolean {
   return event.kind !== "first_token" && event.kind !== "prefix_event" &&
     event.kind !== "engine_reported";
 }
--- a/packages/core/src/serving/engine_controller.ts
+++ b/packages/core/src/serving/engine_controller.ts
@@ -1,4 +1,4 @@
-import type { WaitingRequest } from "../dispatch/mod.ts";
+import type { EngineRequest } from "../dispatch/mod.ts";
 import type { LoadWish } from "../loads/mod.ts";
 import type { FoundResidences, FoundState } from "../residency/mod.ts";
 import {
@@ -18,7 +18,7 @@
   EngineReport,
   QueuedRequest,
 } from "./engine_event.ts";
-import { HopelessRequests } from "./hopeless_requests.ts";
+import { OverdueRequests } from "./overdue_requests.ts";
 import type { PrefetchCandidate } from "./load_planner.ts";
 import { RequestDispatcher } from "./request_dispatcher.ts";
 
@@ -27,11 +27,11 @@
  * the node that controls the engine has a controller for it.
  */
 export class EngineController extends EngineControllerView {
-  readonly #hopeless = new HopelessRequests(this.book);
+  readonly #overdueRequests = new OverdueRequests(this.engineRequests);
   readonly #dispatcher = new RequestDispatcher({
-    book: this.book,
+    engineRequests: this.engineRequests,
     residency: this.residency,
-    history: this.history,
+    dispatchHistory: this.dispatchHistory,
     places: () => this.places(),
   });
   #isClosed = false;
@@ -39,11 +39,13 @@
   /**
    * Adopts the adapters that the engine reports after a restart or takeover.
    * @param now The present time.
-   * @param found The state that the engine reported.
+   * @param engineState The state that the engine reported.
    */
-  takeIn(now: Instant, found: FoundResidences): void {
-    this.residency.takeIn(now, found);
-    for (const residence of this.residency.all) this.#reindex(residence.key);
+  takeIn(now: Instant, engineState: FoundResidences): void {
+    this.residency.takeIn(now, engineState);
+    for (const residence of this.residency.all) {
+      this.#updateIndex(residence.key);
+    }
   }
 
   /** Whether the engine has adapters that others may still use or load. */
@@ -58,9 +60,9 @@
    */
   found(now: Instant, state: FoundState): void {
     const { gone, loaded } = this.residency.compare(now, state);
-    for (const key of loaded) this.book.unblock(now, key);
-    for (const key of gone) this.book.block(now, key);
-    for (const key of [...loaded, ...gone]) this.#reindex(key);
+    for (const key of loaded) this.engineRequests.unblock(now, key);
+    for (const key of gone) this.engineRequests.block(now, key);
+    for (const key of [...loaded, ...gone]) this.#updateIndex(key);
   }
 
   /**
@@ -71,8 +73,8 @@
   adapterMissing(now: Instant, adapter: AdapterReference): void {
     const key = adapterKey(adapter);
     if (!this.residency.lose(key)) return;
-    this.book.block(now, key);
-    this.#reindex(key);
+    this.engineRequests.block(now, key);
+    this.#updateIndex(key);
   }
 
   /**
@@ -82,10 +84,10 @@
    */
   submit(now: Instant, queued: QueuedRequest): void {
     const key = adapterKey(queued.adapter);
-    const resident = this.residency.isResident(key);
-    const request = this.book.submit(now, queued, resident);
-    this.#hopeless.watch(request);
-    if (!resident) this.#reindex(key);
+    const isResident = this.residency.isResident(key);
+    const request = this.engineRequests.submit(now, queued, isResident);
+    this.#overdueRequests.watch(request);
+    if (!isResident) this.#updateIndex(key);
   }
 
   /**
@@ -94,9 +96,9 @@
    * @returns Whether the request waited here, and therefore will not run.
    */
   withdraw(request: RequestId): boolean {
-    const found = this.book.find(request);
+    const found = this.engineRequests.find(request);
     if (found === undefined || found.isAtEngine) return false;
-    this.#forget(found);
+    this.#remove(found);
     return true;
   }
 
@@ -105,9 +107,11 @@
    * @param now The present time.
    * @returns The requests, with the time that they waited here added.
    */
-  handBack(now: Instant): readonly QueuedRequest[] {
-    const waiting = [...this.book.all].filter((one) => !one.isAtEngine);
-    for (const request of waiting) this.#forget(request);
+  withdrawWaiting(now: Instant): readonly QueuedRequest[] {
+    const waiting = [...this.engineRequests.all].filter((one) =>
+      !one.isAtEngine
+    );
+    for (const request of waiting) this.#remove(request);
     return waiting.map(({ queued, submittedAt }) => ({
       ...queued,
       waitedBefore: milliseconds(
@@ -117,15 +121,19 @@
   }
 
   /** Lists the ids of all requests at this engine. */
-  requests(): readonly RequestId[] {
-    return [...this.book.all].map((request) => request.queued.request);
+  requestIds(): readonly RequestId[] {
+    return [...this.engineRequests.all].map((request) =>
+      request.queued.request
+    );
   }
 
   /** Removes all entries of this controller from the residence index. */
   close(): void {
     this.#isClosed = true;
-    for (const { key } of this.residency.all) this.#unindex(key);
-    for (const { key } of this.book.blocked.lines) this.#unindex(key);
+    for (const { key } of this.residency.all) this.#removeFromIndex(key);
+    for (const { key } of this.engineRequests.blocked.queues) {
+      this.#removeFromIndex(key);
+    }
   }
 
   /**
@@ -141,8 +149,8 @@
     const { loaded } = load;
     if (!this.residency.loadEnded(now, { key, loaded })) return;
     this.planner.loadEnded(now, key, loaded);
-    if (loaded) this.book.unblock(now, key);
-    this.#reindex(key);
+    if (loaded) this.engineRequests.unblock(now, key);
+    this.#updateIndex(key);
   }
 
   /**
@@ -160,10 +168,10 @@
     const key = adapterKey(eviction.adapter);
     const { evicted } = eviction;
     if (!this.residency.evictionEnded(now, { key, evicted })) return;
-    if (!evicted) this.book.unblock(now, key);
-    const next = this.planner.afterEviction(now, key, evicted);
-    this.#reindex(key);
-    if (next !== undefined) this.#reindex(next);
+    if (!evicted) this.engineRequests.unblock(now, key);
+    const next = this.planner.evictionEnded(now, key, evicted);
+    this.#updateIndex(key);
+    if (next !== undefined) this.#updateIndex(next);
   }
 
   /**
@@ -172,10 +180,10 @@
    * @param request The request's id.
    */
   firstToken(now: Instant, request: RequestId): void {
-    const found = this.book.find(request);
+    const found = this.engineRequests.find(request);
     if (found === undefined || found.firstTokenAt !== undefined) return;
     found.firstTokenAt = now;
-    this.pace.firstTokenCame(now, found);
+    this.timings.recordFirstToken(now, found);
   }
 
   /**
@@ -189,12 +197,12 @@
     request: RequestId,
     generatedTokens: number,
   ): void {
-    const found = this.book.find(request);
+    const found = this.engineRequests.find(request);
     if (found === undefined || !found.isAtEngine) return;
-    this.pace.ended(now, found, generatedTokens);
+    this.timings.recordEnd(now, found, generatedTokens);
     this.residency.unpin(now, found.key);
-    this.book.remove(found);
-    this.history.record(now, this.book.atEngine);
+    this.engineRequests.remove(found);
+    this.dispatchHistory.record(now, this.engineRequests.heldByEngine);
   }
 
   /**
@@ -203,8 +211,8 @@
    * @param report The report.
    */
   reported(now: Instant, report: EngineReport): void {
-    this.pace.stepReported(report.stepTime);
-    this.others = this.history.othersIn(now, {
+    this.timings.recordStepTime(report.stepTime);
+    this.foreignRequests = this.dispatchHistory.countForeign(now, {
       held: report.running + report.waiting,
       age: report.age,
     });
@@ -216,7 +224,7 @@
    * @param target The new target.
    */
   retarget(id: ClassId, target: Duration): void {
-    this.book.retarget(id, target);
+    this.engineRequests.retarget(id, target);
   }
 
   /**
@@ -240,9 +248,9 @@
    */
   usePermit(now: Instant, adapter: AdapterReference): boolean {
     const key = adapterKey(adapter);
-    const used = this.planner.usePermit(now, adapter, key);
-    if (used) this.parts.index.add(key, this.engine);
-    return used;
+    const isUsed = this.planner.usePermit(now, adapter, key);
+    if (isUsed) this.parts.index.add(key, this.engine);
+    return isUsed;
   }
 
   /**
@@ -252,19 +260,19 @@
    */
   decide(now: Instant): readonly EngineDecision[] {
     const decisions = [...this.planner.takeOrders()];
-    this.#refuseHopeless(now, decisions);
+    this.#refuseOverdue(now, decisions);
     this.#dispatcher.dispatch(now, decisions);
     return decisions;
   }
 
   /** When a waiting request may next have to be refused as overdue. */
-  get nextGiveUp(): Instant | undefined {
-    return this.#hopeless.next;
+  get nextGiveUpAt(): Instant | undefined {
+    return this.#overdueRequests.nextDueAt;
   }
 
-  #refuseHopeless(now: Instant, decisions: EngineDecision[]): void {
-    this.#hopeless.refuseDue(now, (request) => {
-      this.#forget(request);
+  #refuseOverdue(now: Instant, decisions: EngineDecision[]): void {
+    this.#overdueRequests.refuseDue(now, (request) => {
+      this.#remove(request);
       decisions.push({
         kind: "refuse",
         request: request.queued.request,
@@ -273,18 +281,18 @@
     });
   }
 
-  #forget(request: WaitingRequest): void {
-    this.book.remove(request);
-    this.#reindex(request.key);
+  #remove(request: EngineRequest): void {
+    this.engineRequests.remove(request);
+    this.#updateIndex(request.key);
   }
 
-  #reindex(key: AdapterKey): void {
+  #updateIndex(key: AdapterKey): void {
     if (this.#isClosed) return;
-    if (this.standing(key) === "absent") this.#unindex(key);
+    if (this.standing(key) === "absent") this.#removeFromIndex(key);
     else this.parts.index.add(key, this.engine);
   }
 
-  #unindex(key: AdapterKey): void {
+  #removeFromIndex(key: AdapterKey): void {
     this.parts.index.remove(key, this.engine);
   }
 }
--- a/packages/core/src/serving/engine_controller_view.ts
+++ b/packages/core/src/serving/engine_controller_view.ts
@@ -1,7 +1,7 @@
 import {
-  EnginePace,
-  OwnHistory,
-  RequestBook,
+  DispatchHistory,
+  EngineRequests,
+  EngineTimings,
   TARGET_RATIO,
 } from "../dispatch/mod.ts";
 import {
@@ -19,7 +19,10 @@
   type EngineId,
   type Instant,
 } from "../shared/mod.ts";
-import { AdapterValue, type AdapterValueParts } from "./adapter_value.ts";
+import {
+  AdapterValue,
+  type AdapterValueParts,
+} from "./adapter_value_estimator.ts";
 import type { EngineCapacity } from "./engine_event.ts";
 import { LoadPlanner } from "./load_planner.ts";
 
@@ -30,17 +33,17 @@
 }
 
 /** The maximum number of awaited adapters in a summary. */
-const SUMMARISED_AWAITED = 64;
+const MAXIMUM_SUMMARISED_AWAITED = 64;
 /**
  * The time per token of an engine of average speed, in milliseconds. Engine
  * weights are relative to it.
  */
-const COMMON_TOKEN_TIME = 20;
+const REFERENCE_TOKEN_MILLISECONDS = 20;
 /**
  * The maximum share of a batch that is reserved for requests of other
  * controllers.
  */
-const OTHERS_SHARE = 0.5;
+const MAXIMUM_FOREIGN_SHARE = 0.5;
 
 /** The view of a locally controlled engine that routers use. */
 export abstract class EngineControllerView extends EngineView {
@@ -49,12 +52,12 @@
   protected readonly parts: EngineControllerParts;
   /** The adapters in the engine's slots. */
   readonly residency: EngineResidency;
-  protected readonly book = new RequestBook();
-  protected readonly pace = new EnginePace();
-  protected readonly history = new OwnHistory();
+  protected readonly engineRequests = new EngineRequests();
+  protected readonly timings = new EngineTimings();
+  protected readonly dispatchHistory = new DispatchHistory();
   protected readonly planner: LoadPlanner;
   /** The number of requests from others, estimated from engine reports. */
-  protected others = 0;
+  protected foreignRequests = 0;
 
   /** @param parts The dependencies of the controller. */
   constructor(parts: EngineControllerParts) {
@@ -66,29 +69,31 @@
     this.planner = new LoadPlanner({
       engine: parts.engine,
       residency: this.residency,
-      book: this.book,
+      engineRequests: this.engineRequests,
       value: new AdapterValue(parts),
     });
   }
 
   /** The number of waiting requests. */
   get waiting(): number {
-    return this.book.waiting;
+    return this.engineRequests.waiting;
   }
 
   /** The number of requests with a place in the batch. */
   get running(): number {
-    return this.book.running.size;
+    return this.engineRequests.running.size;
   }
 
   /** The number of adapters that blocked requests wait for. */
   get awaitedAdapters(): number {
-    return this.book.blocked.adapters;
+    return this.engineRequests.blocked.adapterCount;
   }
 
   override get weight(): number {
-    const pace = Math.sqrt(COMMON_TOKEN_TIME / Math.max(1, this.pace.token));
-    return this.parts.capacity.adapterSlots * pace;
+    const relativeSpeed = Math.sqrt(
+      REFERENCE_TOKEN_MILLISECONDS / Math.max(1, this.timings.tokenTime),
+    );
+    return this.parts.capacity.adapterSlots * relativeSpeed;
   }
 
   override get batchCapacity(): number {
@@ -96,28 +101,28 @@
   }
 
   override get firstTokenTime(): Duration {
-    return this.pace.firstToken;
+    return this.timings.firstTokenTime;
   }
 
   override get serviceTime(): Duration {
-    return this.pace.service;
+    return this.timings.serviceTime;
   }
 
   override standing(key: AdapterKey): AdapterStanding {
     const residence = this.residency.find(key);
     if (residence?.state === "resident") return "resident";
     if (residence?.state === "loading") return "loading";
-    if (this.planner.isAwaiting(key)) return "loading";
-    return this.book.blocked.has(key) ? "awaited" : "absent";
+    if (this.planner.isAwaitingEviction(key)) return "loading";
+    return this.engineRequests.blocked.has(key) ? "awaited" : "absent";
   }
 
   override placeWait(_now: Instant, target: Duration): Duration {
     return placeWait({
       places: this.places(),
-      running: this.book.running.size,
-      yielding: this.book.runningAtLeast(TARGET_RATIO * target),
-      ahead: this.book.ready.countAhead(target),
-      serviceTime: this.pace.service,
+      running: this.engineRequests.running.size,
+      yielding: this.engineRequests.countRunningAtLeast(TARGET_RATIO * target),
+      ahead: this.engineRequests.ready.countAhead(target),
+      serviceTime: this.timings.serviceTime,
     });
   }
 
@@ -131,8 +136,8 @@
 
   override loadsAhead(target: Duration): number {
     return Math.min(
-      this.book.blocked.adapters,
-      this.book.blockedAhead(target),
+      this.engineRequests.blocked.adapterCount,
+      this.engineRequests.countBlockedAhead(target),
     );
   }
 
@@ -148,9 +153,9 @@
       running: this.running,
       awaitedAdapters: this.awaitedAdapters,
       canMakeRoom: this.canMakeRoom(),
-      ready: this.book.ready.loads,
-      blocked: this.book.blockedLoads,
-      runningByTarget: this.book.runningLoads,
+      ready: this.engineRequests.ready.byTarget,
+      blocked: this.engineRequests.blockedByTarget,
+      runningByTarget: this.engineRequests.runningByTarget,
     };
   }
 
@@ -163,8 +168,8 @@
     for (const { key, adapter } of this.residency.all) {
       standings.set(key, { key, adapter, standing: this.standing(key) });
     }
-    for (const { key, adapter } of this.book.blocked.lines) {
-      if (standings.size >= this.#slots() + SUMMARISED_AWAITED) break;
+    for (const { key, adapter } of this.engineRequests.blocked.queues) {
+      if (standings.size >= this.#slots() + MAXIMUM_SUMMARISED_AWAITED) break;
       standings.set(key, { key, adapter, standing: this.standing(key) });
     }
     return [...standings.values()];
@@ -177,7 +182,10 @@
   /** The number of batch places available to this controller's requests. */
   protected places(): number {
     const { batchCapacity } = this.parts.capacity;
-    const others = Math.min(this.others, OTHERS_SHARE * batchCapacity);
+    const others = Math.min(
+      this.foreignRequests,
+      MAXIMUM_FOREIGN_SHARE * batchCapacity,
+    );
     return Math.max(1, Math.floor(batchCapacity - others));
   }
 }
--- a/packages/core/src/serving/give_up_timer.ts
+++ b/packages/core/src/serving/give_up_timer.ts
@@ -1,9 +1,9 @@
 import TinyQueue from "tinyqueue";
-import type { WaitingRequest } from "../dispatch/mod.ts";
+import type { EngineRequest } from "../dispatch/mod.ts";
 import { type Instant, later } from "../shared/mod.ts";
 
 interface Entry {
-  readonly request: WaitingRequest;
+  readonly request: EngineRequest;
   readonly at: Instant;
 }
 
@@ -14,9 +14,9 @@
     (left, right) => left.at - right.at,
   );
 
-  /** When the next waiting request is due. */
-  get next(): Instant | undefined {
-    this.#dropOver();
+  /** When the next entry is due, unless its request is removed before. */
+  get nextDueAt(): Instant | undefined {
+    this.#dropEnded();
     return this.#entries.peek()?.at;
   }
 
@@ -24,8 +24,8 @@
    * Schedules a new request.
    * @param request The request.
    */
-  watch(request: WaitingRequest): void {
-    this.#entries.push({ request, at: request.givenUpAt() });
+  watch(request: EngineRequest): void {
+    this.#entries.push({ request, at: request.giveUpAt() });
   }
 
   /**
@@ -33,7 +33,7 @@
    * @param now The present time.
    * @param request The request.
    */
-  watchAgain(now: Instant, request: WaitingRequest): void {
+  extend(now: Instant, request: EngineRequest): void {
     this.#entries.push({ request, at: later(now, request.target) });
   }
 
@@ -42,8 +42,8 @@
    * @param now The present time.
    * @returns Their requests, some of which may no longer wait.
    */
-  due(now: Instant): readonly WaitingRequest[] {
-    const due: WaitingRequest[] = [];
+  takeDue(now: Instant): readonly EngineRequest[] {
+    const due: EngineRequest[] = [];
     for (;;) {
       const entry = this.#entries.peek();
       if (entry === undefined || entry.at > now) return due;
@@ -52,12 +52,12 @@
     }
   }
 
-  #dropOver(): void {
+  #dropEnded(): void {
     for (;;) {
       const entry = this.#entries.peek();
       if (entry === undefined) return;
-      const { place } = entry.request;
-      if (place === "ready" || place === "blocked") return;
+      const { state } = entry.request;
+      if (state === "ready" || state === "blocked") return;
       this.#entries.pop();
     }
   }
--- a/packages/core/src/serving/load_grants.ts
+++ b/packages/core/src/serving/load_grants.ts
@@ -7,17 +7,17 @@
   milliseconds,
 } from "../shared/mod.ts";
 import type { EngineController } from "./engine_controller.ts";
-import type { PrefetchScout } from "./prefetch_scout.ts";
+import type { PrefetchScout } from "./prefetch_planner.ts";
 
 /**
  * How often wishes are refreshed if no request, load or eviction changes them.
  */
-const WISHES_LAST = milliseconds(50);
+const WISH_REFRESH_INTERVAL = milliseconds(50);
 
 /** The dependencies of {@link LoadGrants}. */
 export interface LoadGrantsParts {
   readonly ledger: LoadPermitLedger;
-  readonly scout: PrefetchScout;
+  readonly prefetchPlanner: PrefetchScout;
   readonly engines: ReadonlyMap<EngineId, EngineController>;
 }
 
@@ -25,8 +25,8 @@
 export class LoadGrants {
   readonly #parts: LoadGrantsParts;
   /** Engines whose wishes may have changed since their last offer. */
-  readonly #changed = new Set<EngineId>();
-  #nextLook = CLOCK_START;
+  readonly #changedEngines = new Set<EngineId>();
+  #nextRefreshAt = CLOCK_START;
 
   /** @param parts The dependencies. */
   constructor(parts: LoadGrantsParts) {
@@ -37,8 +37,8 @@
    * Marks an engine whose wishes may have changed.
    * @param engine The engine.
    */
-  wishesChanged(engine: EngineId): void {
-    this.#changed.add(engine);
+  markChanged(engine: EngineId): void {
+    this.#changedEngines.add(engine);
   }
 
   /**
@@ -53,18 +53,18 @@
   }
 
   #offerWishes(now: Instant): void {
-    const { engines, ledger, scout } = this.#parts;
-    scout.look(now, engines);
-    if (now >= this.#nextLook) {
-      this.#nextLook = later(now, WISHES_LAST);
-      for (const engine of engines.keys()) this.#changed.add(engine);
+    const { engines, ledger, prefetchPlanner } = this.#parts;
+    prefetchPlanner.look(now, engines);
+    if (now >= this.#nextRefreshAt) {
+      this.#nextRefreshAt = later(now, WISH_REFRESH_INTERVAL);
+      for (const engine of engines.keys()) this.#changedEngines.add(engine);
     }
-    for (const engine of this.#changed) {
+    for (const engine of this.#changedEngines) {
       const wishes = engines.get(engine)
-        ?.wishes(now, scout.candidates(now, engine));
+        ?.wishes(now, prefetchPlanner.candidates(now, engine));
       if (wishes !== undefined) ledger.offer(now, engine, wishes);
     }
-    this.#changed.clear();
+    this.#changedEngines.clear();
   }
 
   #usePermits(now: Instant): ReadonlySet<EngineId> {
@@ -74,10 +74,10 @@
       const permit = ledger.grant(now);
       if (permit === undefined) return granted;
       const { engine, adapter } = permit;
-      const used = engines.get(engine)?.usePermit(now, adapter) ?? false;
-      if (!used) ledger.finished(now, { ...permit, loaded: false });
+      const isUsed = engines.get(engine)?.usePermit(now, adapter) ?? false;
+      if (!isUsed) ledger.finished(now, { ...permit, loaded: false });
       granted.add(engine);
-      this.#changed.add(engine);
+      this.#changedEngines.add(engine);
     }
   }
 }
--- a/packages/core/src/serving/load_planner.ts
+++ b/packages/core/src/serving/load_planner.ts
@@ -1,5 +1,5 @@
-import { type AdapterLine, lineUrgency } from "../dispatch/mod.ts";
-import type { RequestBook } from "../dispatch/request_book.ts";
+import { type AdapterQueue, queueUrgency } from "../dispatch/mod.ts";
+import type { EngineRequests } from "../dispatch/engine_requests.ts";
 import type { LoadWish } from "../loads/mod.ts";
 import {
   chooseVictim,
@@ -13,15 +13,15 @@
   type EngineId,
   type Instant,
 } from "../shared/mod.ts";
-import type { AdapterValue } from "./adapter_value.ts";
+import type { AdapterValue } from "./adapter_value_estimator.ts";
 import type { EngineDecision } from "./engine_event.ts";
 
 /** The maximum number of wishes that are offered at once. */
-const MOST_WISHES = 4;
+const MAXIMUM_WISHES = 4;
 /**
  * How many times the value of its victim a prefetched adapter must be worth.
  */
-const PREFETCH_MARGIN = 2;
+const MINIMUM_PREFETCH_RATIO = 2;
 
 /** An adapter that may be worth loading before a request needs it. */
 export interface PrefetchCandidate {
@@ -35,7 +35,7 @@
 export interface LoadPlannerParts {
   readonly engine: EngineId;
   readonly residency: EngineResidency;
-  readonly book: RequestBook;
+  readonly engineRequests: EngineRequests;
   readonly value: AdapterValue;
 }
 
@@ -53,8 +53,8 @@
   readonly #parts: LoadPlannerParts;
   readonly #backoff = new LoadBackoff();
   /** Planned loads by the adapter that is being evicted for them. */
-  readonly #afterEviction = new Map<AdapterKey, PlannedLoad>();
-  readonly #awaiting = new Set<AdapterKey>();
+  readonly #loadByVictim = new Map<AdapterKey, PlannedLoad>();
+  readonly #awaitingEviction = new Set<AdapterKey>();
   #orders: EngineDecision[] = [];
 
   /** @param parts The dependencies of the planner. */
@@ -67,8 +67,8 @@
    * @param key The key of the adapter.
    * @returns Whether such a load is planned.
    */
-  isAwaiting(key: AdapterKey): boolean {
-    return this.#awaiting.has(key);
+  isAwaitingEviction(key: AdapterKey): boolean {
+    return this.#awaitingEviction.has(key);
   }
 
   /**
@@ -79,7 +79,7 @@
    */
   roomLoss(now: Instant): number {
     if (this.#freeSlots() > 0) return 0;
-    return this.#victim(now)?.loss ?? Infinity;
+    return this.#chooseVictim(now)?.loss ?? Infinity;
   }
 
   /**
@@ -94,11 +94,11 @@
   ): readonly LoadWish[] {
     const wanted = this.#wanted(now, prefetch);
     if (wanted.length === 0 || this.#freeSlots() > 0) return wanted;
-    const victim = this.#victim(now);
+    const victim = this.#chooseVictim(now);
     if (victim === undefined) return [];
     return wanted.filter((wish) =>
-      wish.urgency * this.#patienceLost(now, wish) >=
-        leastUrgency(wish, victim)
+      wish.urgency * this.#overdueFactor(now, wish) >=
+        minimumUrgency(wish, victim)
     );
   }
 
@@ -119,13 +119,13 @@
       this.#startLoad(now, { adapter });
       return true;
     }
-    const victim = this.#victim(now);
+    const victim = this.#chooseVictim(now);
     if (victim === undefined) return false;
-    this.#parts.book.block(now, victim.residence.key);
+    this.#parts.engineRequests.block(now, victim.residence.key);
     this.#parts.residency.startEviction(now, victim.residence.key);
     const evicted = victim.residence.adapter;
-    this.#afterEviction.set(victim.residence.key, { key, adapter, evicted });
-    this.#awaiting.add(key);
+    this.#loadByVictim.set(victim.residence.key, { key, adapter, evicted });
+    this.#awaitingEviction.add(key);
     this.#orders.push({ kind: "evict", adapter: evicted });
     return true;
   }
@@ -138,15 +138,15 @@
    * @param evicted Whether it was evicted.
    * @returns The key of the adapter whose load waited, if any.
    */
-  afterEviction(
+  evictionEnded(
     now: Instant,
     victim: AdapterKey,
     evicted: boolean,
   ): AdapterKey | undefined {
-    const next = this.#afterEviction.get(victim);
+    const next = this.#loadByVictim.get(victim);
     if (next === undefined) return undefined;
-    this.#afterEviction.delete(victim);
-    this.#awaiting.delete(next.key);
+    this.#loadByVictim.delete(victim);
+    this.#awaitingEviction.delete(next.key);
     if (evicted) this.#startLoad(now, next);
     else this.#orders.push({ kind: "return_permit", adapter: next.adapter });
     return next.key;
@@ -178,8 +178,8 @@
     prefetch: readonly PrefetchCandidate[],
   ): readonly LoadWish[] {
     const wanted: LoadWish[] = [];
-    for (const line of this.#parts.book.blocked.lines) {
-      const wish = this.#lineWish(now, line);
+    for (const queue of this.#parts.engineRequests.blocked.queues) {
+      const wish = this.#waitingWish(now, queue);
       if (wish !== undefined) keepMostUrgent(wanted, wish);
     }
     for (const candidate of prefetch) {
@@ -204,12 +204,16 @@
     return this.#parts.residency.freeSlots;
   }
 
-  #victim(now: Instant): EvictionCandidate | undefined {
-    const { residency, book, value } = this.#parts;
+  #chooseVictim(now: Instant): EvictionCandidate | undefined {
+    const { residency, engineRequests, value } = this.#parts;
     return chooseVictim(
       residency.all,
       (residence) =>
-        value.evictionLoss(now, residence.key, book.readyLine(residence.key)),
+        value.evictionLoss(
+          now,
+          residence.key,
+          engineRequests.findReady(residence.key),
+        ),
     );
   }
 
@@ -218,28 +222,28 @@
    * its oldest request is overdue. Past demand decays over minutes, which is
    * too long for a request to wait.
    */
-  #patienceLost(now: Instant, wish: LoadWish): number {
-    const line = this.#parts.book.blocked.find(wish.key);
-    const oldest = line?.requests.values().next().value;
+  #overdueFactor(now: Instant, wish: LoadWish): number {
+    const queue = this.#parts.engineRequests.blocked.find(wish.key);
+    const oldest = queue?.requests.values().next().value;
     if (oldest === undefined) return 1;
     return 1 + Math.max(0, now - oldest.deadline) / oldest.target;
   }
 
   #isWanted(key: AdapterKey): boolean {
     return this.#parts.residency.find(key) === undefined &&
-      !this.#awaiting.has(key);
+      !this.#awaitingEviction.has(key);
   }
 
-  #lineWish(now: Instant, line: AdapterLine): LoadWish | undefined {
-    if (!this.#isWanted(line.key)) return undefined;
-    if (this.#backoff.allowedAt(now, line.key) > now) return undefined;
+  #waitingWish(now: Instant, queue: AdapterQueue): LoadWish | undefined {
+    if (!this.#isWanted(queue.key)) return undefined;
+    if (this.#backoff.allowedAt(now, queue.key) > now) return undefined;
     const { engine, value } = this.#parts;
     return {
       engine,
-      key: line.key,
-      adapter: line.adapter,
+      key: queue.key,
+      adapter: queue.adapter,
       purpose: "waiting",
-      urgency: lineUrgency(now, line) + value.absenceCost(now, line.key),
+      urgency: queueUrgency(now, queue) + value.absenceCost(now, queue.key),
     };
   }
 
@@ -255,16 +259,16 @@
   }
 }
 
-function leastUrgency(wish: LoadWish, victim: EvictionCandidate): number {
+function minimumUrgency(wish: LoadWish, victim: EvictionCandidate): number {
   return wish.purpose === "prefetch"
-    ? PREFETCH_MARGIN * victim.loss
+    ? MINIMUM_PREFETCH_RATIO * victim.loss
     : victim.loss;
 }
 
 function keepMostUrgent(wishes: LoadWish[], wish: LoadWish): void {
-  const last = wishes[MOST_WISHES - 1];
+  const last = wishes[MAXIMUM_WISHES - 1];
   if (last !== undefined && last.urgency >= wish.urgency) return;
   wishes.push(wish);
   wishes.sort((left, right) => right.urgency - left.urgency);
-  if (wishes.length > MOST_WISHES) wishes.pop();
+  if (wishes.length > MAXIMUM_WISHES) wishes.pop();
 }
--- a/packages/core/src/serving/prefetch_scout.ts
+++ b/packages/core/src/serving/prefetch_planner.ts
@@ -6,20 +6,20 @@
   ResidenceIndex,
 } from "../placement/mod.ts";
 import type { AdapterKey, EngineId, Instant } from "../shared/mod.ts";
-import type { AdapterValue } from "./adapter_value.ts";
+import type { AdapterValue } from "./adapter_value_estimator.ts";
 import type { PrefetchCandidate } from "./load_planner.ts";
 
 /** The maximum number of candidates per engine. */
-const KEPT = 8;
+const MAXIMUM_CANDIDATES = 8;
 /**
  * An adapter needs another replica when its requests fill this share of its
  * holders' batches.
  */
-const GROWTH_SHARE = 0.5;
+const REPLICA_LOAD_THRESHOLD = 0.5;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** The dependencies of a prefetch planner. */
-export interface PrefetchScoutParts {
+export interface PrefetchPlannerParts {
   readonly demand: DemandTracker;
   readonly index: ResidenceIndex;
   readonly router: AdapterRouter;
@@ -33,11 +33,11 @@
  * adapters.
  */
 export class PrefetchScout {
-  readonly #parts: PrefetchScoutParts;
+  readonly #parts: PrefetchPlannerParts;
   readonly #candidates = new Map<EngineId, PrefetchCandidate[]>();
 
   /** @param parts The dependencies of the planner. */
-  constructor(parts: PrefetchScoutParts) {
+  constructor(parts: PrefetchPlannerParts) {
     this.#parts = parts;
   }
 
@@ -59,9 +59,9 @@
    * @returns The candidates.
    */
   candidates(now: Instant, engine: EngineId): readonly PrefetchCandidate[] {
-    const known = this.#candidates.get(engine);
-    if (known === undefined) return [];
-    const current = known.flatMap((candidate) => {
+    const existing = this.#candidates.get(engine);
+    if (existing === undefined) return [];
+    const current = existing.flatMap((candidate) => {
       const holders = this.#parts.index.enginesOf(candidate.key);
       if (holders.includes(engine)) return [];
       const worth = this.#parts.value.absenceCost(now, candidate.key);
@@ -85,15 +85,15 @@
       .find((view) => !holders.includes(view.engine));
     if (home === undefined) return;
     const worth = this.#parts.value.absenceCost(now, key);
-    this.#keep(home.engine, { key, adapter: demand.adapter, worth });
+    this.#addCandidate(home.engine, { key, adapter: demand.adapter, worth });
   }
 
-  #keep(engine: EngineId, candidate: PrefetchCandidate): void {
+  #addCandidate(engine: EngineId, candidate: PrefetchCandidate): void {
     const kept = this.#candidates.get(engine) ?? [];
     if (kept.some((other) => other.key === candidate.key)) return;
     kept.push(candidate);
     kept.sort((left, right) => right.worth - left.worth);
-    if (kept.length > KEPT) kept.pop();
+    if (kept.length > MAXIMUM_CANDIDATES) kept.pop();
     this.#candidates.set(engine, kept);
   }
 }
@@ -111,14 +111,15 @@
   },
 ): boolean {
   const rate = demand.arrivalRate(now);
-  let room = 0;
-  let service = 0;
+  let totalBatchCapacity = 0;
+  let serviceMilliseconds = 0;
   for (const holder of holders) {
     const view = views.get(holder);
     if (view === undefined) continue;
-    room += view.batchCapacity;
-    service = Math.max(service, view.serviceTime);
+    totalBatchCapacity += view.batchCapacity;
+    serviceMilliseconds = Math.max(serviceMilliseconds, view.serviceTime);
   }
-  const concurrent = rate * service / MILLISECONDS_PER_SECOND;
-  return concurrent > GROWTH_SHARE * room;
+  const concurrentRequests = rate * serviceMilliseconds /
+    MILLISECONDS_PER_SECOND;
+  return concurrentRequests > REPLICA_LOAD_THRESHOLD * totalBatchCapacity;
 }
--- a/packages/core/src/serving/request_dispatcher.ts
+++ b/packages/core/src/serving/request_dispatcher.ts
@@ -1,9 +1,9 @@
 import {
-  chooseDisplaced,
-  type OwnHistory,
-  type RequestBook,
+  choosePreempted,
+  type DispatchHistory,
+  type EngineRequest,
+  type EngineRequests,
   TARGET_RATIO,
-  type WaitingRequest,
 } from "../dispatch/mod.ts";
 import type { EngineResidency } from "../residency/mod.ts";
 import { elapsed, type Instant, milliseconds } from "../shared/mod.ts";
@@ -11,9 +11,9 @@
 
 /** The dependencies of a request dispatcher. */
 export interface RequestDispatcherParts {
-  readonly book: RequestBook;
+  readonly engineRequests: EngineRequests;
   readonly residency: EngineResidency;
-  readonly history: OwnHistory;
+  readonly dispatchHistory: DispatchHistory;
   /** Returns the number of batch places available to requests. */
   readonly places: () => number;
 }
@@ -35,24 +35,27 @@
    */
   dispatch(now: Instant, decisions: EngineDecision[]): void {
     for (;;) {
-      const request = this.#parts.book.ready.peek(now);
+      const request = this.#parts.engineRequests.ready.peek(now);
       if (request === undefined) return;
-      if (this.#parts.book.running.size >= this.#parts.places()) {
-        const displaced = this.#chooseDisplaced(now, request);
-        if (displaced === undefined) return;
-        this.#parts.book.displace(displaced);
-        const id = displaced.queued.request;
+      if (this.#parts.engineRequests.running.size >= this.#parts.places()) {
+        const preempted = this.#choosePreempted(now, request);
+        if (preempted === undefined) return;
+        this.#parts.engineRequests.preempt(preempted);
+        const id = preempted.queued.request;
         decisions.push({ kind: "preempt", request: id });
       }
       decisions.push(this.#start(now, request));
     }
   }
 
-  #start(now: Instant, request: WaitingRequest): EngineDecision {
+  #start(now: Instant, request: EngineRequest): EngineDecision {
     const queueWait = elapsed(request.submittedAt, now) - request.loadStall;
-    if (!request.displaced) this.#parts.residency.pin(now, request.key);
-    this.#parts.book.start(now, request);
-    this.#parts.history.record(now, this.#parts.book.atEngine);
+    if (!request.isPreempted) this.#parts.residency.pin(now, request.key);
+    this.#parts.engineRequests.start(now, request);
+    this.#parts.dispatchHistory.record(
+      now,
+      this.#parts.engineRequests.heldByEngine,
+    );
     return {
       kind: "dispatch",
       request: request.queued.request,
@@ -62,12 +65,14 @@
     };
   }
 
-  #chooseDisplaced(
+  #choosePreempted(
     now: Instant,
-    urgent: WaitingRequest,
-  ): WaitingRequest | undefined {
-    const longEnough = TARGET_RATIO * urgent.target;
-    if (this.#parts.book.runningAtLeast(longEnough) === 0) return undefined;
-    return chooseDisplaced(now, this.#parts.book.running, urgent);
+    urgent: EngineRequest,
+  ): EngineRequest | undefined {
+    const minimumTarget = TARGET_RATIO * urgent.target;
+    if (this.#parts.engineRequests.countRunningAtLeast(minimumTarget) === 0) {
+      return undefined;
+    }
+    return choosePreempted(now, this.#parts.engineRequests.running, urgent);
   }
 }
--- a/packages/core/tests/delivery/keys_test.ts
+++ b/packages/core/tests/delivery/keys_test.ts
@@ -62,7 +62,7 @@
   });
 });
 
-test("an answer too large to keep is told as ran, not kept", (t) => {
+test("an answer that is too large to keep is reported as ran and expired", (t) => {
   const ledger = ledgerOf(3);
   ledger.admit(NOW, { key: KEY, digest: "one" });
   ledger.started(KEY);
@@ -75,7 +75,7 @@
   t.is(ledger.answerBytes, 0);
 });
 
-test("a key that is full of others is refused as not run", (t) => {
+test("a key above the maximum number of keys is refused as not run", (t) => {
   const ledger = ledgerOf();
   for (const key of ["a", "b"]) {
     ledger.admit(NOW, { key: idempotencyKey(key), digest: "d" });
@@ -131,9 +131,9 @@
   const index = new ClaimIndex(milliseconds(1_000));
   index.readFrom(logOffset(0));
   index.apply(NOW, logOffset(0), { id: "r1", claims: [claimOf("1")] });
-  t.is(index.judgeEpoch(logOffset(0)), "covered");
-  t.is(index.judgeEpoch(logOffset(9)), "ahead");
+  t.is(index.checkEpoch(logOffset(0)), "covered");
+  t.is(index.checkEpoch(logOffset(9)), "ahead");
   index.prune(instant(2_000));
-  t.is(index.judgeEpoch(logOffset(0)), "too_old");
-  t.is(index.judgeEpoch(logOffset(1)), "covered");
+  t.is(index.checkEpoch(logOffset(0)), "too_old");
+  t.is(index.checkEpoch(logOffset(1)), "covered");
 });
--- a/packages/core/tests/delivery/request_delivery_test.ts
+++ b/packages/core/tests/delivery/request_delivery_test.ts
@@ -157,7 +157,7 @@
   t.deepEqual(actions.map((action) => action.kind), ["cancel", "fail"]);
 });
 
-test("a request whose caller leaves is cancelled at the engine and fails at once", (t) => {
+test("a request whose caller leaves is cancelled and fails at once", (t) => {
   const delivery = deliveryOf();
   delivery.start();
   const actions = delivery.handle(NOW, { kind: "caller_left" });
--- a/packages/core/tests/serving/engine_controller_test.ts
+++ b/packages/core/tests/serving/engine_controller_test.ts
@@ -87,7 +87,7 @@
   t.deepEqual(dispatched(controller.decide(instant(0))), ["live"]);
 });
 
-test("a preempted batch request keeps its adapter pinned", (t) => {
+test("an interactive request preempts batch work, which stays pinned", (t) => {
   const controller = make(1, 1);
   load(controller);
   controller.submit(instant(0), queued("batch", { target: 60_000 }));
@@ -146,7 +146,7 @@
 test("withdrawn requests include the time that they waited", (t) => {
   const controller = make(1, 1);
   controller.submit(instant(0), queued("a"));
-  const [back] = controller.handBack(instant(250));
+  const [back] = controller.withdrawWaiting(instant(250));
   t.is(back?.waitedBefore, milliseconds(250));
   t.is(controller.waiting, 0);
 });
