--- a/packages/core/src/delivery/claim_gathering.ts
+++ b/packages/core/src/delivery/claim_batcher.ts
@@ -10,33 +10,33 @@
 import type { ClaimRecord, KeyClaim } from "./claim_record.ts";
 import type { DeliveryRules } from "./delivery_rules.ts";
 
-/** How a claim was settled: by the key's winner, or not at all. */
+/** How a claim was settled: with the winning claim, or with a refusal. */
 export type ClaimVerdict =
   | { readonly kind: "winner"; readonly claim: KeyClaim }
   | { readonly kind: "refused"; readonly failure: Failure };
 
-/** A claim that was settled. */
+/** A settled claim. */
 export interface SettledClaim {
   readonly nonce: string;
   readonly verdict: ClaimVerdict;
 }
 
-/** How claims are gathered. */
-export interface ClaimGatheringOptions {
-  /** The least time between two appends. */
+/** Options for batching claims. */
+export interface ClaimBatcherOptions {
+  /** The minimum time between two appends. */
   readonly batchInterval: Duration;
-  /** How long a claim may wait to be settled before it is refused. */
+  /** How long a claim may stay unsettled before it is refused. */
   readonly settleTimeout: Duration;
   readonly maximumBatch: number;
   readonly maximumKeys: number;
-  /** How long claims are kept; must be shorter than the log keeps records. */
+  /** How long claims are kept; must be shorter than the log's retention. */
   readonly window: Duration;
   readonly rules: DeliveryRules;
-  /** Makes the id of the next record. */
+  /** Generates the id of the next record. */
   readonly recordId: () => string;
 }
 
-interface Pending {
+interface PendingClaim {
   readonly claim: KeyClaim;
   readonly deadline: Instant;
   record: string | undefined;
@@ -44,30 +44,30 @@
 }
 
 /**
- * Gathers the claims of a failure domain's nodes into few appends, and settles
- * each once it was read back with all that precedes it.
+ * Batches the claims of a failure domain's nodes into few appends, and settles
+ * each claim once it and all records before it were read back.
  */
 export class ClaimGathering {
   readonly index: ClaimIndex;
-  readonly #options: ClaimGatheringOptions;
-  readonly #pending = new Map<string, Pending>();
+  readonly #options: ClaimBatcherOptions;
+  readonly #pending = new Map<string, PendingClaim>();
   #settled: SettledClaim[] = [];
   #nextBatchAt: Instant | undefined;
-  #appending = false;
+  #isAppending = false;
 
-  /** @param options How claims are gathered. */
-  constructor(options: ClaimGatheringOptions) {
+  /** @param options The options. */
+  constructor(options: ClaimBatcherOptions) {
     this.#options = options;
     this.index = new ClaimIndex(options.window);
   }
 
-  /** How many claims are not settled yet. */
-  get pending(): number {
+  /** The number of unsettled claims. */
+  get pendingCount(): number {
     return this.#pending.size;
   }
 
   /**
-   * Takes a claim.
+   * Adds a claim to the next batch, or refuses it if there are too many.
    * @param now The present time.
    * @param claim The claim.
    */
@@ -75,7 +75,7 @@
     if (this.index.size + this.#pending.size >= this.#options.maximumKeys) {
       this.#refuse(claim, {
         reason: "overloaded",
-        message: "Too many keys are claimed at present.",
+        message: "Too many keys are claimed at the moment.",
         outcome: "not_run",
       });
       return;
@@ -89,30 +89,31 @@
   }
 
   /**
-   * Takes the next record to append, where it is time for one.
+   * Takes the next record to append, if one is due.
    * @param now The present time.
-   * @returns The record; {@link appendEnded} must follow.
+   * @returns The record; {@link appendEnded} must be called for it.
    */
   takeBatch(now: Instant): ClaimRecord | undefined {
-    if (this.#appending || now < (this.#nextBatchAt ?? now)) return undefined;
-    const waiting = [...this.#pending.values()]
+    if (this.#isAppending || now < (this.#nextBatchAt ?? now)) return undefined;
+    const unsent = [...this.#pending.values()]
       .filter((pending) => pending.record === undefined)
       .slice(0, this.#options.maximumBatch);
-    if (waiting.length === 0) return undefined;
+    if (unsent.length === 0) return undefined;
     const id = this.#options.recordId();
-    for (const pending of waiting) pending.record = id;
-    this.#appending = true;
+    for (const pending of unsent) pending.record = id;
+    this.#isAppending = true;
     this.#nextBatchAt = later(now, this.#options.batchInterval);
-    return { id, claims: waiting.map((pending) => pending.claim) };
+    return { id, claims: unsent.map((pending) => pending.claim) };
   }
 
   /**
-   * Learns how an append ended. Only reading it back proves that it stands.
+   * Handles the end of an append. Only reading the record back proves that the
+   * append took effect.
    * @param id The record's id.
-   * @param failure Why it failed, if it did.
+   * @param failure Why the append failed, if it did.
    */
   appendEnded(id: string, failure: Failure | undefined): void {
-    this.#appending = false;
+    this.#isAppending = false;
     for (const pending of this.#pending.values()) {
       if (pending.record !== id) continue;
       pending.appended = failure === undefined;
@@ -122,12 +123,12 @@
   }
 
   /**
-   * Takes the claims that a record settled, or whose time is over.
+   * Takes the claims that were settled or have timed out.
    * @param now The present time.
-   * @returns The claims, each once.
+   * @returns The claims, each returned once.
    */
   takeSettled(now: Instant): readonly SettledClaim[] {
-    for (const pending of this.#pending.values()) this.#judge(now, pending);
+    for (const pending of this.#pending.values()) this.#trySettle(now, pending);
     this.index.prune(now);
     const settled = this.#settled;
     this.#settled = [];
@@ -137,8 +138,8 @@
   /**
    * Applies a record that was read from the log.
    * @param now The present time.
-   * @param offset Its offset.
-   * @param record The record, absent where it cannot be read.
+   * @param offset The record's offset.
+   * @param record The record, or nothing if it cannot be parsed.
    */
   apply(
     now: Instant,
@@ -148,32 +149,35 @@
     this.index.apply(now, offset, record);
   }
 
-  #judge(now: Instant, pending: Pending): void {
+  #trySettle(now: Instant, pending: PendingClaim): void {
     const { claim, record, appended } = pending;
     const readBack = record !== undefined && this.index.hasRead(record);
     const winner = this.index.winner(claim.key);
-    const trusted = this.#options.rules.mayRunClaimed({
+    const mayRun = this.#options.rules.mayRunClaimed({
       appended,
       readBack,
       isLowest: winner?.nonce === claim.nonce,
     });
-    if (readBack || trusted) {
-      this.#settle(pending, this.#verdict(claim, trusted ? claim : winner));
+    if (readBack || mayRun) {
+      this.#settle(pending, this.#verdictFor(claim, mayRun ? claim : winner));
       return;
     }
     if (now < pending.deadline) return;
     this.#settle(pending, refusedClaim(claim.key, TIMED_OUT));
   }
 
-  #verdict(claim: KeyClaim, winner: KeyClaim | undefined): ClaimVerdict {
+  #verdictFor(claim: KeyClaim, winner: KeyClaim | undefined): ClaimVerdict {
     if (winner === undefined) return refusedClaim(claim.key, TIMED_OUT);
-    const judged = claim.epoch === undefined
+    const coverage = claim.epoch === undefined
       ? "covered"
-      : this.index.judgeEpoch(claim.epoch);
-    if (this.#options.rules.acceptsEpoch(judged)) {
+      : this.index.checkEpoch(claim.epoch);
+    if (this.#options.rules.acceptsEpoch(coverage)) {
       return { kind: "winner", claim: winner };
     }
-    return refusedClaim(claim.key, judged === "ahead" ? AHEAD : TOO_OLD);
+    return refusedClaim(
+      claim.key,
+      coverage === "ahead" ? EPOCH_AHEAD : EPOCH_TOO_OLD,
+    );
   }
 
   #refuse(claim: KeyClaim, cause: FailureCause): void {
@@ -181,7 +185,7 @@
     this.#settled.push({ nonce, verdict: refusedClaim(key, cause) });
   }
 
-  #settle(pending: Pending, verdict: ClaimVerdict): void {
+  #settle(pending: PendingClaim, verdict: ClaimVerdict): void {
     const { nonce } = pending.claim;
     this.#pending.delete(nonce);
     this.#settled.push({ nonce, verdict });
@@ -192,19 +196,19 @@
 
 const TIMED_OUT: FailureCause = {
   reason: "unavailable",
-  message: "The log did not settle the key's claim in time.",
+  message: "The claim was not read back from the log in time.",
   outcome: "not_run",
 };
 
-const TOO_OLD: FailureCause = {
+const EPOCH_TOO_OLD: FailureCause = {
   reason: "expired",
-  message: "The key is older than the claims that are kept; it is not run.",
+  message: "The key is older than the retained claims; it is not run.",
   outcome: "unknown",
 };
 
-const AHEAD: FailureCause = {
+const EPOCH_AHEAD: FailureCause = {
   reason: "invalid",
-  message: "The key's epoch lies ahead of the log.",
+  message: "The key's epoch is ahead of the log.",
   outcome: "not_run",
 };
 
--- a/packages/core/src/delivery/claim_index.ts
+++ b/packages/core/src/delivery/claim_index.ts
@@ -14,58 +14,61 @@
   readonly readAt: Instant;
 }
 
-/** Whether a key is new enough for its claims to be known. */
-export type EpochVerdict = "covered" | "too_old" | "ahead";
+/** Whether the index knows all claims from a key's epoch onwards. */
+export type EpochCoverage = "covered" | "too_old" | "ahead";
 
-/** The claims of the window, each key's lowest only. */
+/**
+ * The claims read within the retention window. Only the claim with the lowest
+ * offset is kept for each key.
+ */
 export class ClaimIndex {
   readonly #window: Duration;
-  /** In the order of their offsets. */
+  /** In ascending order of offsets. */
   readonly #entries = new Map<IdempotencyKey, Entry>();
-  readonly #records = new Map<string, Instant>();
-  #from: LogOffset | undefined;
-  #next = logOffset(0);
+  readonly #recordReadTimes = new Map<string, Instant>();
+  #firstOffset: LogOffset | undefined;
+  #nextOffset = logOffset(0);
 
-  /** @param window How long claims are kept after they were read. */
+  /** @param window How long claims are kept after they are read. */
   constructor(window: Duration) {
     this.#window = window;
   }
 
-  /** How many keys are known. */
+  /** The number of keys in the index. */
   get size(): number {
     return this.#entries.size;
   }
 
-  /** The offset to read next. */
+  /** The next offset to read. */
   get next(): LogOffset {
-    return this.#next;
+    return this.#nextOffset;
   }
 
   /**
-   * Takes note of where a read of the stream began.
+   * Records the start of a read, and skips offsets that the log has dropped.
    * @param firstKept The oldest offset that the log still keeps.
    */
   readFrom(firstKept: LogOffset): void {
-    const isGap = firstKept > this.#next;
-    if (this.#from === undefined || isGap) this.#from = firstKept;
-    if (isGap) this.#next = firstKept;
+    const isGap = firstKept > this.#nextOffset;
+    if (this.#firstOffset === undefined || isGap) this.#firstOffset = firstKept;
+    if (isGap) this.#nextOffset = firstKept;
   }
 
   /**
-   * Applies a record, or passes one over that cannot be read.
+   * Applies a record, or skips one that cannot be parsed.
    * @param now The present time.
-   * @param offset Its offset; one that was applied before changes nothing.
-   * @param record The record, absent where it cannot be read.
+   * @param offset The record's offset; an offset applied before is ignored.
+   * @param record The record, or nothing if it cannot be parsed.
    */
   apply(
     now: Instant,
     offset: LogOffset,
     record: ClaimRecord | undefined,
   ): void {
-    if (offset < this.#next) return;
-    this.#next = logOffset(offset + 1);
+    if (offset < this.#nextOffset) return;
+    this.#nextOffset = logOffset(offset + 1);
     if (record === undefined) return;
-    this.#records.set(record.id, now);
+    this.#recordReadTimes.set(record.id, now);
     for (const claim of record.claims) {
       if (this.#entries.has(claim.key)) continue;
       this.#entries.set(claim.key, { claim, offset, readAt: now });
@@ -73,46 +76,50 @@
   }
 
   /**
-   * Tells whether a record was read, and so all records before it.
+   * Tells whether a record was read, and therefore all records before it.
    * @param id The record's id.
    */
   hasRead(id: string): boolean {
-    return this.#records.has(id);
+    return this.#recordReadTimes.has(id);
   }
 
   /**
-   * Finds the claim that won a key: the one of the lowest offset.
+   * Finds the winning claim of a key, which is the one with the lowest offset.
    * @param key The key.
-   * @returns The claim, or nothing.
+   * @returns The claim, if the key was claimed.
    */
   winner(key: IdempotencyKey): KeyClaim | undefined {
     return this.#entries.get(key)?.claim;
   }
 
   /**
-   * Tells whether all claims of a key are within what is known.
-   * @param epoch The offset below which no claim of the key lies.
-   * @returns The verdict; only a covered key may be claimed.
+   * Tells whether the index covers all claims of a key.
+   * @param epoch The offset below which the key has no claims.
+   * @returns The coverage; only a covered key may be claimed.
    */
-  judgeEpoch(epoch: LogOffset): EpochVerdict {
-    if (epoch > this.#next) return "ahead";
-    if (this.#from === undefined || epoch < this.#from) return "too_old";
+  checkEpoch(epoch: LogOffset): EpochCoverage {
+    if (epoch > this.#nextOffset) return "ahead";
+    if (this.#firstOffset === undefined || epoch < this.#firstOffset) {
+      return "too_old";
+    }
     return "covered";
   }
 
   /**
-   * Forgets claims whose window is over.
+   * Removes claims that are older than the window.
    * @param now The present time.
    */
   prune(now: Instant): void {
     for (const [key, entry] of this.#entries) {
       if (elapsed(entry.readAt, now) <= this.#window) break;
       this.#entries.delete(key);
-      this.#from = logOffset(Math.max(this.#from ?? 0, entry.offset + 1));
+      this.#firstOffset = logOffset(
+        Math.max(this.#firstOffset ?? 0, entry.offset + 1),
+      );
     }
-    for (const [id, readAt] of this.#records) {
+    for (const [id, readAt] of this.#recordReadTimes) {
       if (elapsed(readAt, now) <= this.#window) return;
-      this.#records.delete(id);
+      this.#recordReadTimes.delete(id);
     }
   }
 }
--- a/packages/core/src/delivery/delivery_failures.ts
+++ b/packages/core/src/delivery/delivery_failures.ts
@@ -1,10 +1,10 @@
 import { type Duration, type Failure, milliseconds } from "../shared/mod.ts";
 
-const FIRST_WAIT_MILLISECONDS = 20;
-const LONGEST_WAIT_MILLISECONDS = 1_000;
+const INITIAL_BACKOFF_MILLISECONDS = 20;
+const MAXIMUM_BACKOFF_MILLISECONDS = 1_000;
 
-/** The failure of a request whose caller left while it may have run. */
-export const CANCELLED: Failure = {
+/** The failure of a request that may have run when its caller left. */
+export const CANCELLED_BY_CALLER: Failure = {
   reason: "cancelled",
   step: "cancel",
   peer: "caller",
@@ -13,11 +13,11 @@
 };
 
 /**
- * Makes the failure of a stream that lacks tokens.
+ * Creates the failure of a stream with missing tokens.
  * @param message What is missing.
  * @returns The failure.
  */
-export function incomplete(message: string): Failure {
+export function incompleteStream(message: string): Failure {
   return {
     reason: "corrupt",
     step: "resume_stream",
@@ -28,10 +28,10 @@
 }
 
 /**
- * Gives a failure with what is known of all attempts together.
+ * Replaces the outcome of a failure by the combined outcome of all attempts.
  * @param failure The last failure.
- * @param outcome What is known.
- * @returns The failure to answer with.
+ * @param outcome The combined outcome.
+ * @returns The failure to send to the caller.
  */
 export function withOutcome(
   failure: Failure,
@@ -41,15 +41,20 @@
 }
 
 /**
- * Tells how long to wait before another attempt: twice as long each time.
- * @param failures How many attempts failed.
- * @param failure The last failure, which may state a wait.
- * @returns The wait.
+ * Computes the exponential backoff before the next attempt, which doubles with
+ * each failure.
+ * @param failureCount The number of failed attempts.
+ * @param failure The last failure, which may request a minimum delay.
+ * @returns The delay, at most one second.
  */
-export function backOff(failures: number, failure: Failure): Duration {
-  const doubled = FIRST_WAIT_MILLISECONDS * 2 ** (failures - 1);
-  const stated = failure.retryAfterMilliseconds ?? 0;
+export function backoffDelay(failureCount: number, failure: Failure): Duration {
+  const exponentialDelay = INITIAL_BACKOFF_MILLISECONDS *
+    2 ** (failureCount - 1);
+  const requestedDelay = failure.retryAfterMilliseconds ?? 0;
   return milliseconds(
-    Math.min(LONGEST_WAIT_MILLISECONDS, Math.max(doubled, stated)),
+    Math.min(
+      MAXIMUM_BACKOFF_MILLISECONDS,
+      Math.max(exponentialDelay, requestedDelay),
+    ),
   );
 }
--- a/packages/core/src/delivery/execution_key.ts
+++ b/packages/core/src/delivery/execution_key.ts
@@ -13,11 +13,11 @@
   nodeId,
 } from "../shared/mod.ts";
 
-/** The node incarnation that alone may run a key, and until when. */
+/** The only node incarnation that may run a key, and until when. */
 export interface KeyScope {
   readonly node: NodeId;
   readonly incarnation: IncarnationId;
-  /** By the steady clock of that incarnation; opaque to all others. */
+  /** On that incarnation's steady clock; has no meaning elsewhere. */
   readonly expiresAt: Instant;
 }
 
@@ -32,7 +32,10 @@
 export interface FreeKey {
   readonly kind: "free";
   readonly key: IdempotencyKey;
-  /** No claim of this key lies below this offset; absent on plain keys. */
+  /**
+   * No claim of the key has an offset below this one. Absent on keys without
+   * a prefix.
+   */
   readonly epoch?: LogOffset;
 }
 
@@ -42,14 +45,14 @@
 const SEPARATOR = "~";
 const BOUND_PREFIX = "bound";
 const FREE_PREFIX = "free";
-const BOUND_PARTS = 5;
-const FREE_PARTS = 3;
+const MINIMUM_BOUND_PARTS = 5;
+const MINIMUM_FREE_PARTS = 3;
 const MAXIMUM_KEY_LENGTH = 512;
 
 /**
- * Gives a scope as the text that callers put before their own key.
+ * Formats a scope as the prefix that callers put before their own key.
  * @param scope The scope.
- * @returns The prefix, its last separator included.
+ * @returns The prefix, including the trailing separator.
  */
 export function scopePrefix(scope: KeyScope): string {
   const parts = [
@@ -63,31 +66,31 @@
 }
 
 /**
- * Gives the prefix of free keys whose first use follows a claim offset.
+ * Formats the prefix of free keys that are first used after a claim offset.
  * @param epoch The tail of the claims stream, or an offset below it.
- * @returns The prefix, its last separator included.
+ * @returns The prefix, including the trailing separator.
  */
 export function epochPrefix(epoch: LogOffset): string {
   return [FREE_PREFIX, String(epoch), ""].join(SEPARATOR);
 }
 
 /**
- * Reads a key as a caller sent it. The whole text is the key's identity, so
- * that one own key under two scopes counts as two keys.
- * @param text The text of the header.
- * @returns The key, or why it cannot be used.
+ * Parses an idempotency key. The whole text identifies the key, so that the
+ * same caller key under two scopes counts as two keys.
+ * @param text The value of the header.
+ * @returns The key, or the failure of an invalid key.
  */
 export function parseExecutionKey(text: string): Result<ExecutionKey, Failure> {
   if (text.length === 0 || text.length > MAXIMUM_KEY_LENGTH) {
-    return err(badKey(`its length is not 1 to ${MAXIMUM_KEY_LENGTH}`));
+    return err(invalidKey(`its length is not 1 to ${MAXIMUM_KEY_LENGTH}`));
   }
   const key = idempotencyKey(text);
   const parts = text.split(SEPARATOR);
-  if (parts[0] === BOUND_PREFIX && parts.length >= BOUND_PARTS) {
+  if (parts[0] === BOUND_PREFIX && parts.length >= MINIMUM_BOUND_PARTS) {
     return parseScope(parts).map((scope) => ({ kind: "bound", scope, key }));
   }
-  if (parts[0] === FREE_PREFIX && parts.length >= FREE_PARTS) {
-    return parseCount(parts[1] ?? "").map((epoch) => ({
+  if (parts[0] === FREE_PREFIX && parts.length >= MINIMUM_FREE_PARTS) {
+    return parseInteger(parts[1] ?? "").map((epoch) => ({
       kind: "free",
       key,
       epoch: logOffset(epoch),
@@ -99,27 +102,27 @@
 function parseScope(parts: readonly string[]): Result<KeyScope, Failure> {
   const [, node = "", incarnation = "", expiry = ""] = parts;
   if (node === "" || incarnation === "") {
-    return err(badKey("its scope names no node"));
+    return err(invalidKey("its scope names no node"));
   }
-  return parseCount(expiry).map((expiresAt) => ({
+  return parseInteger(expiry).map((expiresAt) => ({
     node: nodeId(node),
     incarnation: incarnationId(incarnation),
     expiresAt: instant(expiresAt),
   }));
 }
 
-function parseCount(text: string): Result<number, Failure> {
+function parseInteger(text: string): Result<number, Failure> {
   const value = Number(text);
-  const isCount = /^\d+$/.test(text) && Number.isSafeInteger(value);
-  return isCount ? ok(value) : err(badKey(`"${text}" is not a number`));
+  const isInteger = /^\d+$/.test(text) && Number.isSafeInteger(value);
+  return isInteger ? ok(value) : err(invalidKey(`"${text}" is not a number`));
 }
 
-function badKey(why: string): Failure {
+function invalidKey(problem: string): Failure {
   return {
     reason: "invalid",
     step: "claim_key",
     peer: "caller",
-    message: `Idempotency key cannot be used: ${why}.`,
+    message: `Idempotency key cannot be used: ${problem}.`,
     outcome: "not_run",
   };
 }
--- a/packages/core/src/delivery/key_scope_check.ts
+++ b/packages/core/src/delivery/key_scope_check.ts
@@ -6,15 +6,15 @@
 } from "../shared/mod.ts";
 import type { DeliveryRules } from "./delivery_rules.ts";
 import type { KeyScope } from "./execution_key.ts";
-import { badScope } from "./key_failures.ts";
+import { invalidScope } from "./key_failures.ts";
 import type { KeyTiming } from "./key_timing.ts";
 
 /**
- * Checks that a key's scope of this incarnation can be used now.
+ * Checks whether a key scope of this incarnation is valid.
  * @param now The present time.
  * @param scope The scope.
- * @param options This node, and the rules and times that it goes by.
- * @returns Why it cannot, or nothing.
+ * @param options This node, its delivery rules and its limits on scopes.
+ * @returns Why the scope is not valid, or nothing if it is.
  */
 export function checkScope(
   now: Instant,
@@ -27,9 +27,9 @@
 ): Failure | undefined {
   const { self, rules, timing } = options;
   if (!rules.acceptsExpiry(now, scope.expiresAt)) {
-    return badScope("expired", self);
+    return invalidScope("expired", self);
   }
   const latest = later(now, timing.maximumScopeLifetime);
-  if (scope.expiresAt > latest) return badScope("invalid", self);
+  if (scope.expiresAt > latest) return invalidScope("invalid", self);
   return undefined;
 }
--- a/packages/core/src/dispatch/class_counts.ts
+++ b/packages/core/src/dispatch/class_counts.ts
@@ -1,10 +1,13 @@
 import type { ClassId, Duration } from "../shared/mod.ts";
-import type { WaitingRequest } from "./waiting_request.ts";
+import type { EngineRequest } from "./engine_request.ts";
 
-/** Work gives way only to work whose target is so much shorter. */
+/**
+ * A request is only preempted by one whose target is shorter by at least this
+ * factor.
+ */
 export const TARGET_RATIO = 4;
 
-/** How many requests have a target. */
+/** The number of requests with a target. */
 export interface TargetLoad {
   readonly target: Duration;
   readonly count: number;
@@ -15,47 +18,47 @@
   count: number;
 }
 
-/** Counts requests by class, to compare targets without visiting them. */
+/** Counts requests by class, to compare targets without visiting each one. */
 export class ClassCounts {
   readonly #classes = new Map<ClassId, ClassCount>();
 
-  /** The targets, and how many requests have each. */
-  get loads(): readonly TargetLoad[] {
+  /** The targets with their numbers of requests. */
+  get byTarget(): readonly TargetLoad[] {
     return [...this.#classes.values()].map((entry) => ({ ...entry }));
   }
 
   /**
-   * Counts a request.
+   * Adds a request to its class's count.
    * @param request The request.
    */
-  add(request: WaitingRequest): void {
+  add(request: EngineRequest): void {
     const id = request.queued.class;
-    const known = this.#classes.get(id);
-    if (known === undefined) {
+    const entry = this.#classes.get(id);
+    if (entry === undefined) {
       this.#classes.set(id, { target: request.target, count: 1 });
       return;
     }
-    known.target = request.target;
-    known.count += 1;
+    entry.target = request.target;
+    entry.count += 1;
   }
 
   /**
-   * Counts a request no longer.
+   * Removes a request from its class's count.
    * @param request The request.
    */
-  remove(request: WaitingRequest): void {
-    const known = this.#classes.get(request.queued.class);
-    if (known === undefined) return;
-    known.count -= 1;
-    if (known.count === 0) this.#classes.delete(request.queued.class);
+  remove(request: EngineRequest): void {
+    const entry = this.#classes.get(request.queued.class);
+    if (entry === undefined) return;
+    entry.count -= 1;
+    if (entry.count === 0) this.#classes.delete(request.queued.class);
   }
 
   /**
    * Counts the requests of classes whose target is at most a given one.
    * @param target The target.
-   * @returns How many.
+   * @returns The number of requests.
    */
-  atMost(target: Duration): number {
+  countWithTargetAtMost(target: Duration): number {
     let total = 0;
     for (const entry of this.#classes.values()) {
       if (entry.target <= target) total += entry.count;
@@ -66,9 +69,9 @@
   /**
    * Counts the requests of classes whose target is at least a given one.
    * @param target The target.
-   * @returns How many.
+   * @returns The number of requests.
    */
-  atLeast(target: number): number {
+  countWithTargetAtLeast(target: number): number {
     let total = 0;
     for (const entry of this.#classes.values()) {
       if (entry.target >= target) total += entry.count;
@@ -82,7 +85,7 @@
    * @param target The new target.
    */
   retarget(id: ClassId, target: Duration): void {
-    const known = this.#classes.get(id);
-    if (known !== undefined) known.target = target;
+    const entry = this.#classes.get(id);
+    if (entry !== undefined) entry.target = target;
   }
 }
--- a/packages/core/src/dispatch/waiting_request.ts
+++ b/packages/core/src/dispatch/engine_request.ts
@@ -10,23 +10,23 @@
 } from "../shared/mod.ts";
 import type { QueuedRequest } from "../serving/engine_event.ts";
 
-/** Where a request stands at its engine. */
-export type WaitingPlace = "blocked" | "ready" | "running" | "over";
+/** The state of a request at its engine. */
+export type RequestState = "blocked" | "ready" | "running" | "over";
 
-/** A request at an engine, with what changes while it waits. */
-export class WaitingRequest {
+/** A request at an engine, with its state and times. */
+export class EngineRequest {
   readonly queued: QueuedRequest;
   readonly key: AdapterKey;
   readonly submittedAt: Instant;
-  place: WaitingPlace = "blocked";
-  /** Since when it has waited for its adapter. */
+  state: RequestState = "blocked";
+  /** When the request last began to wait for its adapter. */
   blockedSince: Instant;
-  /** Whether the engine still holds it, though it gave up its place. */
-  displaced = false;
+  /** Whether the request lost its place but is still at the engine. */
+  isPreempted = false;
   dispatchedAt: Instant | undefined;
   firstTokenAt: Instant | undefined;
   #target: Duration;
-  #stalled = 0;
+  #loadStallMilliseconds = 0;
 
   /**
    * @param now The present time.
@@ -40,24 +40,24 @@
     this.#target = queued.firstTokenTarget;
   }
 
-  /** The target for its first token. */
+  /** The target for the time to the first token. */
   get target(): Duration {
     return this.#target;
   }
 
-  /** When its first token is due. */
+  /** When the first token is due. */
   get deadline(): Instant {
     return instant(this.submittedAt - this.queued.waitedBefore + this.#target);
   }
 
-  /** Whether the engine has it, with a place in the batch or without. */
+  /** Whether the request is at the engine, running or preempted. */
   get isAtEngine(): boolean {
-    return this.place === "running" || this.displaced;
+    return this.state === "running" || this.isPreempted;
   }
 
-  /** How long it waited for its adapter. */
+  /** The total time that the request waited for its adapter. */
   get loadStall(): Duration {
-    return milliseconds(this.#stalled);
+    return milliseconds(this.#loadStallMilliseconds);
   }
 
   /**
@@ -69,28 +69,28 @@
   }
 
   /**
-   * Takes note that its adapter can run.
+   * Makes the request ready, since its adapter can run.
    * @param now The present time.
    */
   unblock(now: Instant): void {
-    this.#stalled += elapsed(this.blockedSince, now);
-    this.place = "ready";
+    this.#loadStallMilliseconds += elapsed(this.blockedSince, now);
+    this.state = "ready";
   }
 
   /**
-   * Takes note that its adapter has left before the request ran.
+   * Blocks the request, since its adapter left before the request ran.
    * @param now The present time.
    */
   block(now: Instant): void {
     this.blockedSince = now;
-    this.place = "blocked";
+    this.state = "blocked";
   }
 
   /**
-   * Tells when it is given up if it still waits and others suffer from that.
-   * @returns One target after its deadline.
+   * Tells when the request is refused if it still waits and delays others.
+   * @returns The time, one target after the deadline.
    */
-  givenUpAt(): Instant {
+  giveUpAt(): Instant {
     return later(this.deadline, this.#target);
   }
 }
--- a/packages/core/src/serving/engine_controller.ts
+++ b/packages/core/src/serving/engine_controller.ts
@@ -1,4 +1,4 @@
-import type { WaitingRequest } from "../dispatch/mod.ts";
+import type { EngineRequest } from "../dispatch/mod.ts";
 import type { LoadWish } from "../loads/mod.ts";
 import type { FoundResidences, FoundState } from "../residency/mod.ts";
 import {
@@ -18,61 +18,63 @@
   EngineReport,
   QueuedRequest,
 } from "./engine_event.ts";
-import { HopelessRequests } from "./hopeless_requests.ts";
+import { OverdueRequests } from "./overdue_requests.ts";
 import type { PrefetchCandidate } from "./load_planner.ts";
 import { RequestDispatcher } from "./request_dispatcher.ts";
 
 /**
- * Decides for one engine: which adapters it holds and which requests run on
- * it. Only the engine's controlling node has one.
+ * Decides which adapters one engine holds and which requests run on it. Only
+ * the node that controls the engine has a controller for it.
  */
 export class EngineController extends EngineControllerView {
-  readonly #hopeless = new HopelessRequests(this.book);
+  readonly #overdueRequests = new OverdueRequests(this.engineRequests);
   readonly #dispatcher = new RequestDispatcher({
-    book: this.book,
+    engineRequests: this.engineRequests,
     residency: this.residency,
-    history: this.history,
+    dispatchHistory: this.dispatchHistory,
     places: () => this.places(),
   });
   #isClosed = false;
 
   /**
-   * Takes in what the engine says that it holds, after a restart or takeover.
+   * Adopts the adapters that the engine reports after a restart or takeover.
    * @param now The present time.
-   * @param found The engine's own state.
+   * @param engineState The state that the engine reported.
    */
-  takeIn(now: Instant, found: FoundResidences): void {
-    this.residency.takeIn(now, found);
-    for (const residence of this.residency.all) this.#reindex(residence.key);
+  takeIn(now: Instant, engineState: FoundResidences): void {
+    this.residency.takeIn(now, engineState);
+    for (const residence of this.residency.all) {
+      this.#updateIndex(residence.key);
+    }
   }
 
-  /** Whether adapters were found that others may still use or load. */
+  /** Whether the engine has adapters that others may still use or load. */
   get hasUnproven(): boolean {
     return this.residency.hasUnproven();
   }
 
   /**
-   * Compares adapters that were found with a later state of the engine.
+   * Compares adopted adapters with a later state of the engine.
    * @param now The present time.
-   * @param state What the engine holds, and uses for requests of others.
+   * @param state The engine's adapters, and those used by others' requests.
    */
   found(now: Instant, state: FoundState): void {
     const { gone, loaded } = this.residency.compare(now, state);
-    for (const key of loaded) this.book.unblock(now, key);
-    for (const key of gone) this.book.block(now, key);
-    for (const key of [...loaded, ...gone]) this.#reindex(key);
+    for (const key of loaded) this.engineRequests.unblock(now, key);
+    for (const key of gone) this.engineRequests.block(now, key);
+    for (const key of [...loaded, ...gone]) this.#updateIndex(key);
   }
 
   /**
-   * Takes note that the engine does not have an adapter that it should have.
+   * Handles the absence of an adapter that the engine should have.
    * @param now The present time.
    * @param adapter The adapter.
    */
   adapterMissing(now: Instant, adapter: AdapterReference): void {
     const key = adapterKey(adapter);
     if (!this.residency.lose(key)) return;
-    this.book.block(now, key);
-    this.#reindex(key);
+    this.engineRequests.block(now, key);
+    this.#updateIndex(key);
   }
 
   /**
@@ -82,32 +84,34 @@
    */
   submit(now: Instant, queued: QueuedRequest): void {
     const key = adapterKey(queued.adapter);
-    const resident = this.residency.isResident(key);
-    const request = this.book.submit(now, queued, resident);
-    this.#hopeless.watch(request);
-    if (!resident) this.#reindex(key);
+    const isResident = this.residency.isResident(key);
+    const request = this.engineRequests.submit(now, queued, isResident);
+    this.#overdueRequests.watch(request);
+    if (!isResident) this.#updateIndex(key);
   }
 
   /**
-   * Forgets a request that waits.
-   * @param request The request.
-   * @returns Whether it waited here, and so will not run.
+   * Removes a waiting request.
+   * @param request The request's id.
+   * @returns Whether the request waited here, and therefore will not run.
    */
   withdraw(request: RequestId): boolean {
-    const found = this.book.find(request);
+    const found = this.engineRequests.find(request);
     if (found === undefined || found.isAtEngine) return false;
-    this.#forget(found);
+    this.#remove(found);
     return true;
   }
 
   /**
-   * Takes all waiting requests back, to be handed to another controller.
+   * Removes all waiting requests, to be passed to another controller.
    * @param now The present time.
-   * @returns The requests, with the time that they waited here.
+   * @returns The requests, with the time that they waited here added.
    */
-  handBack(now: Instant): readonly QueuedRequest[] {
-    const waiting = [...this.book.all].filter((one) => !one.isAtEngine);
-    for (const request of waiting) this.#forget(request);
+  withdrawWaiting(now: Instant): readonly QueuedRequest[] {
+    const waiting = [...this.engineRequests.all].filter((one) =>
+      !one.isAtEngine
+    );
+    for (const request of waiting) this.#remove(request);
     return waiting.map(({ queued, submittedAt }) => ({
       ...queued,
       waitedBefore: milliseconds(
@@ -116,20 +120,24 @@
     }));
   }
 
-  /** Lists the requests that are here. */
-  requests(): readonly RequestId[] {
-    return [...this.book.all].map((request) => request.queued.request);
+  /** Lists the ids of all requests at this engine. */
+  requestIds(): readonly RequestId[] {
+    return [...this.engineRequests.all].map((request) =>
+      request.queued.request
+    );
   }
 
-  /** Withdraws everything that this controller told the index. */
+  /** Removes all entries of this controller from the residence index. */
   close(): void {
     this.#isClosed = true;
-    for (const { key } of this.residency.all) this.#unindex(key);
-    for (const { key } of this.book.blocked.lines) this.#unindex(key);
+    for (const { key } of this.residency.all) this.#removeFromIndex(key);
+    for (const { key } of this.engineRequests.blocked.queues) {
+      this.#removeFromIndex(key);
+    }
   }
 
   /**
-   * Takes note that a load ended.
+   * Handles the end of a load.
    * @param now The present time.
    * @param load The adapter, and whether it is now resident.
    */
@@ -141,14 +149,14 @@
     const { loaded } = load;
     if (!this.residency.loadEnded(now, { key, loaded })) return;
     this.planner.loadEnded(now, key, loaded);
-    if (loaded) this.book.unblock(now, key);
-    this.#reindex(key);
+    if (loaded) this.engineRequests.unblock(now, key);
+    this.#updateIndex(key);
   }
 
   /**
-   * Takes note that an eviction ended.
+   * Handles the end of an eviction.
    * @param now The present time.
-   * @param eviction The adapter, and whether it has left.
+   * @param eviction The adapter, and whether it was evicted.
    */
   evictionEnded(
     now: Instant,
@@ -160,70 +168,70 @@
     const key = adapterKey(eviction.adapter);
     const { evicted } = eviction;
     if (!this.residency.evictionEnded(now, { key, evicted })) return;
-    if (!evicted) this.book.unblock(now, key);
-    const next = this.planner.afterEviction(now, key, evicted);
-    this.#reindex(key);
-    if (next !== undefined) this.#reindex(next);
+    if (!evicted) this.engineRequests.unblock(now, key);
+    const next = this.planner.evictionEnded(now, key, evicted);
+    this.#updateIndex(key);
+    if (next !== undefined) this.#updateIndex(next);
   }
 
   /**
-   * Takes note of a first token.
+   * Handles the first token of a request.
    * @param now The present time.
-   * @param request The request.
+   * @param request The request's id.
    */
   firstToken(now: Instant, request: RequestId): void {
-    const found = this.book.find(request);
+    const found = this.engineRequests.find(request);
     if (found === undefined || found.firstTokenAt !== undefined) return;
     found.firstTokenAt = now;
-    this.pace.firstTokenCame(now, found);
+    this.timings.recordFirstToken(now, found);
   }
 
   /**
-   * Takes note that a dispatched request ended, however it did.
+   * Handles the end of a dispatched request with any outcome.
    * @param now The present time.
-   * @param request The request.
-   * @param generatedTokens How many tokens it generated here.
+   * @param request The request's id.
+   * @param generatedTokens The number of tokens generated at this engine.
    */
   requestEnded(
     now: Instant,
     request: RequestId,
     generatedTokens: number,
   ): void {
-    const found = this.book.find(request);
+    const found = this.engineRequests.find(request);
     if (found === undefined || !found.isAtEngine) return;
-    this.pace.ended(now, found, generatedTokens);
+    this.timings.recordEnd(now, found, generatedTokens);
     this.residency.unpin(now, found.key);
-    this.book.remove(found);
-    this.history.record(now, this.book.atEngine);
+    this.engineRequests.remove(found);
+    this.dispatchHistory.record(now, this.engineRequests.heldByEngine);
   }
 
   /**
-   * Takes note of the engine's report of its load, which lags.
+   * Handles the engine's report of its load, which lags behind.
    * @param now The present time.
    * @param report The report.
    */
   reported(now: Instant, report: EngineReport): void {
-    this.pace.stepReported(report.stepTime);
-    this.others = this.history.othersIn(now, {
+    this.timings.recordStepTime(report.stepTime);
+    this.foreignRequests = this.dispatchHistory.countForeign(now, {
       held: report.running + report.waiting,
       age: report.age,
     });
   }
 
   /**
-   * Changes the target of a class, also for requests that wait.
+   * Changes the target of a class, including its queued requests.
    * @param id The class.
    * @param target The new target.
    */
   retarget(id: ClassId, target: Duration): void {
-    this.book.retarget(id, target);
+    this.engineRequests.retarget(id, target);
   }
 
   /**
-   * Lists the adapters that the engine wants most.
+   * Lists the most urgent adapter loads for the engine.
    * @param now The present time.
-   * @param prefetch Adapters worth having before anyone waits for them.
-   * @returns A few wishes.
+   * @param prefetch Candidates for loading before a request needs them.
+   * @returns A limited number of load wishes.
    */
   wishes(
     now: Instant,
@@ -233,38 +241,38 @@
   }
 
   /**
-   * Takes a permit to load an adapter.
+   * Uses a permit to load an adapter.
    * @param now The present time.
    * @param adapter The adapter.
-   * @returns Whether it is used; otherwise it is to be given back.
+   * @returns Whether the permit is used; otherwise it must be returned.
    */
   usePermit(now: Instant, adapter: AdapterReference): boolean {
     const key = adapterKey(adapter);
-    const used = this.planner.usePermit(now, adapter, key);
-    if (used) this.parts.index.add(key, this.engine);
-    return used;
+    const isUsed = this.planner.usePermit(now, adapter, key);
+    if (isUsed) this.parts.index.add(key, this.engine);
+    return isUsed;
   }
 
   /**
-   * Decides what to do now.
+   * Makes the decisions that are due.
    * @param now The present time.
-   * @returns The decisions, in the order in which to carry them out.
+   * @returns The decisions to carry out, in order.
    */
   decide(now: Instant): readonly EngineDecision[] {
     const decisions = [...this.planner.takeOrders()];
-    this.#refuseHopeless(now, decisions);
+    this.#refuseOverdue(now, decisions);
     this.#dispatcher.dispatch(now, decisions);
     return decisions;
   }
 
-  /** When a waiting request may have to be given up. */
-  get nextGiveUp(): Instant | undefined {
-    return this.#hopeless.next;
+  /** When a waiting request may next have to be refused as overdue. */
+  get nextGiveUpAt(): Instant | undefined {
+    return this.#overdueRequests.nextDueAt;
   }
 
-  #refuseHopeless(now: Instant, decisions: EngineDecision[]): void {
-    this.#hopeless.refuseDue(now, (request) => {
-      this.#forget(request);
+  #refuseOverdue(now: Instant, decisions: EngineDecision[]): void {
+    this.#overdueRequests.refuseDue(now, (request) => {
+      this.#remove(request);
       decisions.push({
         kind: "refuse",
         request: request.queued.request,
@@ -273,18 +281,18 @@
     });
   }
 
-  #forget(request: WaitingRequest): void {
-    this.book.remove(request);
-    this.#reindex(request.key);
+  #remove(request: EngineRequest): void {
+    this.engineRequests.remove(request);
+    this.#updateIndex(request.key);
   }
 
-  #reindex(key: AdapterKey): void {
+  #updateIndex(key: AdapterKey): void {
     if (this.#isClosed) return;
-    if (this.standing(key) === "absent") this.#unindex(key);
+    if (this.standing(key) === "absent") this.#removeFromIndex(key);
     else this.parts.index.add(key, this.engine);
   }
 
-  #unindex(key: AdapterKey): void {
+  #removeFromIndex(key: AdapterKey): void {
     this.parts.index.remove(key, this.engine);
   }
 }
--- a/packages/core/src/serving/engine_controller_view.ts
+++ b/packages/core/src/serving/engine_controller_view.ts
@@ -1,7 +1,7 @@
 import {
-  EnginePace,
-  OwnHistory,
-  RequestBook,
+  DispatchHistory,
+  EngineRequests,
+  EngineTimings,
   TARGET_RATIO,
 } from "../dispatch/mod.ts";
 import {
@@ -19,38 +19,47 @@
   type EngineId,
   type Instant,
 } from "../shared/mod.ts";
-import { AdapterValue, type AdapterValueParts } from "./adapter_value.ts";
+import {
+  AdapterValue,
+  type AdapterValueParts,
+} from "./adapter_value_estimator.ts";
 import type { EngineCapacity } from "./engine_event.ts";
 import { LoadPlanner } from "./load_planner.ts";
 
-/** What a controller works with. */
+/** The dependencies of an engine controller. */
 export interface EngineControllerParts extends AdapterValueParts {
   readonly engine: EngineId;
   readonly capacity: EngineCapacity;
 }
 
-/** How many awaited adapters a summary names. */
-const SUMMARISED_AWAITED = 64;
-/** A pace that an engine of middling speed has, for weights of homes. */
-const COMMON_TOKEN_TIME = 20;
-/** Others' requests take at most this share of a batch away from us. */
-const OTHERS_SHARE = 0.5;
-
-/** The state of an engine that is controlled here, as routers view it. */
+/** The maximum number of awaited adapters in a summary. */
+const MAXIMUM_SUMMARISED_AWAITED = 64;
+/**
+ * The time per token of an engine of average speed, in milliseconds. Engine
+ * weights are relative to it.
+ */
+const REFERENCE_TOKEN_MILLISECONDS = 20;
+/**
+ * The maximum share of a batch that is reserved for requests of other
+ * controllers.
+ */
+const MAXIMUM_FOREIGN_SHARE = 0.5;
+
+/** The view of a locally controlled engine that routers use. */
 export abstract class EngineControllerView extends EngineView {
   override readonly engine: EngineId;
   override readonly hash: number;
   protected readonly parts: EngineControllerParts;
-  /** The adapters in slots. */
+  /** The adapters in the engine's slots. */
   readonly residency: EngineResidency;
-  protected readonly book = new RequestBook();
-  protected readonly pace = new EnginePace();
-  protected readonly history = new OwnHistory();
+  protected readonly engineRequests = new EngineRequests();
+  protected readonly timings = new EngineTimings();
+  protected readonly dispatchHistory = new DispatchHistory();
   protected readonly planner: LoadPlanner;
-  /** How many requests of others the engine holds, by its report. */
-  protected others = 0;
+  /** The number of requests from others, estimated from engine reports. */
+  protected foreignRequests = 0;
 
-  /** @param parts What the controller works with. */
+  /** @param parts The dependencies of the controller. */
   constructor(parts: EngineControllerParts) {
     super();
     this.engine = parts.engine;
@@ -60,29 +69,31 @@
     this.planner = new LoadPlanner({
       engine: parts.engine,
       residency: this.residency,
-      book: this.book,
+      engineRequests: this.engineRequests,
       value: new AdapterValue(parts),
     });
   }
 
-  /** How many requests wait. */
+  /** The number of waiting requests. */
   get waiting(): number {
-    return this.book.waiting;
+    return this.engineRequests.waiting;
   }
 
-  /** How many requests have a place in the batch. */
+  /** The number of requests with a place in the batch. */
   get running(): number {
-    return this.book.running.size;
+    return this.engineRequests.running.size;
   }
 
-  /** How many adapters are waited for. */
+  /** The number of adapters that blocked requests wait for. */
   get awaitedAdapters(): number {
-    return this.book.blocked.adapters;
+    return this.engineRequests.blocked.adapterCount;
   }
 
   override get weight(): number {
-    const pace = Math.sqrt(COMMON_TOKEN_TIME / Math.max(1, this.pace.token));
-    return this.parts.capacity.adapterSlots * pace;
+    const relativeSpeed = Math.sqrt(
+      REFERENCE_TOKEN_MILLISECONDS / Math.max(1, this.timings.tokenTime),
+    );
+    return this.parts.capacity.adapterSlots * relativeSpeed;
   }
 
   override get batchCapacity(): number {
@@ -90,28 +101,28 @@
   }
 
   override get firstTokenTime(): Duration {
-    return this.pace.firstToken;
+    return this.timings.firstTokenTime;
   }
 
   override get serviceTime(): Duration {
-    return this.pace.service;
+    return this.timings.serviceTime;
   }
 
   override standing(key: AdapterKey): AdapterStanding {
     const residence = this.residency.find(key);
     if (residence?.state === "resident") return "resident";
     if (residence?.state === "loading") return "loading";
-    if (this.planner.isAwaiting(key)) return "loading";
-    return this.book.blocked.has(key) ? "awaited" : "absent";
+    if (this.planner.isAwaitingEviction(key)) return "loading";
+    return this.engineRequests.blocked.has(key) ? "awaited" : "absent";
   }
 
   override placeWait(_now: Instant, target: Duration): Duration {
     return placeWait({
       places: this.places(),
-      running: this.book.running.size,
-      yielding: this.book.runningAtLeast(TARGET_RATIO * target),
-      ahead: this.book.ready.countAhead(target),
-      serviceTime: this.pace.service,
+      running: this.engineRequests.running.size,
+      yielding: this.engineRequests.countRunningAtLeast(TARGET_RATIO * target),
+      ahead: this.engineRequests.ready.countAhead(target),
+      serviceTime: this.timings.serviceTime,
     });
   }
 
@@ -125,12 +136,12 @@
 
   override loadsAhead(target: Duration): number {
     return Math.min(
-      this.book.blocked.adapters,
-      this.book.blockedAhead(target),
+      this.engineRequests.blocked.adapterCount,
+      this.engineRequests.countBlockedAhead(target),
     );
   }
 
-  /** What other nodes are told, besides the adapters. */
+  /** The engine's state for other nodes, without its adapters. */
   get summary(): EngineSummary {
     return {
       engine: this.engine,
@@ -142,23 +153,23 @@
       running: this.running,
       awaitedAdapters: this.awaitedAdapters,
       canMakeRoom: this.canMakeRoom(),
-      ready: this.book.ready.loads,
-      blocked: this.book.blockedLoads,
-      runningByTarget: this.book.runningLoads,
+      ready: this.engineRequests.ready.byTarget,
+      blocked: this.engineRequests.blockedByTarget,
+      runningByTarget: this.engineRequests.runningByTarget,
     };
   }
 
   /**
-   * Lists the adapters that are here or waited for.
-   * @returns The adapters; of those waited for, only some.
+   * Lists the adapters that are in slots or awaited.
+   * @returns The adapters, with a limited number of awaited ones.
    */
   standings(): readonly StandingAdapter[] {
     const standings = new Map<AdapterKey, StandingAdapter>();
     for (const { key, adapter } of this.residency.all) {
       standings.set(key, { key, adapter, standing: this.standing(key) });
     }
-    for (const { key, adapter } of this.book.blocked.lines) {
-      if (standings.size >= this.#slots() + SUMMARISED_AWAITED) break;
+    for (const { key, adapter } of this.engineRequests.blocked.queues) {
+      if (standings.size >= this.#slots() + MAXIMUM_SUMMARISED_AWAITED) break;
       standings.set(key, { key, adapter, standing: this.standing(key) });
     }
     return [...standings.values()];
@@ -168,10 +179,13 @@
     return this.parts.capacity.adapterSlots;
   }
 
-  /** The places of the batch that this controller's requests may take. */
+  /** The number of batch places available to this controller's requests. */
   protected places(): number {
     const { batchCapacity } = this.parts.capacity;
-    const others = Math.min(this.others, OTHERS_SHARE * batchCapacity);
+    const others = Math.min(
+      this.foreignRequests,
+      MAXIMUM_FOREIGN_SHARE * batchCapacity,
+    );
     return Math.max(1, Math.floor(batchCapacity - others));
   }
 }
--- a/packages/core/src/serving/give_up_timer.ts
+++ b/packages/core/src/serving/give_up_timer.ts
@@ -1,49 +1,49 @@
 import TinyQueue from "tinyqueue";
-import type { WaitingRequest } from "../dispatch/mod.ts";
+import type { EngineRequest } from "../dispatch/mod.ts";
 import { type Instant, later } from "../shared/mod.ts";
 
 interface Entry {
-  readonly request: WaitingRequest;
+  readonly request: EngineRequest;
   readonly at: Instant;
 }
 
-/** Finds the requests that have waited too long, without a visit to all. */
+/** Finds requests that have waited too long without visiting all of them. */
 export class GiveUpTimer {
   readonly #entries = new TinyQueue<Entry>(
     [],
     (left, right) => left.at - right.at,
   );
 
-  /** When the next request is due; it may have left meanwhile. */
-  get next(): Instant | undefined {
-    this.#dropOver();
+  /** When the next entry is due, unless its request is removed before. */
+  get nextDueAt(): Instant | undefined {
+    this.#dropEnded();
     return this.#entries.peek()?.at;
   }
 
   /**
-   * Watches a request from its arrival.
+   * Schedules a new request.
    * @param request The request.
    */
-  watch(request: WaitingRequest): void {
-    this.#entries.push({ request, at: request.givenUpAt() });
+  watch(request: EngineRequest): void {
+    this.#entries.push({ request, at: request.giveUpAt() });
   }
 
   /**
-   * Watches a request for another target's length.
+   * Schedules a request again, one target length from now.
    * @param now The present time.
    * @param request The request.
    */
-  watchAgain(now: Instant, request: WaitingRequest): void {
+  extend(now: Instant, request: EngineRequest): void {
     this.#entries.push({ request, at: later(now, request.target) });
   }
 
   /**
-   * Takes out the requests that are due.
+   * Removes the entries that are due.
    * @param now The present time.
-   * @returns The requests.
+   * @returns Their requests, some of which may no longer wait.
    */
-  due(now: Instant): readonly WaitingRequest[] {
-    const due: WaitingRequest[] = [];
+  takeDue(now: Instant): readonly EngineRequest[] {
+    const due: EngineRequest[] = [];
     for (;;) {
       const entry = this.#entries.peek();
       if (entry === undefined || entry.at > now) return due;
@@ -52,12 +52,12 @@
     }
   }
 
-  #dropOver(): void {
+  #dropEnded(): void {
     for (;;) {
       const entry = this.#entries.peek();
       if (entry === undefined) return;
-      const { place } = entry.request;
-      if (place === "ready" || place === "blocked") return;
+      const { state } = entry.request;
+      if (state === "ready" || state === "blocked") return;
       this.#entries.pop();
     }
   }
--- a/packages/core/src/serving/prefetch_scout.ts
+++ b/packages/core/src/serving/prefetch_planner.ts
@@ -6,17 +6,20 @@
   ResidenceIndex,
 } from "../placement/mod.ts";
 import type { AdapterKey, EngineId, Instant } from "../shared/mod.ts";
-import type { AdapterValue } from "./adapter_value.ts";
+import type { AdapterValue } from "./adapter_value_estimator.ts";
 import type { PrefetchCandidate } from "./load_planner.ts";
 
-/** How many candidates an engine keeps. */
-const KEPT = 8;
-/** An adapter needs another replica when it fills this share of a batch. */
-const GROWTH_SHARE = 0.5;
+/** The maximum number of candidates per engine. */
+const MAXIMUM_CANDIDATES = 8;
+/**
+ * An adapter needs another replica when its requests fill this share of its
+ * holders' batches.
+ */
+const REPLICA_LOAD_THRESHOLD = 0.5;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What a scout works on. */
-export interface PrefetchScoutParts {
+/** The dependencies of a prefetch planner. */
+export interface PrefetchPlannerParts {
   readonly demand: DemandTracker;
   readonly index: ResidenceIndex;
   readonly router: AdapterRouter;
@@ -24,21 +27,22 @@
 }
 
 /**
- * Looks for hot adapters that need more replicas, and has them loaded before
- * anyone waits. It looks only at those that were asked for since it last did,
- * so that its cost does not grow with the number of adapters.
+ * Finds frequently used adapters that need more replicas, so that they are
+ * loaded before requests wait. Only considers adapters that were requested
+ * since the last update, so that the cost does not grow with the number of
+ * adapters.
  */
 export class PrefetchScout {
-  readonly #parts: PrefetchScoutParts;
+  readonly #parts: PrefetchPlannerParts;
   readonly #candidates = new Map<EngineId, PrefetchCandidate[]>();
 
-  /** @param parts What to work on. */
-  constructor(parts: PrefetchScoutParts) {
+  /** @param parts The dependencies of the planner. */
+  constructor(parts: PrefetchPlannerParts) {
     this.#parts = parts;
   }
 
   /**
-   * Looks at the adapters that were asked for since the last call.
+   * Considers the adapters that were requested since the last call.
    * @param now The present time.
    * @param views The engines.
    */
@@ -49,15 +53,15 @@
   }
 
   /**
-   * Lists the candidates for an engine, worked out anew.
+   * Lists the candidates for an engine with their current worth.
    * @param now The present time.
    * @param engine The engine.
    * @returns The candidates.
    */
   candidates(now: Instant, engine: EngineId): readonly PrefetchCandidate[] {
-    const known = this.#candidates.get(engine);
-    if (known === undefined) return [];
-    const current = known.flatMap((candidate) => {
+    const existing = this.#candidates.get(engine);
+    if (existing === undefined) return [];
+    const current = existing.flatMap((candidate) => {
       const holders = this.#parts.index.enginesOf(candidate.key);
       if (holders.includes(engine)) return [];
       const worth = this.#parts.value.absenceCost(now, candidate.key);
@@ -81,20 +85,23 @@
       .find((view) => !holders.includes(view.engine));
     if (home === undefined) return;
     const worth = this.#parts.value.absenceCost(now, key);
-    this.#keep(home.engine, { key, adapter: demand.adapter, worth });
+    this.#addCandidate(home.engine, { key, adapter: demand.adapter, worth });
   }
 
-  #keep(engine: EngineId, candidate: PrefetchCandidate): void {
+  #addCandidate(engine: EngineId, candidate: PrefetchCandidate): void {
     const kept = this.#candidates.get(engine) ?? [];
     if (kept.some((other) => other.key === candidate.key)) return;
     kept.push(candidate);
     kept.sort((left, right) => right.worth - left.worth);
-    if (kept.length > KEPT) kept.pop();
+    if (kept.length > MAXIMUM_CANDIDATES) kept.pop();
     this.#candidates.set(engine, kept);
   }
 }
 
-/** By Little's law: arrivals a second times seconds of service. */
+/**
+ * Compares the concurrent requests with the holders' batch capacity. By Little's
+ * law, the concurrency is the arrival rate times the service time.
+ */
 function needsReplica(
   now: Instant,
   { demand, holders, views }: {
@@ -104,14 +111,15 @@
   },
 ): boolean {
   const rate = demand.arrivalRate(now);
-  let room = 0;
-  let service = 0;
+  let totalBatchCapacity = 0;
+  let serviceMilliseconds = 0;
   for (const holder of holders) {
     const view = views.get(holder);
     if (view === undefined) continue;
-    room += view.batchCapacity;
-    service = Math.max(service, view.serviceTime);
+    totalBatchCapacity += view.batchCapacity;
+    serviceMilliseconds = Math.max(serviceMilliseconds, view.serviceTime);
   }
-  const concurrent = rate * service / MILLISECONDS_PER_SECOND;
-  return concurrent > GROWTH_SHARE * room;
+  const concurrentRequests = rate * serviceMilliseconds /
+    MILLISECONDS_PER_SECOND;
+  return concurrentRequests > REPLICA_LOAD_THRESHOLD * totalBatchCapacity;
 }
--- a/packages/core/src/serving/request_dispatcher.ts
+++ b/packages/core/src/serving/request_dispatcher.ts
@@ -1,57 +1,61 @@
 import {
-  chooseDisplaced,
-  type OwnHistory,
-  type RequestBook,
+  choosePreempted,
+  type DispatchHistory,
+  type EngineRequest,
+  type EngineRequests,
   TARGET_RATIO,
-  type WaitingRequest,
 } from "../dispatch/mod.ts";
 import type { EngineResidency } from "../residency/mod.ts";
 import { elapsed, type Instant, milliseconds } from "../shared/mod.ts";
 import type { EngineDecision } from "./engine_event.ts";
 
-/** What a dispatcher works on. */
+/** The dependencies of a request dispatcher. */
 export interface RequestDispatcherParts {
-  readonly book: RequestBook;
+  readonly engineRequests: EngineRequests;
   readonly residency: EngineResidency;
-  readonly history: OwnHistory;
-  /** Counts the places of the batch that requests may take. */
+  readonly dispatchHistory: DispatchHistory;
+  /** Returns the number of batch places available to requests. */
   readonly places: () => number;
 }
 
-/** Gives the places of one engine's batch to requests, least slack first. */
+/** Assigns an engine's batch places to requests by least slack. */
 export class RequestDispatcher {
   readonly #parts: RequestDispatcherParts;
 
-  /** @param parts What to work on. */
+  /** @param parts The dependencies of the dispatcher. */
   constructor(parts: RequestDispatcherParts) {
     this.#parts = parts;
   }
 
   /**
-   * Dispatches while there are places, or work that gives way.
+   * Dispatches ready requests while there are free places or running requests
+   * that can be preempted.
    * @param now The present time.
-   * @param decisions Receives the decisions.
+   * @param decisions The list to which decisions are added.
    */
   dispatch(now: Instant, decisions: EngineDecision[]): void {
     for (;;) {
-      const request = this.#parts.book.ready.peek(now);
+      const request = this.#parts.engineRequests.ready.peek(now);
       if (request === undefined) return;
-      if (this.#parts.book.running.size >= this.#parts.places()) {
-        const displaced = this.#chooseDisplaced(now, request);
-        if (displaced === undefined) return;
-        this.#parts.book.displace(displaced);
-        const id = displaced.queued.request;
+      if (this.#parts.engineRequests.running.size >= this.#parts.places()) {
+        const preempted = this.#choosePreempted(now, request);
+        if (preempted === undefined) return;
+        this.#parts.engineRequests.preempt(preempted);
+        const id = preempted.queued.request;
         decisions.push({ kind: "preempt", request: id });
       }
       decisions.push(this.#start(now, request));
     }
   }
 
-  #start(now: Instant, request: WaitingRequest): EngineDecision {
+  #start(now: Instant, request: EngineRequest): EngineDecision {
     const queueWait = elapsed(request.submittedAt, now) - request.loadStall;
-    if (!request.displaced) this.#parts.residency.pin(now, request.key);
-    this.#parts.book.start(now, request);
-    this.#parts.history.record(now, this.#parts.book.atEngine);
+    if (!request.isPreempted) this.#parts.residency.pin(now, request.key);
+    this.#parts.engineRequests.start(now, request);
+    this.#parts.dispatchHistory.record(
+      now,
+      this.#parts.engineRequests.heldByEngine,
+    );
     return {
       kind: "dispatch",
       request: request.queued.request,
@@ -61,12 +65,14 @@
     };
   }
 
-  #chooseDisplaced(
+  #choosePreempted(
     now: Instant,
-    urgent: WaitingRequest,
-  ): WaitingRequest | undefined {
-    const longEnough = TARGET_RATIO * urgent.target;
-    if (this.#parts.book.runningAtLeast(longEnough) === 0) return undefined;
-    return chooseDisplaced(now, this.#parts.book.running, urgent);
+    urgent: EngineRequest,
+  ): EngineRequest | undefined {
+    const minimumTarget = TARGET_RATIO * urgent.target;
+    if (this.#parts.engineRequests.countRunningAtLeast(minimumTarget) === 0) {
+      return undefined;
+    }
+    return choosePreempted(now, this.#parts.engineRequests.running, urgent);
   }
 }
