--- a/packages/bench/src/reading/prompt_gates.ts
+++ b/packages/bench/src/reading/prompt_gates.ts
@@ -1,4 +1,4 @@
-import { instant, milliseconds, ReadingQueue } from "@foxtailwind/core";
+import { instant, milliseconds, PrefillQueue } from "@foxtailwind/core";
 import {
   type ArrivingPrompt,
   PromptGate,
@@ -23,7 +23,7 @@
 
 /** Gives an engine its prompts as its owner does. */
 export class SpacedGate extends PromptGate {
-  readonly #queue = new ReadingQueue<ArrivingPrompt>();
+  readonly #queue = new PrefillQueue<ArrivingPrompt>();
   readonly #speed: number;
 
   /** @param speed How many times slower than normal the engine is. */
@@ -35,8 +35,8 @@
   override add(prompt: ArrivingPrompt): void {
     const { at, tokens } = prompt;
     this.#queue.add(prompt, {
-      reading: milliseconds(this.#speed * tokens / TOKENS_A_MILLISECOND),
-      wantedBy: instant(at + TARGET_MILLISECONDS),
+      prefillTime: milliseconds(this.#speed * tokens / TOKENS_A_MILLISECOND),
+      deadline: instant(at + TARGET_MILLISECONDS),
       needsBreak: true,
     });
   }
--- a/packages/bench/src/relay/stand_in_log.ts
+++ b/packages/bench/src/relay/stand_in_log.ts
@@ -5,7 +5,7 @@
   logOffset,
   type RegisteredServer,
   type RelayConfiguration,
-  suspectedRun,
+  suspectedRunKey,
 } from "@foxtailwind/core";
 import {
   type ClaimRecord,
@@ -124,7 +124,7 @@
   changeSuspicions(changes: readonly SuspicionChange[]): void {
     for (const change of changes) {
       const about = change.kind === "added" ? change.suspicion : change.key;
-      const key = `${about.content} ${suspectedRun(about)}`;
+      const key = `${about.content} ${suspectedRunKey(about)}`;
       if (change.kind === "added") this.#suspicions.set(key, change.suspicion);
       else this.#suspicions.delete(key);
       this.#publish((listener) => {
--- a/packages/bench/src/services/model_node.ts
+++ b/packages/bench/src/services/model_node.ts
@@ -111,7 +111,7 @@
 
   #planWake(): void {
     const { timeline } = this.#parts;
-    const wake = this.router.nextWake();
+    const wake = this.router.nextDecisionAt();
     if (wake === undefined) return;
     if (this.#wakeAt !== undefined && this.#wakeAt <= wake) return;
     this.#wakeAt = wake;
--- a/packages/bench/src/services/service_policies.ts
+++ b/packages/bench/src/services/service_policies.ts
@@ -1,11 +1,11 @@
 import {
   GradientLimit,
-  NoLimit,
   PowerOfTwoChooser,
   RandomChooser,
   RoundRobinChooser,
   SERVICE_POLICY,
   type ServicePolicy,
+  UnlimitedConcurrency,
 } from "@foxtailwind/core";
 
 /** A way to route, and what to call it in reports. */
@@ -15,7 +15,7 @@
 }
 
 const PLAIN = {
-  limit: () => new NoLimit(),
+  limit: () => new UnlimitedConcurrency(),
   retries: false,
   hedging: false,
   ejection: false,
@@ -30,7 +30,7 @@
   },
   {
     name: "no limit",
-    policy: { ...SERVICE_POLICY, limit: () => new NoLimit() },
+    policy: { ...SERVICE_POLICY, limit: () => new UnlimitedConcurrency() },
   },
   { name: "no hedging", policy: { ...SERVICE_POLICY, hedging: false } },
   {
--- a/packages/bench/src/soak/key_world_node.ts
+++ b/packages/bench/src/soak/key_world_node.ts
@@ -1,5 +1,5 @@
 import {
-  ClaimGathering,
+  ClaimBatcher,
   type DeliveryRules,
   incarnationId,
   type Instant,
@@ -51,7 +51,7 @@
   readonly #surroundings: KeyWorldSurroundings;
   readonly #clockOffset: number;
   readonly #coordinator: KeyCoordinator;
-  readonly #gathering: ClaimGathering;
+  readonly #gathering: ClaimBatcher;
   #nonces = 0;
   isAlive = true;
 
@@ -78,7 +78,7 @@
       timing: { maximumScopeLifetime: milliseconds(SCOPE_LIFETIME) },
       nextNonce: () => this.#nextName("claim"),
     });
-    this.#gathering = new ClaimGathering({
+    this.#gathering = new ClaimBatcher({
       batchInterval: milliseconds(10),
       settleTimeout: milliseconds(120),
       maximumBatch: 10,
@@ -103,7 +103,7 @@
 
   /** The epoch that this node gives out now. */
   get epoch() {
-    return this.#gathering.index.next;
+    return this.#gathering.index.nextOffset;
   }
 
   /**
@@ -166,9 +166,9 @@
   #read(): void {
     const { timeline, log } = this.#surroundings;
     if (!this.isAlive) return;
-    const page = log.read(this.#gathering.index.next);
+    const page = log.read(this.#gathering.index.nextOffset);
     if (page !== undefined) {
-      this.#gathering.index.readFrom(page.firstKept);
+      this.#gathering.index.noteFirstKept(page.firstKept);
       for (const { offset, data } of page.records) {
         const record = parseClaimRecord(data).unwrapOr(undefined);
         this.#gathering.apply(this.now, offset, record);
--- a/packages/bench/src/soak/mutants.ts
+++ b/packages/bench/src/soak/mutants.ts
@@ -1,6 +1,5 @@
 import {
   type Duration,
-  type Exchange,
   type FencingNumber,
   fencingNumber,
   type Instant,
@@ -10,6 +9,7 @@
   type NodeId,
   type OwnershipRules,
   type OwnershipTiming,
+  type RoundTrip,
   seconds,
   StandardOwnershipRules,
   type Tenure,
@@ -36,13 +36,13 @@
 }
 
 class CountsLeaseFromReadEnd extends StandardOwnershipRules {
-  override leaseStart(read: Exchange): Instant {
+  override leaseStart(read: RoundTrip): Instant {
     return read.endedAt;
   }
 }
 
 class CountsPromiseFromAnswer extends StandardOwnershipRules {
-  override promiseStart(exchange: Exchange): Instant {
+  override promiseStart(exchange: RoundTrip): Instant {
     return exchange.endedAt;
   }
 }
@@ -78,7 +78,7 @@
 }
 
 class BreaksPromises extends StandardOwnershipRules {
-  override promiseKept(): Duration {
+  override promiseGrantDuration(): Duration {
     return milliseconds(0);
   }
 }
@@ -90,7 +90,7 @@
 }
 
 class PromisesAsStranger extends StandardOwnershipRules {
-  override promisesAsStranger(): boolean {
+  override promisesWhenUnlisted(): boolean {
     return true;
   }
 }
@@ -124,40 +124,46 @@
     return true;
   }
 
-  override waitOf(
+  override takeoverWaitKind(
     reason: TenureReason,
     before: Tenure | undefined,
   ): TenureWait {
-    return reason === "repair" ? "lease" : super.waitOf(reason, before);
+    return reason === "repair"
+      ? "lease"
+      : super.takeoverWaitKind(reason, before);
   }
 }
 
 class RepairsAfterLeaseOnly extends StandardOwnershipRules {
-  override waitOf(
+  override takeoverWaitKind(
     reason: TenureReason,
     before: Tenure | undefined,
   ): TenureWait {
-    return reason === "repair" ? "lease" : super.waitOf(reason, before);
+    return reason === "repair"
+      ? "lease"
+      : super.takeoverWaitKind(reason, before);
   }
 }
 
 class ForgetsRepairWait extends StandardOwnershipRules {
-  override waitOf(
+  override takeoverWaitKind(
     reason: TenureReason,
     before: Tenure | undefined,
   ): TenureWait {
-    return reason === "takeover" ? "lease" : super.waitOf(reason, before);
+    return reason === "takeover"
+      ? "lease"
+      : super.takeoverWaitKind(reason, before);
   }
 }
 
 class DropsPromiseHorizon extends StandardOwnershipRules {
-  override horizonEnd(start: Instant): Instant {
+  override promiseHorizonEnd(start: Instant): Instant {
     return later(start, seconds(3_600));
   }
 }
 
 class LowersFencing extends StandardOwnershipRules {
-  override fencing(offset: LogOffset): FencingNumber {
+  override fencingNumberFor(offset: LogOffset): FencingNumber {
     return fencingNumber(0 - offset);
   }
 }
@@ -184,7 +190,7 @@
 }
 
 class OrdersWhileReleasing extends StandardOwnershipRules {
-  override ordersWhileReleasing(): boolean {
+  override ordersDuringHandOver(): boolean {
     return true;
   }
 }
--- a/packages/bench/src/soak/outcome_mutants.ts
+++ b/packages/bench/src/soak/outcome_mutants.ts
@@ -30,13 +30,13 @@
 class RetriesUnknown extends DeliveryRules {
   override nextStep(attempt: FailedAttempt): NextStep {
     const step = super.nextStep(attempt);
-    return step === "give_up" && attempt.passed === 0 ? "restart" : step;
+    return step === "give_up" && attempt.passedTokens === 0 ? "restart" : step;
   }
 }
 
 class RestartsPassedStreams extends DeliveryRules {
   override nextStep(attempt: FailedAttempt): NextStep {
-    return super.nextStep({ ...attempt, passed: 0, received: 0 });
+    return super.nextStep({ ...attempt, passedTokens: 0, receivedTokens: 0 });
   }
 }
 
--- a/packages/bench/src/soak/ownership_checks.ts
+++ b/packages/bench/src/soak/ownership_checks.ts
@@ -50,5 +50,5 @@
 }
 
 function holdsRight(node: VirtualNode, engine: EngineId): boolean {
-  return node.isAlive && node.agent.current(engine, node.now()).isOk();
+  return node.isAlive && node.agent.authorizeOrder(engine, node.now()).isOk();
 }
--- a/packages/bench/src/soak/stream_world.ts
+++ b/packages/bench/src/soak/stream_world.ts
@@ -94,7 +94,7 @@
   #tell(caller: CallerView, event: DeliveryEvent): void {
     const now = instant(this.#timeline.now);
     this.#carryOut(caller, caller.delivery.handle(now, event));
-    const wake = caller.delivery.nextWake;
+    const wake = caller.delivery.nextWakeAt;
     if (wake === undefined) return;
     this.#timeline.after(Math.max(0, wake - now), () => {
       this.#tick(caller);
--- a/packages/bench/src/soak/virtual_node.ts
+++ b/packages/bench/src/soak/virtual_node.ts
@@ -171,7 +171,7 @@
       const answered = (outcome: AppendOutcome): void => {
         if (!this.#isRun(incarnation) || outcome !== "not_run") return;
         this.#whenRunning(() => {
-          agent.notAppended(record.id);
+          agent.appendRejected(record.id);
         });
       };
       if (reachesLog(this.#self)) {
@@ -180,7 +180,7 @@
       }
     }
     for (const { engine } of engines) {
-      const right = agent.current(engine, this.now());
+      const right = agent.authorizeOrder(engine, this.now());
       if (right.isOk()) order(this, { engine, fencing: right.value });
     }
   }
--- a/packages/core/src/delivery/claim_batcher.ts
+++ b/packages/core/src/delivery/claim_batcher.ts
@@ -47,7 +47,7 @@
  * Batches the claims of a failure domain's nodes into few appends, and settles
  * each claim once it and all records before it were read back.
  */
-export class ClaimGathering {
+export class ClaimBatcher {
   readonly index: ClaimIndex;
   readonly #options: ClaimBatcherOptions;
   readonly #pending = new Map<string, PendingClaim>();
--- a/packages/core/src/delivery/claim_index.ts
+++ b/packages/core/src/delivery/claim_index.ts
@@ -40,7 +40,7 @@
   }
 
   /** The next offset to read. */
-  get next(): LogOffset {
+  get nextOffset(): LogOffset {
     return this.#nextOffset;
   }
 
@@ -48,7 +48,7 @@
    * Records the start of a read, and skips offsets that the log has dropped.
    * @param firstKept The oldest offset that the log still keeps.
    */
-  readFrom(firstKept: LogOffset): void {
+  noteFirstKept(firstKept: LogOffset): void {
     const isGap = firstKept > this.#nextOffset;
     if (this.#firstOffset === undefined || isGap) this.#firstOffset = firstKept;
     if (isGap) this.#nextOffset = firstKept;
--- a/packages/core/src/delivery/delivery_rules.ts
+++ b/packages/core/src/delivery/delivery_rules.ts
@@ -7,9 +7,9 @@
   /** Whether the request may run more than once. */
   readonly repeatable: boolean;
   /** Tokens received so far, including those before a resume. */
-  readonly received: number;
+  readonly receivedTokens: number;
   /** Tokens already sent to the caller. */
-  readonly passed: number;
+  readonly passedTokens: number;
   /** Whether the attempt resumed a generation that the engine held. */
   readonly wasResume: boolean;
 }
@@ -38,7 +38,13 @@
    * @returns The next step; the retry budget may still forbid it.
    */
   nextStep(attempt: FailedAttempt): NextStep {
-    const { failure, repeatable, received, passed, wasResume } = attempt;
+    const {
+      failure,
+      repeatable,
+      receivedTokens: received,
+      passedTokens: passed,
+      wasResume,
+    } = attempt;
     const mayRestart = repeatable && passed === 0;
     if (wasResume && isResumeImpossible(failure)) {
       return mayRestart ? "restart" : "give_up";
--- a/packages/core/src/delivery/key_coordinator.ts
+++ b/packages/core/src/delivery/key_coordinator.ts
@@ -21,7 +21,7 @@
   type RunResult,
 } from "./key_ledger.ts";
 import { checkScope } from "./key_scope_check.ts";
-import type { KeyTiming } from "./key_timing.ts";
+import type { KeyScopeLimits } from "./key_scope_limits.ts";
 
 /** Options of a key coordinator. */
 export interface KeyCoordinatorOptions {
@@ -29,7 +29,7 @@
   readonly incarnation: IncarnationId;
   readonly rules: DeliveryRules;
   readonly limits: Omit<KeyLedgerLimits, "peer">;
-  readonly timing: KeyTiming;
+  readonly timing: KeyScopeLimits;
   /** Generates a unique nonce for a claim. */
   readonly nextNonce: () => string;
 }
--- a/packages/core/src/delivery/key_scope_check.ts
+++ b/packages/core/src/delivery/key_scope_check.ts
@@ -7,7 +7,7 @@
 import type { DeliveryRules } from "./delivery_rules.ts";
 import type { KeyScope } from "./execution_key.ts";
 import { invalidScope } from "./key_failures.ts";
-import type { KeyTiming } from "./key_timing.ts";
+import type { KeyScopeLimits } from "./key_scope_limits.ts";
 
 /**
  * Checks whether a key scope of this incarnation is valid.
@@ -22,7 +22,7 @@
   options: {
     readonly self: NodeId;
     readonly rules: DeliveryRules;
-    readonly timing: KeyTiming;
+    readonly timing: KeyScopeLimits;
   },
 ): Failure | undefined {
   const { self, rules, timing } = options;
--- a/packages/core/src/delivery/key_timing.ts
+++ b/packages/core/src/delivery/key_scope_limits.ts
@@ -1,7 +1,7 @@
 import type { Duration } from "../shared/mod.ts";
 
 /** Limits on the validity of key scopes. */
-export interface KeyTiming {
+export interface KeyScopeLimits {
   /** The longest time to a scope's expiry; a later expiry is forged. */
   readonly maximumScopeLifetime: Duration;
 }
--- a/packages/core/src/delivery/mod.ts
+++ b/packages/core/src/delivery/mod.ts
@@ -13,6 +13,6 @@
 export * from "./key_coordinator.ts";
 export * from "./key_failures.ts";
 export * from "./key_ledger.ts";
-export * from "./key_timing.ts";
+export * from "./key_scope_limits.ts";
 export * from "./request_delivery.ts";
 export * from "./retry_budget.ts";
--- a/packages/core/src/delivery/request_delivery.ts
+++ b/packages/core/src/delivery/request_delivery.ts
@@ -56,12 +56,12 @@
   }
 
   /** The number of frames dropped so far, by reason. */
-  get dropped(): FrameFilter["dropped"] {
+  get droppedFrames(): FrameFilter["dropped"] {
     return this.#frameFilter.dropped;
   }
 
   /** When {@link handle} needs a `tick` if no event occurs before. */
-  get nextWake(): Instant | undefined {
+  get nextWakeAt(): Instant | undefined {
     return this.#ended ? undefined : this.#retryAt;
   }
 
@@ -203,8 +203,8 @@
     const step = rules.nextStep({
       failure: corrected,
       repeatable,
-      received: this.#frameFilter.nextSequence,
-      passed: this.#passedTokenCount,
+      receivedTokens: this.#frameFilter.nextSequence,
+      passedTokens: this.#passedTokenCount,
       wasResume: this.#isResumed,
     });
     if (
--- a/packages/core/src/dispatch/class_counts.ts
+++ b/packages/core/src/dispatch/class_counts.ts
@@ -5,10 +5,10 @@
  * A request is only preempted by one whose target is shorter by at least this
  * factor.
  */
-export const TARGET_RATIO = 4;
+export const PREEMPTION_TARGET_RATIO = 4;
 
 /** The number of requests with a target. */
-export interface TargetLoad {
+export interface TargetCount {
   readonly target: Duration;
   readonly count: number;
 }
@@ -23,7 +23,7 @@
   readonly #classes = new Map<ClassId, ClassCount>();
 
   /** The targets with their numbers of requests. */
-  get byTarget(): readonly TargetLoad[] {
+  get byTarget(): readonly TargetCount[] {
     return [...this.#classes.values()].map((entry) => ({ ...entry }));
   }
 
--- a/packages/core/src/dispatch/engine_requests.ts
+++ b/packages/core/src/dispatch/engine_requests.ts
@@ -8,7 +8,7 @@
 } from "../shared/mod.ts";
 import type { QueuedRequest } from "../serving/engine_event.ts";
 import { type AdapterQueue, AdapterQueues } from "./adapter_queues.ts";
-import { ClassCounts, type TargetLoad } from "./class_counts.ts";
+import { ClassCounts, type TargetCount } from "./class_counts.ts";
 import { ReadyQueue } from "./ready_queue.ts";
 import { EngineRequest } from "./engine_request.ts";
 
@@ -42,12 +42,12 @@
   }
 
   /** The targets with their numbers of blocked requests. */
-  get blockedByTarget(): readonly TargetLoad[] {
+  get blockedByTarget(): readonly TargetCount[] {
     return this.#blockedCounts.byTarget;
   }
 
   /** The targets with their numbers of running requests. */
-  get runningByTarget(): readonly TargetLoad[] {
+  get runningByTarget(): readonly TargetCount[] {
     return this.#runningCounts.byTarget;
   }
 
--- a/packages/core/src/dispatch/preemption.ts
+++ b/packages/core/src/dispatch/preemption.ts
@@ -1,5 +1,5 @@
 import type { Instant } from "../shared/mod.ts";
-import { TARGET_RATIO } from "./class_counts.ts";
+import { PREEMPTION_TARGET_RATIO } from "./class_counts.ts";
 import type { EngineRequest } from "./engine_request.ts";
 
 /**
@@ -12,7 +12,7 @@
   running: EngineRequest,
   urgent: EngineRequest,
 ): boolean {
-  return running.target >= TARGET_RATIO * urgent.target;
+  return running.target >= PREEMPTION_TARGET_RATIO * urgent.target;
 }
 
 /**
@@ -49,7 +49,7 @@
   urgent: EngineRequest,
 ): boolean {
   if (candidate.firstTokenAt !== undefined) return true;
-  return candidate.deadline - now >= TARGET_RATIO * urgent.target;
+  return candidate.deadline - now >= PREEMPTION_TARGET_RATIO * urgent.target;
 }
 
 function isCheaperToPreempt(
--- a/packages/core/src/dispatch/ready_queue.ts
+++ b/packages/core/src/dispatch/ready_queue.ts
@@ -1,5 +1,5 @@
 import type { ClassId, Duration, Instant } from "../shared/mod.ts";
-import { ClassCounts, type TargetLoad } from "./class_counts.ts";
+import { ClassCounts, type TargetCount } from "./class_counts.ts";
 import { ClassQueue } from "./class_queue.ts";
 import type { EngineRequest } from "./engine_request.ts";
 
@@ -17,7 +17,7 @@
   }
 
   /** The targets with their numbers of ready requests. */
-  get byTarget(): readonly TargetLoad[] {
+  get byTarget(): readonly TargetCount[] {
     return this.#counts.byTarget;
   }
 
--- a/packages/core/src/loads/expected_permit_wait.ts
+++ b/packages/core/src/loads/expected_permit_wait.ts
@@ -6,7 +6,7 @@
 /** The state from which the wait for a permit is estimated. */
 export interface PermitQueueState {
   /** Number of wishes that are at least as urgent. */
-  readonly ahead: number;
+  readonly wishesAhead: number;
   /** Number of permits in use. */
   readonly outstanding: number;
   readonly limits: LoadLimits;
@@ -19,13 +19,13 @@
  * @param queue The wishes and permits, and the limits of the weight store.
  * @returns The wait.
  */
-export function expectedGrantWait(queue: PermitQueueState): Duration {
+export function expectedPermitWait(queue: PermitQueueState): Duration {
   const { loadsPerSecond, concurrentLoads } = queue.limits;
   const rateInterval = MILLISECONDS_PER_SECOND / loadsPerSecond;
   const concurrencyInterval = queue.loadTime / concurrentLoads;
   const excessPermits = Math.max(0, queue.outstanding - concurrentLoads + 1);
   return milliseconds(
-    (queue.ahead + excessPermits / 2) *
+    (queue.wishesAhead + excessPermits / 2) *
       Math.max(rateInterval, concurrencyInterval),
   );
 }
--- a/packages/core/src/loads/load_permit_issuer.ts
+++ b/packages/core/src/loads/load_permit_issuer.ts
@@ -13,7 +13,7 @@
   seconds,
 } from "../shared/mod.ts";
 import { SmoothedDuration } from "../placement/smoothed_duration.ts";
-import { expectedGrantWait } from "./expected_permit_wait.ts";
+import { expectedPermitWait } from "./expected_permit_wait.ts";
 import type { LoadLimits, LoadPermit, LoadWish } from "./load_wish.ts";
 import { RateLimit } from "./rate_limit.ts";
 
@@ -33,7 +33,7 @@
  * store's rate and concurrency limits. One node does this for the whole
  * deployment.
  */
-export class LoadPermitLedger {
+export class LoadPermitIssuer {
   #limits: LoadLimits;
   #rateLimit: RateLimit;
   readonly #grantsFrom: Instant;
@@ -105,8 +105,8 @@
    * @returns The estimate.
    */
   expectedWait(ahead: number): Duration {
-    return expectedGrantWait({
-      ahead,
+    return expectedPermitWait({
+      wishesAhead: ahead,
       outstanding: this.#permits.size,
       limits: this.#limits,
       loadTime: this.#loadTime.value,
@@ -119,7 +119,7 @@
    * @param engine The engine.
    * @param wishes The most urgent loads that its controller wants.
    */
-  offer(now: Instant, engine: EngineId, wishes: readonly LoadWish[]): void {
+  setWishes(now: Instant, engine: EngineId, wishes: readonly LoadWish[]): void {
     if (wishes.length === 0) this.#wishesByEngine.delete(engine);
     else this.#wishesByEngine.set(engine, { wishes, updatedAt: now });
   }
@@ -129,7 +129,7 @@
    * @param now The present time.
    * @returns Whether the rate and concurrency limits allow it.
    */
-  hasRoom(now: Instant): boolean {
+  canGrant(now: Instant): boolean {
     this.#removeExpired(now);
     return now >= this.#grantsFrom &&
       this.#permits.size < this.#limits.concurrentLoads &&
@@ -152,7 +152,7 @@
    * @returns The permit, or undefined.
    */
   grant(now: Instant): LoadPermit | undefined {
-    if (!this.hasRoom(now)) return undefined;
+    if (!this.canGrant(now)) return undefined;
     const wish = this.#takeMostUrgent(now);
     if (wish === undefined) return undefined;
     const permit: LoadPermit = {
@@ -199,7 +199,7 @@
    * @param now The present time.
    * @param load The engine and adapter, and whether the adapter was loaded.
    */
-  finished(
+  release(
     now: Instant,
     load: {
       readonly engine: EngineId;
@@ -217,7 +217,7 @@
    * Removes the wishes and permits of an engine that is gone or restarted.
    * @param engine The engine.
    */
-  forget(engine: EngineId): void {
+  removeEngine(engine: EngineId): void {
     this.#wishesByEngine.delete(engine);
     for (const [key, permit] of this.#permits) {
       if (permit.engine === engine) this.#permits.delete(key);
--- a/packages/core/src/ownership/cluster_agent.ts
+++ b/packages/core/src/ownership/cluster_agent.ts
@@ -199,7 +199,7 @@
    * Handles the confirmation that a record was not appended.
    * @param id The record's id.
    */
-  notAppended(id: string): void {
+  appendRejected(id: string): void {
     this.#ownership.appendRejected(id);
   }
 
@@ -237,7 +237,10 @@
    * @param now The present time.
    * @returns The order's fencing number, or why no order may be sent.
    */
-  current(engine: EngineId, now: Instant): Result<FencingNumber, Failure> {
+  authorizeOrder(
+    engine: EngineId,
+    now: Instant,
+  ): Result<FencingNumber, Failure> {
     return this.#ownership.authorizeOrder(engine, now);
   }
 
--- a/packages/core/src/ownership/granted_promises.ts
+++ b/packages/core/src/ownership/granted_promises.ts
@@ -33,7 +33,7 @@
    * @param now The present time.
    */
   grant(engine: EngineId, now: Instant): void {
-    const until = later(now, this.#rules.promiseKept(this.#timing));
+    const until = later(now, this.#rules.promiseGrantDuration(this.#timing));
     const known = this.#promisedUntil.get(engine);
     if (known === undefined || known < until) {
       this.#promisedUntil.set(engine, until);
--- a/packages/core/src/ownership/order_authority.ts
+++ b/packages/core/src/ownership/order_authority.ts
@@ -11,7 +11,7 @@
 import { err, ok, type Result } from "neverthrow";
 import type { TenureRecordTracker } from "./tenure_record_tracker.ts";
 import type { HeldPromises } from "./held_promises.ts";
-import type { Exchange, OwnershipRules } from "./rules.ts";
+import type { OwnershipRules, RoundTrip } from "./rules.ts";
 import type { Tenure } from "./tenure.ts";
 import type { TenureRegister } from "./tenure_register.ts";
 import type { OwnershipTiming } from "./timing.ts";
@@ -50,7 +50,7 @@
    * Renews the lease after a read that reached the log's tail.
    * @param read The start and end of the read.
    */
-  confirmTail(read: Exchange): void {
+  confirmTail(read: RoundTrip): void {
     const start = this.#options.rules.leaseStart(read);
     const isLater = this.#leaseStart === undefined || start > this.#leaseStart;
     if (isLater) this.#leaseStart = start;
@@ -148,7 +148,7 @@
       );
     }
     const { rules } = this.#options;
-    if (control.stoppedAt !== undefined && !rules.ordersWhileReleasing()) {
+    if (control.stoppedAt !== undefined && !rules.ordersDuringHandOver()) {
       return err(fencedFailure(engine, "The engine is being handed over."));
     }
     if (!this.#hasLeaseOrPromises(tenure, now)) {
@@ -168,7 +168,7 @@
     const { rules, timing, heldPromises, recordTracker } = this.#options;
     if (!rules.checksLease() || this.isLogFresh(now)) return true;
     if (this.#leaseStart === undefined) return false;
-    if (now >= rules.horizonEnd(this.#leaseStart, timing)) return false;
+    if (now >= rules.promiseHorizonEnd(this.#leaseStart, timing)) return false;
     if (tenure.successors.length === 0) return false;
     const promisers = rules.requiredPromisers(
       tenure.successors,
--- a/packages/core/src/ownership/ownership_agent.ts
+++ b/packages/core/src/ownership/ownership_agent.ts
@@ -19,7 +19,7 @@
 import { HeldPromises } from "./held_promises.ts";
 import { GrantedPromises } from "./granted_promises.ts";
 import type { PromiseRequest, PromiseResponse } from "./promise_message.ts";
-import type { Exchange, OwnershipRules } from "./rules.ts";
+import type { OwnershipRules, RoundTrip } from "./rules.ts";
 import { SuccessionTimers } from "./succession_timers.ts";
 import type { TenureRecord } from "./tenure.ts";
 import { type OwnershipTick, TenureDecider } from "./tenure_decider.ts";
@@ -117,7 +117,7 @@
    * its records were applied.
    * @param read The start and end of the read.
    */
-  confirmTail(read: Exchange): void {
+  confirmTail(read: RoundTrip): void {
     this.#authority.confirmTail(read);
   }
 
@@ -138,7 +138,7 @@
   answerPromiseRequest(now: Instant, request: PromiseRequest): PromiseResponse {
     const { state, self, rules, timing } = this.#options;
     const mayPromise = request.duration <= timing.promise &&
-      (listsRun(state.view, self) || rules.promisesAsStranger());
+      (listsRun(state.view, self) || rules.promisesWhenUnlisted());
     const granted: EngineId[] = [];
     for (const { engine, tenure: requestedTenure } of request.engines) {
       const tenure = state.tenures.tenureOf(engine);
--- a/packages/core/src/ownership/rules.ts
+++ b/packages/core/src/ownership/rules.ts
@@ -17,7 +17,7 @@
 } from "./timing.ts";
 
 /** Start and end of a request, by the requester's clock. */
-export interface Exchange {
+export interface RoundTrip {
   readonly startedAt: Instant;
   readonly endedAt: Instant;
 }
@@ -28,23 +28,23 @@
  */
 export abstract class OwnershipRules {
   /** The instant from which a tail read renews the lease. */
-  abstract leaseStart(read: Exchange): Instant;
+  abstract leaseStart(read: RoundTrip): Instant;
   /** The instant from which a granted promise is valid for its holder. */
-  abstract promiseStart(request: Exchange): Instant;
+  abstract promiseStart(request: RoundTrip): Instant;
   /** When a lease that was renewed at `start` expires. */
   abstract leaseEnd(start: Instant, timing: OwnershipTiming): Instant;
   /** When a promise that is valid from `start` expires for its holder. */
   abstract promiseEnd(start: Instant, timing: OwnershipTiming): Instant;
   /** When promises stop replacing the lease after a log read at `start`. */
-  abstract horizonEnd(start: Instant, timing: OwnershipTiming): Instant;
+  abstract promiseHorizonEnd(start: Instant, timing: OwnershipTiming): Instant;
   /** How long the granting node honors a promise. */
-  abstract promiseKept(timing: OwnershipTiming): Duration;
+  abstract promiseGrantDuration(timing: OwnershipTiming): Duration;
   /** How long a new run, which has lost its granted promises, may not claim. */
   abstract restartWait(timing: OwnershipTiming): Duration;
   /** Whether a node grants a promise while its own claim may be pending. */
   abstract promisesDuringClaim(): boolean;
   /** Whether a run grants promises while its view does not list it. */
-  abstract promisesAsStranger(): boolean;
+  abstract promisesWhenUnlisted(): boolean;
   /** How long a new controller waits before its first order. */
   abstract takeoverWait(
     wait: TenureWait,
@@ -54,7 +54,10 @@
     },
   ): Duration;
   /** The kind of wait that a new tenure requires. */
-  abstract waitOf(reason: TenureReason, before: Tenure | undefined): TenureWait;
+  abstract takeoverWaitKind(
+    reason: TenureReason,
+    before: Tenure | undefined,
+  ): TenureWait;
   /** Whether a record is based on the current record. */
   abstract acceptsBase(base: LogOffset, current: LogOffset): boolean;
   /** Whether a record at `offset` is applied when `next` is expected. */
@@ -66,7 +69,7 @@
   /** Whether a node that the tenure does not name may claim the engine. */
   abstract mayRepair(view: View, before: Tenure): boolean;
   /** The number that fences the orders of a new tenure. */
-  abstract fencing(
+  abstract fencingNumberFor(
     offset: LogOffset,
     options: { readonly reason: TenureReason; readonly before?: Tenure },
   ): FencingNumber;
@@ -80,18 +83,18 @@
     proposed: readonly (readonly NodeId[])[],
   ): readonly NodeId[];
   /** Whether a controller sends orders while it hands over an engine. */
-  abstract ordersWhileReleasing(): boolean;
+  abstract ordersDuringHandOver(): boolean;
   /** Whether the controller also checks that its lease is valid. */
   abstract checksLease(): boolean;
 }
 
 /** The rules used in production. */
 export class StandardOwnershipRules extends OwnershipRules {
-  override leaseStart(read: Exchange): Instant {
+  override leaseStart(read: RoundTrip): Instant {
     return read.startedAt;
   }
 
-  override promiseStart(request: Exchange): Instant {
+  override promiseStart(request: RoundTrip): Instant {
     return request.startedAt;
   }
 
@@ -103,11 +106,11 @@
     return later(start, shortenByClockMargin(timing.promise, timing));
   }
 
-  override horizonEnd(start: Instant, timing: OwnershipTiming): Instant {
+  override promiseHorizonEnd(start: Instant, timing: OwnershipTiming): Instant {
     return later(start, shortenByClockMargin(timing.promiseHorizon, timing));
   }
 
-  override promiseKept(timing: OwnershipTiming): Duration {
+  override promiseGrantDuration(timing: OwnershipTiming): Duration {
     return lengthenByClockMargin(timing.promise, timing);
   }
 
@@ -119,7 +122,7 @@
     return false;
   }
 
-  override promisesAsStranger(): boolean {
+  override promisesWhenUnlisted(): boolean {
     return false;
   }
 
@@ -147,7 +150,7 @@
     }
   }
 
-  override waitOf(
+  override takeoverWaitKind(
     reason: TenureReason,
     before: Tenure | undefined,
   ): TenureWait {
@@ -187,7 +190,7 @@
     return !view.members.some((one) => before.successors.includes(one.node));
   }
 
-  override fencing(
+  override fencingNumberFor(
     offset: LogOffset,
     options: { readonly reason: TenureReason; readonly before?: Tenure },
   ): FencingNumber {
@@ -205,7 +208,7 @@
     return [...new Set(lists.flat())];
   }
 
-  override ordersWhileReleasing(): boolean {
+  override ordersDuringHandOver(): boolean {
     return false;
   }
 
--- a/packages/core/src/ownership/tenure_register.ts
+++ b/packages/core/src/ownership/tenure_register.ts
@@ -57,7 +57,7 @@
     if (!this.#rules.acceptsBase(record.base, current)) return false;
     if (!this.#isAllowed(record, { before, view: context.view })) return false;
     const { engine, reason, controller, successors } = record;
-    const fencing = this.#rules.fencing(context.offset, {
+    const fencing = this.#rules.fencingNumberFor(context.offset, {
       reason,
       ...(before === undefined ? {} : { before }),
     });
@@ -73,7 +73,7 @@
       fencing,
       controller,
       successors,
-      wait: this.#rules.waitOf(reason, before),
+      wait: this.#rules.takeoverWaitKind(reason, before),
     });
     return true;
   }
--- a/packages/core/src/placement/adapter_router.ts
+++ b/packages/core/src/placement/adapter_router.ts
@@ -10,7 +10,7 @@
 import type { AdapterStanding, EngineView } from "./engine_view.ts";
 import type { PrefixHistory } from "./prefix_history.ts";
 import type { ResidenceIndex } from "./residence_index.ts";
-import { textHash, weightedScore } from "./weighted_rendezvous.ts";
+import { hashText, weightedScore } from "./weighted_rendezvous.ts";
 
 /** Why an engine was chosen for a request. */
 export type RouteReason = "resident" | "joins_load" | "home" | "overflow";
@@ -26,7 +26,7 @@
   | { readonly kind: "no_engine" };
 
 /** Estimates of load durations and of the wait for a load permit. */
-export interface LoadOutlook {
+export interface LoadEstimates {
   readonly loadTime: Duration;
   expectedWait(ahead: number): Duration;
 }
@@ -35,7 +35,7 @@
 export interface AdapterRouterOptions {
   readonly index: ResidenceIndex;
   readonly prefixes: PrefixHistory;
-  readonly loads: LoadOutlook;
+  readonly loads: LoadEstimates;
 }
 
 interface Candidate {
@@ -115,7 +115,7 @@
     key: AdapterKey,
     views: ReadonlyMap<EngineId, EngineView>,
   ): readonly EngineView[] {
-    const keyHash = textHash(key);
+    const keyHash = hashText(key);
     const scored: { readonly view: EngineView; readonly score: number }[] = [];
     for (const view of views.values()) {
       const score = weightedScore(keyHash, view.hash, view.weight);
@@ -185,7 +185,7 @@
   ): Candidate {
     const standing = view.standing(key);
     const target = queued.firstTokenTarget;
-    const batchWait = view.placeWait(now, target);
+    const batchWait = view.batchWait(now, target);
     const loadWait = this.#loadWait(standing, view, target);
     const expectedFirstTokenTime = Math.max(batchWait, loadWait) +
       view.firstTokenTime;
@@ -270,8 +270,8 @@
   const gain = first.expectedFirstTokenTime - second.expectedFirstTokenTime;
   if (gain > margin) return second;
   if (gain < -margin) return first;
-  const firstEvictionCost = first.view.roomLoss(now);
-  const secondEvictionCost = second.view.roomLoss(now);
+  const firstEvictionCost = first.view.evictionCost(now);
+  const secondEvictionCost = second.view.evictionCost(now);
   if (firstEvictionCost === undefined || secondEvictionCost === undefined) {
     return first;
   }
--- a/packages/core/src/placement/batch_wait.ts
+++ b/packages/core/src/placement/batch_wait.ts
@@ -6,7 +6,7 @@
   readonly places: number;
   readonly running: number;
   /** Number of running requests that would be preempted. */
-  readonly yielding: number;
+  readonly preemptible: number;
   /** Number of ready requests that are at least as urgent. */
   readonly ahead: number;
   /** Time from dispatch to the end of an answer. */
@@ -19,8 +19,8 @@
  * @param batch The state of the batch.
  * @returns The wait.
  */
-export function placeWait(batch: BatchState): Duration {
-  const free = batch.places - batch.running + batch.yielding;
+export function expectedBatchWait(batch: BatchState): Duration {
+  const free = batch.places - batch.running + batch.preemptible;
   if (batch.ahead < free) return milliseconds(0);
   const turns = (batch.ahead - Math.max(0, free) + 1) / batch.places;
   return milliseconds(turns * batch.serviceTime);
--- a/packages/core/src/placement/demand_tracker.ts
+++ b/packages/core/src/placement/demand_tracker.ts
@@ -115,7 +115,7 @@
    * @param now The present time.
    * @param arrival The adapter, its key, and the target of the class.
    */
-  arrived(
+  recordArrival(
     now: Instant,
     { key, adapter, target }: {
       readonly key: AdapterKey;
@@ -148,7 +148,7 @@
    * @param visit Called for each adapter; if there were too many, only for the
    * most recent ones.
    */
-  visitAsked(
+  visitRecentlyRequested(
     visit: (key: AdapterKey, demand: AdapterDemand) => void,
   ): void {
     for (const [key, demand] of this.#recentlyRequested) visit(key, demand);
--- a/packages/core/src/placement/engine_summary.ts
+++ b/packages/core/src/placement/engine_summary.ts
@@ -1,4 +1,4 @@
-import type { TargetLoad } from "../dispatch/class_counts.ts";
+import type { TargetCount } from "../dispatch/class_counts.ts";
 import type {
   AdapterKey,
   AdapterReference,
@@ -8,7 +8,7 @@
 import type { AdapterStanding } from "./engine_view.ts";
 
 /** An adapter and its standing at an engine. */
-export interface StandingAdapter {
+export interface AdapterWithStanding {
   readonly key: AdapterKey;
   readonly adapter: AdapterReference;
   readonly standing: AdapterStanding;
@@ -25,7 +25,7 @@
   readonly running: number;
   readonly awaitedAdapters: number;
   readonly canMakeRoom: boolean;
-  readonly ready: readonly TargetLoad[];
-  readonly blocked: readonly TargetLoad[];
-  readonly runningByTarget: readonly TargetLoad[];
+  readonly ready: readonly TargetCount[];
+  readonly blocked: readonly TargetCount[];
+  readonly runningByTarget: readonly TargetCount[];
 }
--- a/packages/core/src/placement/engine_view.ts
+++ b/packages/core/src/placement/engine_view.ts
@@ -31,7 +31,7 @@
    * @param target The target of the request's class.
    * @returns The wait.
    */
-  abstract placeWait(now: Instant, target: Duration): Duration;
+  abstract batchWait(now: Instant, target: Duration): Duration;
 
   /**
    * Checks whether a load could start, in a free slot or by evicting an idle
@@ -46,7 +46,7 @@
    * @returns Waiting time per second, in multiples of the target; 0 if a slot
    * is free, undefined if not known.
    */
-  abstract roomLoss(now: Instant): number | undefined;
+  abstract evictionCost(now: Instant): number | undefined;
 
   /**
    * Counts the adapters awaited by requests that are at least as urgent.
--- a/packages/core/src/placement/prefix_history.ts
+++ b/packages/core/src/placement/prefix_history.ts
@@ -17,7 +17,7 @@
    * @param prefix The prefix.
    * @param engine The engine.
    */
-  stored(prefix: Prefix, engine: EngineId): void {
+  recordStored(prefix: Prefix, engine: EngineId): void {
     const key = prefixKey(prefix);
     const others = (this.#holders.get(key) ?? NO_ENGINES)
       .filter((holder) => holder !== engine);
@@ -31,7 +31,7 @@
    * @param prefix The prefix.
    * @param engine The engine.
    */
-  evicted(prefix: Prefix, engine: EngineId): void {
+  recordEvicted(prefix: Prefix, engine: EngineId): void {
     const key = prefixKey(prefix);
     const remaining = (this.#holders.get(key) ?? NO_ENGINES)
       .filter((holder) => holder !== engine);
--- a/packages/core/src/placement/summarised_engine_view.ts
+++ b/packages/core/src/placement/summarised_engine_view.ts
@@ -1,10 +1,13 @@
-import { TARGET_RATIO, type TargetLoad } from "../dispatch/class_counts.ts";
+import {
+  PREEMPTION_TARGET_RATIO,
+  type TargetCount,
+} from "../dispatch/class_counts.ts";
 import type { AdapterKey, Duration, EngineId, Instant } from "../shared/mod.ts";
-import type { EngineSummary, StandingAdapter } from "./engine_summary.ts";
+import type { AdapterWithStanding, EngineSummary } from "./engine_summary.ts";
 import { type AdapterStanding, EngineView } from "./engine_view.ts";
-import { placeWait } from "./batch_wait.ts";
+import { expectedBatchWait } from "./batch_wait.ts";
 import type { ResidenceIndex } from "./residence_index.ts";
-import { textHash } from "./weighted_rendezvous.ts";
+import { hashText } from "./weighted_rendezvous.ts";
 
 /**
  * A view of an engine that another node controls, based on its last summary. It
@@ -25,7 +28,7 @@
   constructor(summary: EngineSummary, index: ResidenceIndex) {
     super();
     this.engine = summary.engine;
-    this.hash = textHash(summary.engine);
+    this.hash = hashText(summary.engine);
     this.#summary = summary;
     this.#index = index;
   }
@@ -50,14 +53,14 @@
     return this.#standings.get(key) ?? "absent";
   }
 
-  override placeWait(_now: Instant, target: Duration): Duration {
+  override batchWait(_now: Instant, target: Duration): Duration {
     const { places, running, serviceTime } = this.#summary;
-    const preemptibleFrom = TARGET_RATIO * target;
-    return placeWait({
+    const preemptibleFrom = PREEMPTION_TARGET_RATIO * target;
+    return expectedBatchWait({
       places,
       running,
       serviceTime,
-      yielding: sumCounts(
+      preemptible: sumCounts(
         this.#summary.runningByTarget,
         (load) => load.target >= preemptibleFrom,
       ),
@@ -70,7 +73,7 @@
     return this.#summary.canMakeRoom;
   }
 
-  override roomLoss(): undefined {
+  override evictionCost(): undefined {
     return undefined;
   }
 
@@ -86,7 +89,10 @@
    * @param summary The summary.
    * @param changes The adapters whose standing changed since the last one.
    */
-  update(summary: EngineSummary, changes: readonly StandingAdapter[]): void {
+  update(
+    summary: EngineSummary,
+    changes: readonly AdapterWithStanding[],
+  ): void {
     this.#summary = summary;
     this.#sentSinceSummary = 0;
     for (const { key, standing } of changes) this.#setStanding(key, standing);
@@ -96,7 +102,7 @@
    * Records that this node sends a request to the engine.
    * @param key The request's adapter.
    */
-  sent(key: AdapterKey): void {
+  recordSent(key: AdapterKey): void {
     this.#sentSinceSummary += 1;
     if (this.standing(key) === "absent") this.#setStanding(key, "awaited");
   }
@@ -121,8 +127,8 @@
 }
 
 function sumCounts(
-  loads: readonly TargetLoad[],
-  isCounted: (load: TargetLoad) => boolean,
+  loads: readonly TargetCount[],
+  isCounted: (load: TargetCount) => boolean,
 ): number {
   let total = 0;
   for (const load of loads) if (isCounted(load)) total += load.count;
--- a/packages/core/src/placement/weighted_rendezvous.ts
+++ b/packages/core/src/placement/weighted_rendezvous.ts
@@ -11,7 +11,7 @@
  * @param text An id or key.
  * @returns The hash.
  */
-export function textHash(text: string): number {
+export function hashText(text: string): number {
   return hasher.h32(text);
 }
 
--- a/packages/core/src/relay/adapter_slot.ts
+++ b/packages/core/src/relay/adapter_slot.ts
@@ -52,9 +52,9 @@
 export interface SlotLimits {
   readonly slots: number;
   /** The maximum number of concurrent loads. */
-  readonly transfers: number;
+  readonly concurrentLoads: number;
   /** Adapters that the engine caches beside its slots, quick to load again. */
-  readonly kept: number;
+  readonly cachedAdapters: number;
 }
 
 /**
--- a/packages/core/src/relay/adapter_versions.ts
+++ b/packages/core/src/relay/adapter_versions.ts
@@ -10,7 +10,7 @@
    * @param adapter The adapter.
    * @param version The version.
    */
-  name(model: ModelId, adapter: AdapterId, version: number): void {
+  record(model: ModelId, adapter: AdapterId, version: number): void {
     const key = `${model}/${adapter}`;
     const known = this.#newest.get(key);
     if (known === undefined || known < version) this.#newest.set(key, version);
@@ -27,7 +27,7 @@
   }
 
   /** All recorded versions, for a node that can't reach the store. */
-  get all(): readonly (readonly [string, number])[] {
+  get entries(): readonly (readonly [string, number])[] {
     return [...this.#newest];
   }
 }
--- a/packages/core/src/relay/caller_timeouts.ts
+++ b/packages/core/src/relay/caller_timeouts.ts
@@ -20,7 +20,7 @@
  * less than others most likely spent the difference in earlier attempts, which
  * the request doesn't mention.
  */
-export class CallerPatience {
+export class CallerTimeouts {
   readonly #longest = new Map<string, LongestTimeout>();
 
   /**
@@ -30,7 +30,11 @@
    * @param timeout How long the caller waits from now on.
    * @returns How long it has waited before.
    */
-  waitedBefore(now: Instant, route: string, timeout: Duration): Duration {
+  estimateEarlierWait(
+    now: Instant,
+    route: string,
+    timeout: Duration,
+  ): Duration {
     const known = this.#longest.get(route) ??
       { since: now, current: 0, previous: 0 };
     const isExpired = elapsed(known.since, now) >= MINIMUM_MEMORY;
--- a/packages/core/src/relay/crash_suspicion.ts
+++ b/packages/core/src/relay/crash_suspicion.ts
@@ -32,7 +32,7 @@
  * isn't suspect. A request without an answer may have been queued and ranks as
  * the least suspect.
  */
-export function suspectTime(
+export function suspectRunTime(
   ranFor: Duration | undefined,
 ): Duration | undefined {
   if (ranFor === undefined) return MAXIMUM_SUSPECT_RUN_TIME;
@@ -44,7 +44,7 @@
  * @param suspicion The suspicion.
  * @returns The key.
  */
-export function suspectedRun({ server, start }: SuspicionKey): string {
+export function suspectedRunKey({ server, start }: SuspicionKey): string {
   return startKey(server, start);
 }
 
--- a/packages/core/src/relay/engine_choice.ts
+++ b/packages/core/src/relay/engine_choice.ts
@@ -10,19 +10,19 @@
 export interface EngineState {
   readonly id: BackendServerId;
   /** Expected wait before a new request's first token, in milliseconds. */
-  readonly wait: number;
+  readonly expectedWait: number;
   /** Estimated time to prefill the prompt. */
-  readonly reading: Duration;
+  readonly prefillTime: Duration;
   /** The number of requests running on the engine. */
   readonly running: number;
   /** Whether the engine's owner can be asked to load an adapter. */
-  readonly isOrderable: boolean;
+  readonly canOrderLoads: boolean;
   /**
    * The number of further adapters that could be loaded without waiting for a
    * running request.
    */
-  readonly room: number;
-  readonly holds: boolean;
+  readonly availableSlots: number;
+  readonly holdsAdapter: boolean;
   readonly isLoading: boolean;
 }
 
@@ -70,7 +70,7 @@
  * @returns The engine ids, best first. Empty if no engine holds the adapter or
  * can be ordered to load it.
  */
-export function orderEngines(
+export function rankEngines(
   placement: PlacementRequest,
   engines: readonly EngineState[],
 ): readonly BackendServerId[] {
@@ -104,7 +104,7 @@
   engine: EngineState,
   { promptTokens }: PlacementRequest,
 ): number {
-  return engine.wait + engine.reading +
+  return engine.expectedWait + engine.prefillTime +
     PREFILL_DELAY_PER_TOKEN * promptTokens * engine.running;
 }
 
@@ -114,10 +114,10 @@
   rank: number,
 ): number | undefined {
   const base = firstTokenTime + rank * RANK_PENALTY;
-  if (engine.holds) return base;
-  if (!engine.isOrderable) return undefined;
+  if (engine.holdsAdapter) return base;
+  if (!engine.canOrderLoads) return undefined;
   if (engine.isLoading) return base + REMAINING_LOAD_MILLISECONDS;
   const offPreferencePenalty = Math.min(rank, 3) * OFF_PREFERENCE_LOAD_PENALTY;
-  const fullPenalty = engine.room > 0 ? 0 : FULL_ENGINE_PENALTY;
+  const fullPenalty = engine.availableSlots > 0 ? 0 : FULL_ENGINE_PENALTY;
   return base + LOAD_MILLISECONDS + offPreferencePenalty + fullPenalty;
 }
--- a/packages/core/src/relay/engine_claims.ts
+++ b/packages/core/src/relay/engine_claims.ts
@@ -32,10 +32,10 @@
  * Permission to order an engine: the fencing number, and the time from which it
  * is valid.
  */
-export interface OrderRight {
+export interface OrderPermission {
   readonly fence: FencingNumber;
   /** Before this time, orders of an earlier owner may still arrive. */
-  readonly from: Instant;
+  readonly validFrom: Instant;
 }
 
 /** The state of the cluster from which claims are decided. */
@@ -49,7 +49,7 @@
   /** Those of `nodes` that may claim an engine without an owner. */
   readonly candidates: readonly NodeId[];
   /** Nodes that have announced that they stop, and send no more orders. */
-  readonly left: ReadonlySet<NodeId>;
+  readonly stoppedNodes: ReadonlySet<NodeId>;
 }
 
 /** The identity of a node in claims. */
@@ -120,12 +120,12 @@
    * @returns The permission, or `undefined` if another node owns the engine or
    * the engine has refused this node's fencing number.
    */
-  right(engine: BackendServerId): OrderRight | undefined {
+  orderPermission(engine: BackendServerId): OrderPermission | undefined {
     const claim = this.#claims.get(engine);
     if (claim === undefined || !this.#isOwn(claim)) return undefined;
     const fence = fencingNumber(claim.offset + 1);
     if (this.#refusedFences.get(engine) === fence) return undefined;
-    return { fence, from: later(claim.seenAt, claim.wait) };
+    return { fence, validFrom: later(claim.seenAt, claim.wait) };
   }
 
   /**
@@ -134,7 +134,7 @@
    * @param engine The engine.
    * @param fence The refused fencing number.
    */
-  refuse(engine: BackendServerId, fence: FencingNumber): void {
+  recordRefusal(engine: BackendServerId, fence: FencingNumber): void {
     this.#refusedFences.set(engine, fence);
   }
 
@@ -144,7 +144,7 @@
    * @param view The engines and nodes that are present.
    * @returns The engines.
    */
-  wanted(now: Instant, view: ClusterView): readonly BackendServerId[] {
+  enginesToClaim(now: Instant, view: ClusterView): readonly BackendServerId[] {
     return view.engines.filter((engine) =>
       this.#isClaimable(now, engine, view) &&
       rendezvousChoice(engine, view.candidates) === this.#self.id
@@ -179,7 +179,9 @@
    * @returns The engines, which may be claimed without waiting for news from
    * others.
    */
-  abandoned(engines: readonly BackendServerId[]): readonly BackendServerId[] {
+  enginesToReclaim(
+    engines: readonly BackendServerId[],
+  ): readonly BackendServerId[] {
     return engines.filter((engine) => {
       const claim = this.#claims.get(engine);
       return claim?.owner === this.#self.id && !this.#isOwn(claim);
@@ -189,12 +191,12 @@
   #isClaimable(
     now: Instant,
     engine: BackendServerId,
-    { nodes, left }: ClusterView,
+    { nodes, stoppedNodes: left }: ClusterView,
   ): boolean {
     const claim = this.#claims.get(engine);
     if (claim === undefined) return true;
     if (claim.owner === this.#self.id) {
-      return !this.#isOwn(claim) || this.right(engine) === undefined;
+      return !this.#isOwn(claim) || this.orderPermission(engine) === undefined;
     }
     if (nodes.includes(claim.owner)) return false;
     if (left.has(claim.owner)) return true;
--- a/packages/core/src/relay/engine_occupancy.ts
+++ b/packages/core/src/relay/engine_occupancy.ts
@@ -42,7 +42,7 @@
   /**
    * The delay of a further request due to the running ones, in milliseconds.
    */
-  get crowding(): number {
+  get contentionDelay(): number {
     return CONTENTION_FACTOR * this.#running ** 2;
   }
 }
--- a/packages/core/src/relay/engine_slots.ts
+++ b/packages/core/src/relay/engine_slots.ts
@@ -43,7 +43,7 @@
   /** @param limits The engine's limits. */
   constructor(limits: SlotLimits) {
     this.#limits = limits;
-    this.#loadTimes = new LoadTimes(limits.kept);
+    this.#loadTimes = new LoadTimes(limits.cachedAdapters);
   }
 
   /** The adapters that occupy a slot. */
@@ -60,7 +60,7 @@
   }
 
   /** The number of adapters that are requested and not yet ordered. */
-  get waiting(): number {
+  get pendingLoads(): number {
     return this.#requests.size;
   }
 
@@ -79,7 +79,7 @@
    * @param held The adapters that the engine holds, with versions.
    * @param loading The adapters that are being loaded.
    */
-  reported(
+  applyReport(
     now: Instant,
     held: readonly (AdapterName & { readonly version: number })[],
     loading: readonly AdapterName[],
@@ -97,7 +97,7 @@
    * @returns The version in use, or `undefined` if the request has to wait for
    * it.
    */
-  use(
+  acquire(
     now: Instant,
     name: AdapterName,
     minimumVersion: number,
@@ -126,7 +126,7 @@
    * @param name The adapter.
    * @param minimumVersion The oldest version allowed.
    */
-  want(now: Instant, name: AdapterName, minimumVersion: number): void {
+  requestLoad(now: Instant, name: AdapterName, minimumVersion: number): void {
     this.#requests.add(now, name, minimumVersion);
   }
 
@@ -134,7 +134,7 @@
    * Cancels the request for an adapter that nobody waits for any longer.
    * @param name The adapter.
    */
-  forgetWish(name: AdapterName): void {
+  cancelLoadRequest(name: AdapterName): void {
     this.#requests.delete(name);
   }
 
@@ -145,12 +145,12 @@
    * @param name The adapter.
    * @returns Whether it could be loaded.
    */
-  canTake(now: Instant, name: AdapterName): boolean {
+  canLoad(now: Instant, name: AdapterName): boolean {
     const slot = this.find(name);
     if (slot !== undefined) {
       return slot.state !== "leaving" && slot.useCount === 0;
     }
-    return this.room(now) > 0;
+    return this.availableSlots(now) > 0;
   }
 
   /**
@@ -168,7 +168,7 @@
    * @returns The order, or `undefined` if none is useful or possible now.
    */
   nextOrder(now: Instant): SlotOrder | undefined {
-    if (this.#loadingCount() >= this.#limits.transfers) return undefined;
+    if (this.#loadingCount() >= this.#limits.concurrentLoads) return undefined;
     const request = this.#requests.all.find((one) =>
       this.#canOrderLoad(now, one)
     );
@@ -190,7 +190,7 @@
    * @param order The order.
    * @param answer The engine's answer.
    */
-  answered(now: Instant, order: SlotOrder, answer: OrderAnswer): void {
+  applyAnswer(now: Instant, order: SlotOrder, answer: OrderAnswer): void {
     if (order.kind === "unload") {
       this.#applyUnloadAnswer(now, order.name, answer);
     } else {
@@ -203,7 +203,7 @@
    * @param now The present time.
    * @param name The adapter.
    */
-  loaded(now: Instant, name: AdapterName): void {
+  markLoaded(now: Instant, name: AdapterName): void {
     const slot = this.find(name);
     if (slot?.state !== "loading") return;
     this.#loadTimes.markLoaded(name);
@@ -219,7 +219,7 @@
    * Finds the load that should have completed first.
    * @returns The adapter and the time to check it, or `undefined`.
    */
-  nextCheck(): LoadCheck | undefined {
+  nextLoadCheck(): LoadCheck | undefined {
     return this.#loadTimes.nextCheck(this.slots);
   }
 
@@ -229,7 +229,7 @@
    * @param name The adapter.
    * @param delay The time until the next check.
    */
-  checkAgain(now: Instant, name: AdapterName, delay: Duration): void {
+  postponeLoadCheck(now: Instant, name: AdapterName, delay: Duration): void {
     this.#loadTimes.postponeCheck(name, later(now, delay));
   }
 
@@ -239,7 +239,7 @@
    * @param now The present time.
    * @returns The count.
    */
-  room(now: Instant): number {
+  availableSlots(now: Instant): number {
     const evictable =
       this.slots.filter((one) => this.#isEvictable(now, one)).length;
     const free = this.#usableSlots - this.#table.size;
--- a/packages/core/src/relay/engine_start.ts
+++ b/packages/core/src/relay/engine_start.ts
@@ -43,7 +43,7 @@
    * @param start The start, if any.
    * @returns Whether the engine has restarted.
    */
-  registered(start: ServerStart | undefined): boolean {
+  applyRegistered(start: ServerStart | undefined): boolean {
     const previous = this.#registered;
     this.#registered = start ?? previous;
     if (previous !== undefined && !isOtherStart(previous, start)) return false;
@@ -62,7 +62,7 @@
    * @param start The start, if any.
    * @returns How it relates to the current start.
    */
-  reported(start: ServerStart | undefined): ReportOutcome {
+  applyReported(start: ServerStart | undefined): ReportOutcome {
     if (!isOtherStart(this.#current, start)) {
       this.#change(start ?? this.#current);
       return "current";
--- a/packages/core/src/relay/event_splitter.ts
+++ b/packages/core/src/relay/event_splitter.ts
@@ -16,7 +16,7 @@
   #remainder: Buffer = Buffer.alloc(0);
 
   /** The bytes of an incomplete event. */
-  get rest(): Buffer {
+  get remainder(): Buffer {
     return this.#remainder;
   }
 
--- a/packages/core/src/relay/log_read_pacing.ts
+++ b/packages/core/src/relay/log_read_pacing.ts
@@ -18,7 +18,7 @@
  * @param readers The number of nodes that read the log.
  * @returns The pause; 0 in a small cluster.
  */
-export function gatheringPause(readers: number): Duration {
+export function batchingPause(readers: number): Duration {
   return milliseconds(
     BATCHING_MILLISECONDS_PER_READER * Math.max(0, readers - UNPACED_READERS),
   );
@@ -30,7 +30,7 @@
  * @param readers The number of nodes that read the log.
  * @returns Whether there are many readers.
  */
-export function isCrowded(readers: number): boolean {
+export function hasManyReaders(readers: number): boolean {
   return readers > UNPACED_READERS;
 }
 
@@ -41,8 +41,13 @@
  * @param readers The number of nodes that read the log.
  * @returns The pause; 0 in a small cluster, whose nodes wait for records.
  */
-export function pauseOfTold(pause: Duration, readers: number): Duration {
-  return isCrowded(readers) ? sharedPause(pause, readers) : milliseconds(0);
+export function notifiedReaderPause(
+  pause: Duration,
+  readers: number,
+): Duration {
+  return hasManyReaders(readers)
+    ? scaledPause(pause, readers)
+    : milliseconds(0);
 }
 
 /** The pause between calls while the log fails them and few nodes read it. */
@@ -64,7 +69,7 @@
   isProbing: boolean,
 ): Duration {
   if (failures <= 1) return milliseconds(0);
-  return isProbing ? FAILURE_PAUSE : sharedPause(FAILURE_PAUSE, readers);
+  return isProbing ? FAILURE_PAUSE : scaledPause(FAILURE_PAUSE, readers);
 }
 
 /**
@@ -74,6 +79,6 @@
  * @param readers The number of nodes that read the log.
  * @returns The interval.
  */
-export function sharedPause(pause: Duration, readers: number): Duration {
+export function scaledPause(pause: Duration, readers: number): Duration {
   return milliseconds(pause * Math.max(1, readers / UNPACED_READERS));
 }
--- a/packages/core/src/relay/node_retry_budget.ts
+++ b/packages/core/src/relay/node_retry_budget.ts
@@ -4,9 +4,9 @@
  * The retries that all nodes together may send beyond the first attempt of each
  * request.
  */
-export interface RetryTerms {
+export interface RetryBudgetLimits {
   /** Retries allowed per request in the window. */
-  readonly share: number;
+  readonly retriesPerRequest: number;
   /** Retries allowed per window beside the share, over all nodes. */
   readonly reserve: number;
   readonly window: Duration;
@@ -27,13 +27,13 @@
  * Limits one node's retries to a service. The share grows with the node's own
  * requests; the reserve is split evenly among the nodes.
  */
-export class RetryAllowance {
-  readonly #limits: RetryTerms;
+export class NodeRetryBudget {
+  readonly #limits: RetryBudgetLimits;
   readonly #requests: Instant[] = [];
   readonly #retries: Instant[] = [];
 
   /** @param limits The limits for all nodes together. */
-  constructor(limits: RetryTerms) {
+  constructor(limits: RetryBudgetLimits) {
     this.#limits = limits;
   }
 
@@ -41,7 +41,7 @@
    * Records a request.
    * @param now The present time.
    */
-  earn(now: Instant): void {
+  recordRequest(now: Instant): void {
     this.#dropExpired(now);
     this.#requests.push(now);
   }
@@ -52,9 +52,10 @@
    * @param nodes The number of nodes that share the reserve, at least 1.
    * @returns Whether the retry is allowed.
    */
-  take(now: Instant, nodes: number): boolean {
+  tryTake(now: Instant, nodes: number): boolean {
     this.#dropExpired(now);
-    const { share, reserve, reserveFrom = now } = this.#limits;
+    const { retriesPerRequest: share, reserve, reserveFrom = now } =
+      this.#limits;
     const reservePart = now >= reserveFrom ? reserve / nodes : 0;
     const allowed = share * this.#requests.length + reservePart;
     if (this.#retries.length + 1 > allowed * SAFETY_FACTOR) return false;
--- a/packages/core/src/relay/prefill_queue.ts
+++ b/packages/core/src/relay/prefill_queue.ts
@@ -49,9 +49,9 @@
 /** A prompt queued for prefill. */
 export interface PrefillTerms {
   /** How long the engine takes to prefill it. */
-  readonly reading: Duration;
+  readonly prefillTime: Duration;
   /** When its first event is due. */
-  readonly wantedBy: Instant;
+  readonly deadline: Instant;
   /** Whether the prefill of earlier prompts has to be finished first. */
   readonly needsBreak: boolean;
 }
@@ -66,7 +66,7 @@
  * on an engine 1.3 times slower 1.1% in place of 9.5%, and 3.5% in place of
  * 2.0% (20 generated half minutes, `npm run bench:reading`).
  */
-export class ReadingQueue<Entry> {
+export class PrefillQueue<Entry> {
   readonly #waiting = new Map<Entry, PrefillTerms>();
   #prefillEndsAt = 0;
 
@@ -104,7 +104,7 @@
     if (at === undefined || at > now) return undefined;
     const first = this.#firstWithoutBreak ?? this.#mostUrgent(now);
     if (first === undefined) return undefined;
-    const [entry, { reading, needsBreak }] = first;
+    const [entry, { prefillTime: reading, needsBreak }] = first;
     this.#waiting.delete(entry);
     const share = needsBreak ? PREFILL_SHARE : 1;
     this.#prefillEndsAt = Math.max(now, this.#prefillEndsAt) + reading / share;
@@ -128,7 +128,9 @@
    */
   wait(now: Instant): Duration {
     let queued = 0;
-    for (const { reading } of this.#waiting.values()) queued += reading;
+    for (const { prefillTime: reading } of this.#waiting.values()) {
+      queued += reading;
+    }
     const ahead = Math.max(0, this.#prefillEndsAt - now);
     return milliseconds(ahead + queued / PREFILL_SHARE);
   }
@@ -141,7 +143,7 @@
     let mostUrgent: [Entry, PrefillTerms] | undefined;
     let lowestRank = Infinity;
     for (const [entry, terms] of this.#waiting) {
-      const slack = terms.wantedBy - now - terms.reading;
+      const slack = terms.deadline - now - terms.prefillTime;
       // Late prompts stay in order of arrival.
       const rank = slack >= 0 ? slack : Number.MAX_VALUE;
       if (mostUrgent !== undefined && rank >= lowestRank) continue;
--- a/packages/core/src/relay/prefill_time_model.ts
+++ b/packages/core/src/relay/prefill_time_model.ts
@@ -87,8 +87,8 @@
    * @param tokens The size of its prompt.
    * @param took The time from the send to its first event.
    */
-  learn(tokens: number, took: Duration): void {
-    const expected = this.startTime + this.time(tokens);
+  observe(tokens: number, took: Duration): void {
+    const expected = this.startTime + this.estimate(tokens);
     const boundedTime = Math.min(took, expected + MAXIMUM_EXCESS_MILLISECONDS);
     this.#observed = add(
       scale(this.#observed, DECAY_FACTOR),
@@ -102,7 +102,7 @@
    * @param tokens The size of the prompt.
    * @returns The time.
    */
-  time(tokens: number): Duration {
+  estimate(tokens: number): Duration {
     return milliseconds(tokens * this.tokenTime);
   }
 }
--- a/packages/core/src/relay/recent_refusals.ts
+++ b/packages/core/src/relay/recent_refusals.ts
@@ -17,7 +17,7 @@
  * the same full engines repeatedly, and the calls of a few hundred requests
  * cost their owners more than the requests that are served.
  */
-export class RefusalMemory {
+export class RecentRefusals {
   readonly #refusedAt = new Map<BackendServerId, Instant>();
 
   /**
@@ -25,7 +25,7 @@
    * @param now The present time.
    * @param engine The engine.
    */
-  refused(now: Instant, engine: BackendServerId): void {
+  recordRefusal(now: Instant, engine: BackendServerId): void {
     this.#refusedAt.set(engine, now);
   }
 
--- a/packages/core/src/relay/relay_configuration.ts
+++ b/packages/core/src/relay/relay_configuration.ts
@@ -40,7 +40,7 @@
 }
 
 /** The capacity of a service's engines. */
-export interface EngineTerms {
+export interface EngineSpecification {
   readonly models: readonly EngineModel[];
   /** Memory for base models and adapters together. */
   readonly megabytes: number;
@@ -53,7 +53,7 @@
   /** Connections that one server accepts from all nodes together. */
   readonly connectionLimit: number;
   /** Set if the servers are model engines. */
-  readonly engine?: EngineTerms;
+  readonly engine?: EngineSpecification;
 }
 
 /** Limits on the size and duration of callers' requests. */
--- a/packages/core/src/relay/report_trigger.ts
+++ b/packages/core/src/relay/report_trigger.ts
@@ -3,7 +3,7 @@
 /**
  * Delay before a report is read after a conflict: reports lag by some 100 ms.
  */
-export const REPORT_LAG = milliseconds(250);
+export const REPORT_DELAY = milliseconds(250);
 /**
  * Misses within this time of the last one trigger no further report, since many
  * requests may miss at once.
@@ -18,7 +18,7 @@
  * Decides when an engine's owner no longer trusts its own state and asks the
  * engine for a report.
  */
-export class ReportDoubt {
+export class ReportTrigger {
   #consecutiveConflicts = 0;
   #lastMissAt: Instant | undefined;
   #dueAt: Instant | undefined;
@@ -27,7 +27,7 @@
    * The time before which a report may lack the latest orders; `undefined` if
    * no report is due.
    */
-  get askFrom(): Instant | undefined {
+  get dueAt(): Instant | undefined {
     return this.#dueAt;
   }
 
@@ -35,12 +35,12 @@
    * Schedules a report.
    * @param now The present time.
    */
-  ask(now: Instant): void {
-    this.#dueAt = later(now, REPORT_LAG);
+  schedule(now: Instant): void {
+    this.#dueAt = later(now, REPORT_DELAY);
   }
 
   /** Records that an answer or a report agreed with the known state. */
-  agreed(): void {
+  recordAgreement(): void {
     this.#consecutiveConflicts = 0;
   }
 
@@ -48,7 +48,7 @@
    * Records a conflict.
    * @returns Whether to ask the engine for a report.
    */
-  conflicted(): boolean {
+  recordConflict(): boolean {
     this.#consecutiveConflicts += 1;
     return this.#consecutiveConflicts >= CONFLICTS_BEFORE_REPORT;
   }
@@ -58,7 +58,7 @@
    * @param now The present time.
    * @returns Whether to ask the engine for a report.
    */
-  missed(now: Instant): boolean {
+  recordMiss(now: Instant): boolean {
     const previous = this.#lastMissAt;
     if (
       previous !== undefined && elapsed(previous, now) < MISS_REPORT_INTERVAL
--- a/packages/core/src/relay/request_limit.ts
+++ b/packages/core/src/relay/request_limit.ts
@@ -45,7 +45,7 @@
  * @param terms The limit and the nodes.
  * @returns This node's share in requests per second; 0 if it may send none.
  */
-export function partOfLimit({ run, limit, self, nodes }: LimitTerms): number {
+export function shareOfLimit({ run, limit, self, nodes }: LimitTerms): number {
   const effectiveLimit = Math.max(MINIMUM_REQUESTS_PER_SECOND, limit);
   const sharerCount = MINIMUM_SHARERS +
     Math.floor(SHARERS_PER_REQUEST_PER_SECOND * effectiveLimit);
@@ -71,7 +71,7 @@
  * @returns The time, or `undefined` if this node may send requests to none of
  * them.
  */
-export function waitBehind(
+export function estimateQueueWait(
   servers: readonly LimitedServer[],
   requestsAhead: number,
 ): Duration | undefined {
@@ -86,7 +86,7 @@
  * A token bucket for one node's requests to a rate-limited server. It holds one
  * token at most and starts empty, so that no request is sent early.
  */
-export class RequestPace {
+export class RequestPacer {
   #tokens = 0;
   #refilledAt: Instant;
 
@@ -114,7 +114,7 @@
    * @param rate This node's share of the limit, in requests per second.
    * @returns Whether the request may be sent.
    */
-  take(now: Instant, rate: number): boolean {
+  tryTake(now: Instant, rate: number): boolean {
     this.#refill(now, rate);
     if (this.#tokens < 1) return false;
     this.#tokens -= 1;
@@ -122,7 +122,7 @@
   }
 
   /** Returns the token of a request that was not sent. */
-  giveBack(): void {
+  refund(): void {
     this.#tokens = 1;
   }
 
--- a/packages/core/src/relay/request_quarantine.ts
+++ b/packages/core/src/relay/request_quarantine.ts
@@ -10,7 +10,7 @@
 import {
   type CrashSuspicion,
   findCrashingContents,
-  suspectedRun,
+  suspectedRunKey,
   type SuspicionKey,
 } from "./crash_suspicion.ts";
 import { startKey } from "./start_history.ts";
@@ -53,7 +53,7 @@
   }
 
   /** The contents that are refused. */
-  get contents(): ReadonlySet<ContentDigest> {
+  get quarantinedContents(): ReadonlySet<ContentDigest> {
     this.#quarantined ??= findCrashingContents(
       [...this.#crashes.values()].map(({ suspects }) =>
         new Map([...suspects].map(([content, one]) => [content, one.ranFor]))
@@ -67,8 +67,8 @@
    * @param now The present time.
    * @param suspicion The suspicion.
    */
-  suspect(now: Instant, suspicion: CrashSuspicion): void {
-    const run = suspectedRun(suspicion);
+  addSuspicion(now: Instant, suspicion: CrashSuspicion): void {
+    const run = suspectedRunKey(suspicion);
     const crash = this.#crashes.get(run) ??
       { suspectedAt: now, suspects: new Map<ContentDigest, CrashSuspicion>() };
     const known = crash.suspects.get(suspicion.content);
@@ -86,8 +86,8 @@
    * Removes a suspicion.
    * @param key The suspicion's key.
    */
-  drop(key: SuspicionKey): void {
-    const run = suspectedRun(key);
+  dropSuspicion(key: SuspicionKey): void {
+    const run = suspectedRunKey(key);
     const crash = this.#crashes.get(run);
     if (crash?.suspects.delete(key.content) !== true) return;
     if (crash.suspects.size === 0) this.#crashes.delete(run);
@@ -98,15 +98,15 @@
    * Removes all suspicions except the given ones.
    * @param kept The suspicions to keep.
    */
-  retain(kept: readonly SuspicionKey[]): void {
+  retainOnly(kept: readonly SuspicionKey[]): void {
     const contents = new Map<string, Set<ContentDigest>>();
     for (const key of kept) {
-      const run = suspectedRun(key);
+      const run = suspectedRunKey(key);
       const known = contents.get(run) ?? new Set<ContentDigest>();
       contents.set(run, known.add(key.content));
     }
     this.#dropWhere((one) =>
-      contents.get(suspectedRun(one))?.has(one.content) !== true
+      contents.get(suspectedRunKey(one))?.has(one.content) !== true
     );
   }
 
@@ -116,7 +116,7 @@
    * @param content The content.
    * @returns The suspicions removed as a result.
    */
-  served(content: ContentDigest): readonly CrashSuspicion[] {
+  recordServed(content: ContentDigest): readonly CrashSuspicion[] {
     return this.#dropWhere((one) => one.content === content);
   }
 
@@ -127,7 +127,7 @@
    * @param start Its start, if known.
    * @returns The suspicions removed because the server is alive.
    */
-  serverWrote(
+  recordServerWrite(
     now: Instant,
     id: BackendServerId,
     start: ServerStart | undefined,
@@ -137,7 +137,7 @@
     if (crash === undefined) return [];
     crash.firstWriteAt ??= now;
     if (elapsed(crash.firstWriteAt, now) < MINIMUM_ALIVE_TIME) return [];
-    return this.#dropWhere((one) => suspectedRun(one) === run);
+    return this.#dropWhere((one) => suspectedRunKey(one) === run);
   }
 
   /**
@@ -146,7 +146,7 @@
    * @returns The removed suspicions.
    */
   expire(now: Instant): readonly CrashSuspicion[] {
-    const quarantined = this.contents;
+    const quarantined = this.quarantinedContents;
     const dropped: CrashSuspicion[] = [];
     for (const { suspectedAt, suspects } of this.#crashes.values()) {
       const age = elapsed(suspectedAt, now);
@@ -156,7 +156,7 @@
         if (!isQuarantined || age >= QUARANTINE_TIME) dropped.push(one);
       }
     }
-    for (const one of dropped) this.drop(one);
+    for (const one of dropped) this.dropSuspicion(one);
     return dropped;
   }
 
@@ -166,8 +166,8 @@
    * @param content The content.
    * @returns The remaining time, or `undefined` if it isn't refused.
    */
-  refusedFor(now: Instant, content: ContentDigest): Duration | undefined {
-    if (!this.contents.has(content)) return undefined;
+  remainingTime(now: Instant, content: ContentDigest): Duration | undefined {
+    if (!this.quarantinedContents.has(content)) return undefined;
     const ages = [...this.#crashes.values()]
       .filter(({ suspects }) => suspects.has(content))
       .map(({ suspectedAt }) => elapsed(suspectedAt, now));
@@ -179,7 +179,7 @@
   ): readonly CrashSuspicion[] {
     const dropped = [...this.#crashes.values()]
       .flatMap(({ suspects }) => [...suspects.values()].filter(isDropped));
-    for (const one of dropped) this.drop(one);
+    for (const one of dropped) this.dropSuspicion(one);
     return dropped;
   }
 }
--- a/packages/core/src/relay/request_urgency.ts
+++ b/packages/core/src/relay/request_urgency.ts
@@ -5,9 +5,9 @@
   /** The time within which its first event is due. */
   readonly target: Duration;
   /** The remaining part of the target, after earlier attempts. */
-  readonly left: Duration;
+  readonly remaining: Duration;
   /** How long the engine takes to prefill the prompt. */
-  readonly reading: Duration;
+  readonly prefillTime: Duration;
   /** The priority of its route; 0 is the most urgent. */
   readonly priority: number;
 }
@@ -27,7 +27,7 @@
  * @returns 0 to 9, where 0 is the most urgent.
  */
 export function requestUrgency(basis: UrgencyBasis): number {
-  const { target, left, reading, priority } = basis;
+  const { target, remaining: left, prefillTime: reading, priority } = basis;
   const slack = left - reading;
   if (slack < 0) return Math.min(LOWEST_URGENCY, LATE_URGENCY + priority);
   return Math.round(FULL_SLACK_URGENCY * slack / target);
--- a/packages/core/src/relay/server_load.ts
+++ b/packages/core/src/relay/server_load.ts
@@ -43,7 +43,7 @@
 /** One node's observations of one server. */
 export class ServerLoad {
   /** How fast it prefills prompts, if it is an engine. */
-  readonly pace = new PrefillTimeModel();
+  readonly prefillTimes = new PrefillTimeModel();
   #running = 0;
   #latency: number = INITIAL_LATENCY_MILLISECONDS;
   #failureRate = 0;
@@ -64,7 +64,7 @@
   }
 
   /** When bytes of any answer last arrived. */
-  get heardAt(): Instant | undefined {
+  get lastBytesAt(): Instant | undefined {
     return this.#lastBytesAt;
   }
 
@@ -72,7 +72,7 @@
    * Records the arrival of bytes of an answer.
    * @param now The present time.
    */
-  heard(now: Instant): void {
+  recordBytes(now: Instant): void {
     this.#lastBytesAt = now;
   }
 
@@ -96,7 +96,7 @@
    * @param now The present time.
    * @returns Milliseconds.
    */
-  excess(now: Instant): number {
+  decayedLatency(now: Instant): number {
     const idle = this.idleFor(now) ?? 0;
     return this.#latency * Math.exp((0 - idle) / LATENCY_DECAY_MILLISECONDS);
   }
@@ -105,7 +105,7 @@
    * Records a send.
    * @param now The present time.
    */
-  sent(now: Instant): void {
+  recordSend(now: Instant): void {
     this.#running += 1;
     this.#lastSentAt = now;
   }
@@ -115,7 +115,7 @@
    * @param now The present time.
    * @param result How it ended.
    */
-  ended(now: Instant, result: SendResult): void {
+  recordResult(now: Instant, result: SendResult): void {
     this.#running -= 1;
     switch (result.kind) {
       case "answered":
--- a/packages/core/src/relay/server_rate_limits.ts
+++ b/packages/core/src/relay/server_rate_limits.ts
@@ -10,7 +10,7 @@
 const FRESH_LIMIT_TIME = milliseconds(2_000);
 
 /** The limit that a run of a server named last, as exchanged between nodes. */
-export interface NamedLimit {
+export interface ServerRateLimit {
   /** Identifies the run of the server. */
   readonly run: string;
   /** Requests per second; omitted if the server no longer names a limit. */
@@ -30,7 +30,7 @@
  * rate that it accepts while many nodes go on sending as before, each of them a
  * part that looks small to it. Servers that name no limit cost nothing.
  */
-export class LimitMemory {
+export class ServerRateLimits {
   readonly #observed = new Map<string, ObservedLimit>();
   #peerLimits: ReadonlyMap<string, number> = new Map();
 
@@ -47,7 +47,7 @@
    * names, if any.
    * @returns Whether the server has started or stopped naming a limit.
    */
-  answered(
+  applyAnswer(
     now: Instant,
     run: string,
     { sentAt, limit }: {
@@ -71,7 +71,7 @@
    * @param now The present time.
    * @param peerLimits The limits.
    */
-  told(now: Instant, peerLimits: readonly NamedLimit[]): void {
+  applyPeerLimits(now: Instant, peerLimits: readonly ServerRateLimit[]): void {
     const limits = new Map<string, number>();
     for (const { run, limit } of peerLimits) {
       if (limit === undefined) this.#applyPeerEnded(now, run);
@@ -85,15 +85,15 @@
   }
 
   /** The server runs that have a limit. */
-  get runs(): ReadonlySet<string> {
-    const ownRuns = this.own.flatMap(({ run, limit }) =>
+  get limitedRuns(): ReadonlySet<string> {
+    const ownRuns = this.ownLimits.flatMap(({ run, limit }) =>
       limit === undefined ? [] : [run]
     );
     return new Set([...ownRuns, ...this.#peerLimits.keys()]);
   }
 
   /** The limits that this node has observed itself, for its peers. */
-  get own(): readonly NamedLimit[] {
+  get ownLimits(): readonly ServerRateLimit[] {
     return [...this.#observed].map(([run, { limit }]) => ({
       run,
       ...(limit === undefined ? {} : { limit }),
--- a/packages/core/src/relay/server_registry.ts
+++ b/packages/core/src/relay/server_registry.ts
@@ -96,7 +96,7 @@
    * Records that all changes up to an offset are known.
    * @param offset The offset.
    */
-  toldUntil(offset: LogOffset): void {
+  advanceChangedAt(offset: LogOffset): void {
     if (offset > this.#changedAt) this.#changedAt = offset;
   }
 
@@ -141,7 +141,7 @@
    * servers are alive.
    * @param now The present time.
    */
-  disturbed(now: Instant): void {
+  recordStoreFailure(now: Instant): void {
     this.#storeFailedAt = now;
   }
 
@@ -201,7 +201,7 @@
    * @param start The start that the request was sent to, if known; a later
    * start is kept.
    */
-  replaced(id: BackendServerId, start?: ServerStart): void {
+  removeReplaced(id: BackendServerId, start?: ServerStart): void {
     const known = this.#known.get(id);
     if (known === undefined) return;
     if (isOtherStart(known.server.start, start)) return;
@@ -234,7 +234,7 @@
     };
     const previous = this.#known.get(id)?.server;
     if (previous === undefined || !isRoutingEquivalent(previous, server)) {
-      this.toldUntil(offset);
+      this.advanceChangedAt(offset);
     }
     this.#gone.delete(id);
     this.#known.set(id, { offset, server });
@@ -283,7 +283,7 @@
 
   #removeServer(id: BackendServerId, offset: LogOffset): void {
     if (this.#known.delete(id)) this.#revision += 1;
-    this.toldUntil(offset);
+    this.advanceChangedAt(offset);
     this.#gone.delete(id);
     this.#gone.set(id, offset);
     for (const oldest of this.#gone.keys()) {
--- a/packages/core/src/relay/serving_set.ts
+++ b/packages/core/src/relay/serving_set.ts
@@ -89,7 +89,7 @@
  * @param candidates The nodes that are present.
  * @returns The nodes.
  */
-export function owningNodes(
+export function ownerCandidates(
   candidates: readonly ServingCandidate[],
 ): readonly NodeId[] {
   return requiredNodes(candidates.map((one) => ({ ...one, load: 0 })));
@@ -107,7 +107,7 @@
  * included.
  * @returns Whether it is included.
  */
-export function isNamedToCallers(
+export function isAdvertised(
   answeringNode: NodeId,
   node: Pick<ServingCandidate, "id" | "capacity">,
   strongestCapacity: number,
--- a/packages/core/src/relay/unanswered_loads.ts
+++ b/packages/core/src/relay/unanswered_loads.ts
@@ -23,7 +23,7 @@
  * carried out once the count reaches the expected value, and needs a free slot
  * then.
  */
-export class LateOrders {
+export class UnansweredLoads {
   #loads: readonly UnansweredLoad[] = [];
 
   /**
@@ -39,7 +39,7 @@
    * Adds the loads of another instance.
    * @param late The other instance.
    */
-  include(late: LateOrders): void {
+  merge(late: UnansweredLoads): void {
     this.#loads = [...this.#loads, ...late.#loads];
   }
 
@@ -51,7 +51,7 @@
    * @param count The number of orders that the engine has accepted.
    * @returns The number of slots to keep free.
    */
-  slots(now: Instant, count: number): number {
+  reservedSlots(now: Instant, count: number): number {
     this.#loads = this.#pending(now);
     const expected = this.#loads.map((order) => order.expected);
     return new Set(expected.filter((one) => one >= count)).size;
--- a/packages/core/src/residency/engine_residency.ts
+++ b/packages/core/src/residency/engine_residency.ts
@@ -10,13 +10,13 @@
 type MutableResidence = { -readonly [Key in keyof Residence]: Residence[Key] };
 
 /** The adapters that an engine reports. */
-export interface FoundResidences {
+export interface ReportedAdapters {
   readonly resident: readonly AdapterReference[];
   readonly loading: readonly AdapterReference[];
 }
 
 /** The adapters of an engine, read some time after a takeover. */
-export interface FoundState {
+export interface ObservedState {
   readonly resident: readonly AdapterKey[];
   readonly loading: readonly AdapterKey[];
   /** Adapters of requests that this controller did not dispatch. */
@@ -86,7 +86,7 @@
    * @param now The present time.
    * @param found The adapters reported by the engine.
    */
-  takeIn(now: Instant, found: FoundResidences): void {
+  adopt(now: Instant, found: ReportedAdapters): void {
     for (const adapter of found.resident) {
       this.#put(now, adapter, { state: "resident", unproven: true });
     }
@@ -110,7 +110,7 @@
    * @param state The engine's present state.
    * @returns The adapters that are gone, and those whose load has ended.
    */
-  compare(now: Instant, state: FoundState): Reconciliation {
+  reconcile(now: Instant, state: ObservedState): Reconciliation {
     const resident = new Set(state.resident);
     const loading = new Set(state.loading);
     const gone: AdapterKey[] = [];
@@ -119,7 +119,7 @@
       const { key } = residence;
       if (!residence.unproven || loading.has(key)) continue;
       if (!resident.has(key)) {
-        if (this.lose(key)) gone.push(key);
+        if (this.forget(key)) gone.push(key);
         continue;
       }
       if (residence.state === "loading") {
@@ -137,7 +137,7 @@
    * @returns Whether it was removed: known, not pinned, and without an own
    * load or eviction in progress.
    */
-  lose(key: AdapterKey): boolean {
+  forget(key: AdapterKey): boolean {
     const residence = this.#residences.get(key);
     if (residence === undefined || residence.pins > 0) return false;
     if (residence.state === "evicting") return false;
--- a/packages/core/src/residency/eviction_candidate.ts
+++ b/packages/core/src/residency/eviction_candidate.ts
@@ -4,7 +4,7 @@
 export interface EvictionCandidate {
   readonly residence: Residence;
   /** Waiting time that its absence adds per second, in multiples of targets. */
-  readonly loss: number;
+  readonly cost: number;
 }
 
 /**
@@ -14,7 +14,7 @@
  * @param costOf Estimates the cost of an adapter's absence.
  * @returns The candidate, or undefined if no adapter is idle.
  */
-export function chooseVictim(
+export function chooseEvictionCandidate(
   residences: Iterable<Residence>,
   costOf: (residence: Residence) => number,
 ): EvictionCandidate | undefined {
@@ -22,8 +22,8 @@
   for (const residence of residences) {
     if (!isIdle(residence)) continue;
     const cost = costOf(residence);
-    if (best === undefined || isCheaper({ residence, loss: cost }, best)) {
-      best = { residence, loss: cost };
+    if (best === undefined || isCheaper({ residence, cost }, best)) {
+      best = { residence, cost };
     }
   }
   return best;
@@ -33,6 +33,6 @@
   candidate: EvictionCandidate,
   best: EvictionCandidate,
 ): boolean {
-  if (candidate.loss !== best.loss) return candidate.loss < best.loss;
+  if (candidate.cost !== best.cost) return candidate.cost < best.cost;
   return candidate.residence.lastUsed < best.residence.lastUsed;
 }
--- a/packages/core/src/residency/load_backoff.ts
+++ b/packages/core/src/residency/load_backoff.ts
@@ -29,7 +29,7 @@
    * @param now The present time.
    * @param key The adapter.
    */
-  failed(now: Instant, key: AdapterKey): void {
+  recordFailure(now: Instant, key: AdapterKey): void {
     const adapter = nextBackoff(now, this.#adapters.get(key));
     this.#adapters.delete(key);
     this.#adapters.set(key, adapter);
@@ -44,7 +44,7 @@
    * Records a successful load.
    * @param key The adapter.
    */
-  succeeded(key: AdapterKey): void {
+  recordSuccess(key: AdapterKey): void {
     this.#adapters.delete(key);
     this.#engine = undefined;
   }
--- a/packages/core/src/service_routing/concurrency_limit.ts
+++ b/packages/core/src/service_routing/concurrency_limit.ts
@@ -24,7 +24,7 @@
 }
 
 /** Sets no limit. Serves as a baseline in benchmarks. */
-export class NoLimit extends ConcurrencyLimit {
+export class UnlimitedConcurrency extends ConcurrencyLimit {
   override get value(): number {
     return Number.POSITIVE_INFINITY;
   }
--- a/packages/core/src/service_routing/service_router.ts
+++ b/packages/core/src/service_routing/service_router.ts
@@ -29,7 +29,7 @@
   type ServiceOrder,
   type ServiceServerView,
 } from "./service_call.ts";
-import type { ServiceRouterParts } from "./service_router_options.ts";
+import type { ServiceRouterOptions } from "./service_router_options.ts";
 import type { ServiceServer } from "./service_server.ts";
 import { ServiceOrderQueue } from "./service_order_queue.ts";
 import { type CallTimeLimits, callTimeLimits } from "./call_time_limits.ts";
@@ -40,7 +40,7 @@
  * attempts, and refuses calls under overload.
  */
 export class ServiceRouter {
-  readonly #options: ServiceRouterParts;
+  readonly #options: ServiceRouterOptions;
   readonly #chooser: ServerChooser;
   readonly #servers: ServerSet;
   readonly #pendingCalls = new Map<RequestId, PendingCall>();
@@ -53,7 +53,7 @@
   #timeLimits: CallTimeLimits = callTimeLimits(undefined);
 
   /** @param options The service, this node's failure domain, and the policy. */
-  constructor(options: ServiceRouterParts) {
+  constructor(options: ServiceRouterOptions) {
     this.#options = options;
     this.#chooser = options.policy.chooser();
     this.#servers = new ServerSet(options.policy.limit);
@@ -158,7 +158,7 @@
    * Finds when to decide again if no event occurs before.
    * @returns The time, or undefined if no decision is pending.
    */
-  nextWake(): Instant | undefined {
+  nextDecisionAt(): Instant | undefined {
     const highLatency = this.#latencies.percentile95;
     const times: number[] = [];
     for (const call of this.#waiting) {
--- a/packages/core/src/service_routing/service_router_options.ts
+++ b/packages/core/src/service_routing/service_router_options.ts
@@ -6,7 +6,7 @@
 import type { ServicePolicy } from "./service_policy.ts";
 
 /** Options of a service router. */
-export interface ServiceRouterParts {
+export interface ServiceRouterOptions {
   readonly service: ServiceId;
   /** The failure domain of this node. */
   readonly failureDomain: FailureDomainId;
--- a/packages/core/src/serving/adapter_serving_policy.ts
+++ b/packages/core/src/serving/adapter_serving_policy.ts
@@ -1,4 +1,4 @@
-import { type LoadLimits, LoadPermitLedger } from "../loads/mod.ts";
+import { type LoadLimits, LoadPermitIssuer } from "../loads/mod.ts";
 import {
   AdapterRouter,
   DemandTracker,
@@ -14,7 +14,7 @@
   milliseconds,
   type RequestId,
 } from "../shared/mod.ts";
-import { AdapterValue } from "./adapter_value_estimator.ts";
+import { AdapterValueEstimator } from "./adapter_value_estimator.ts";
 import {
   affectsDecisions,
   type DeploymentEvent,
@@ -28,7 +28,7 @@
   QueuedRequest,
 } from "./engine_event.ts";
 import { LoadGrants } from "./load_grants.ts";
-import { PrefetchScout } from "./prefetch_planner.ts";
+import { PrefetchPlanner } from "./prefetch_planner.ts";
 
 /** The longest time to the next decision while requests wait. */
 const RECHECK_INTERVAL = milliseconds(50);
@@ -43,7 +43,7 @@
   readonly #demand = new DemandTracker();
   readonly #index = new ResidenceIndex();
   readonly #prefixes = new PrefixHistory();
-  readonly #ledger: LoadPermitLedger;
+  readonly #ledger: LoadPermitIssuer;
   readonly #router: AdapterRouter;
   readonly #loadGrants: LoadGrants;
   readonly #changedEngines = new Set<EngineId>();
@@ -54,7 +54,7 @@
   /** @param limits The load limits of the weight store. */
   constructor(limits: LoadLimits) {
     super();
-    this.#ledger = new LoadPermitLedger(limits);
+    this.#ledger = new LoadPermitIssuer(limits);
     const parts = {
       index: this.#index,
       prefixes: this.#prefixes,
@@ -62,10 +62,10 @@
       demand: this.#demand,
     };
     this.#router = new AdapterRouter(parts);
-    const value = new AdapterValue(parts);
+    const value = new AdapterValueEstimator(parts);
     this.#loadGrants = new LoadGrants({
       ledger: this.#ledger,
-      prefetchPlanner: new PrefetchScout({
+      prefetchPlanner: new PrefetchPlanner({
         ...parts,
         router: this.#router,
         value,
@@ -125,7 +125,7 @@
   }
 
   #onArrival(now: Instant, queued: QueuedRequest): void {
-    this.#demand.arrived(now, {
+    this.#demand.recordArrival(now, {
       key: adapterKey(queued.adapter),
       adapter: queued.adapter,
       target: queued.firstTokenTarget,
@@ -203,7 +203,7 @@
       this.#engineByRequest.delete(request);
     }
     this.#engines.delete(engine);
-    this.#ledger.forget(engine);
+    this.#ledger.removeEngine(engine);
     return waiting;
   }
 
@@ -226,7 +226,7 @@
     switch (event.kind) {
       case "load_ended": {
         const key = adapterKey(event.adapter);
-        this.#ledger.finished(now, { ...event, key });
+        this.#ledger.release(now, { ...event, key });
         controller.loadEnded(now, event);
         this.#loadGrants.markChanged(event.engine);
         break;
@@ -261,8 +261,9 @@
     event: Extract<DeploymentEvent, { readonly kind: "prefix_event" }>,
   ): void {
     const prefix = { key: adapterKey(event.adapter), hash: event.prefixHash };
-    if (event.change === "stored") this.#prefixes.stored(prefix, event.engine);
-    else this.#prefixes.evicted(prefix, event.engine);
+    if (event.change === "stored") {
+      this.#prefixes.recordStored(prefix, event.engine);
+    } else this.#prefixes.recordEvicted(prefix, event.engine);
   }
 
   #markDueGiveUps(now: Instant): void {
@@ -297,7 +298,7 @@
         this.#orders.push(decision);
         break;
       case "return_permit":
-        this.#ledger.finished(now, {
+        this.#ledger.release(now, {
           engine,
           key: adapterKey(decision.adapter),
           loaded: false,
--- a/packages/core/src/serving/adapter_value_estimator.ts
+++ b/packages/core/src/serving/adapter_value_estimator.ts
@@ -1,7 +1,7 @@
 import { type AdapterQueue, queueUrgency } from "../dispatch/mod.ts";
 import type {
   DemandTracker,
-  LoadOutlook,
+  LoadEstimates,
   ResidenceIndex,
 } from "../placement/mod.ts";
 import type { AdapterKey, Instant } from "../shared/mod.ts";
@@ -14,14 +14,14 @@
 export interface AdapterValueParts {
   readonly demand: DemandTracker;
   readonly index: ResidenceIndex;
-  readonly loads: LoadOutlook;
+  readonly loads: LoadEstimates;
 }
 
 /**
  * Estimates the value of an adapter to its callers: expected demand times
  * reload time times the tightness of the targets.
  */
-export class AdapterValue {
+export class AdapterValueEstimator {
   readonly #parts: AdapterValueParts;
 
   /** @param parts The data for the estimates. */
--- a/packages/core/src/serving/engine_controller.ts
+++ b/packages/core/src/serving/engine_controller.ts
@@ -1,6 +1,6 @@
 import type { EngineRequest } from "../dispatch/mod.ts";
 import type { LoadWish } from "../loads/mod.ts";
-import type { FoundResidences, FoundState } from "../residency/mod.ts";
+import type { ObservedState, ReportedAdapters } from "../residency/mod.ts";
 import {
   type AdapterKey,
   adapterKey,
@@ -41,15 +41,15 @@
    * @param now The present time.
    * @param engineState The state that the engine reported.
    */
-  takeIn(now: Instant, engineState: FoundResidences): void {
-    this.residency.takeIn(now, engineState);
+  adoptState(now: Instant, engineState: ReportedAdapters): void {
+    this.residency.adopt(now, engineState);
     for (const residence of this.residency.all) {
       this.#updateIndex(residence.key);
     }
   }
 
   /** Whether the engine has adapters that others may still use or load. */
-  get hasUnproven(): boolean {
+  get hasUnverifiedAdapters(): boolean {
     return this.residency.hasUnproven();
   }
 
@@ -58,8 +58,8 @@
    * @param now The present time.
    * @param state The engine's adapters, and those used by others' requests.
    */
-  found(now: Instant, state: FoundState): void {
-    const { gone, loaded } = this.residency.compare(now, state);
+  reconcile(now: Instant, state: ObservedState): void {
+    const { gone, loaded } = this.residency.reconcile(now, state);
     for (const key of loaded) this.engineRequests.unblock(now, key);
     for (const key of gone) this.engineRequests.block(now, key);
     for (const key of [...loaded, ...gone]) this.#updateIndex(key);
@@ -72,7 +72,7 @@
    */
   adapterMissing(now: Instant, adapter: AdapterReference): void {
     const key = adapterKey(adapter);
-    if (!this.residency.lose(key)) return;
+    if (!this.residency.forget(key)) return;
     this.engineRequests.block(now, key);
     this.#updateIndex(key);
   }
--- a/packages/core/src/serving/engine_controller_view.ts
+++ b/packages/core/src/serving/engine_controller_view.ts
@@ -2,15 +2,15 @@
   DispatchHistory,
   EngineRequests,
   EngineTimings,
-  TARGET_RATIO,
+  PREEMPTION_TARGET_RATIO,
 } from "../dispatch/mod.ts";
 import {
   type AdapterStanding,
+  type AdapterWithStanding,
   type EngineSummary,
   EngineView,
-  placeWait,
-  type StandingAdapter,
-  textHash,
+  expectedBatchWait,
+  hashText,
 } from "../placement/mod.ts";
 import { EngineResidency } from "../residency/mod.ts";
 import {
@@ -20,7 +20,7 @@
   type Instant,
 } from "../shared/mod.ts";
 import {
-  AdapterValue,
+  AdapterValueEstimator,
   type AdapterValueParts,
 } from "./adapter_value_estimator.ts";
 import type { EngineCapacity } from "./engine_event.ts";
@@ -63,14 +63,14 @@
   constructor(parts: EngineControllerParts) {
     super();
     this.engine = parts.engine;
-    this.hash = textHash(parts.engine);
+    this.hash = hashText(parts.engine);
     this.parts = parts;
     this.residency = new EngineResidency(parts.capacity.adapterSlots);
     this.planner = new LoadPlanner({
       engine: parts.engine,
       residency: this.residency,
       engineRequests: this.engineRequests,
-      value: new AdapterValue(parts),
+      value: new AdapterValueEstimator(parts),
     });
   }
 
@@ -116,11 +116,13 @@
     return this.engineRequests.blocked.has(key) ? "awaited" : "absent";
   }
 
-  override placeWait(_now: Instant, target: Duration): Duration {
-    return placeWait({
+  override batchWait(_now: Instant, target: Duration): Duration {
+    return expectedBatchWait({
       places: this.places(),
       running: this.engineRequests.running.size,
-      yielding: this.engineRequests.countRunningAtLeast(TARGET_RATIO * target),
+      preemptible: this.engineRequests.countRunningAtLeast(
+        PREEMPTION_TARGET_RATIO * target,
+      ),
       ahead: this.engineRequests.ready.countAhead(target),
       serviceTime: this.timings.serviceTime,
     });
@@ -130,7 +132,7 @@
     return this.residency.freeSlots > 0 || this.residency.hasIdle();
   }
 
-  override roomLoss(now: Instant): number {
+  override evictionCost(now: Instant): number {
     return this.planner.roomLoss(now);
   }
 
@@ -163,8 +165,8 @@
    * Lists the adapters that are in slots or awaited.
    * @returns The adapters, with a limited number of awaited ones.
    */
-  standings(): readonly StandingAdapter[] {
-    const standings = new Map<AdapterKey, StandingAdapter>();
+  standings(): readonly AdapterWithStanding[] {
+    const standings = new Map<AdapterKey, AdapterWithStanding>();
     for (const { key, adapter } of this.residency.all) {
       standings.set(key, { key, adapter, standing: this.standing(key) });
     }
--- a/packages/core/src/serving/load_grants.ts
+++ b/packages/core/src/serving/load_grants.ts
@@ -1,4 +1,4 @@
-import type { LoadPermitLedger } from "../loads/mod.ts";
+import type { LoadPermitIssuer } from "../loads/mod.ts";
 import {
   CLOCK_START,
   type EngineId,
@@ -7,7 +7,7 @@
   milliseconds,
 } from "../shared/mod.ts";
 import type { EngineController } from "./engine_controller.ts";
-import type { PrefetchScout } from "./prefetch_planner.ts";
+import type { PrefetchPlanner } from "./prefetch_planner.ts";
 
 /**
  * How often wishes are refreshed if no request, load or eviction changes them.
@@ -16,8 +16,8 @@
 
 /** The dependencies of {@link LoadGrants}. */
 export interface LoadGrantsParts {
-  readonly ledger: LoadPermitLedger;
-  readonly prefetchPlanner: PrefetchScout;
+  readonly ledger: LoadPermitIssuer;
+  readonly prefetchPlanner: PrefetchPlanner;
   readonly engines: ReadonlyMap<EngineId, EngineController>;
 }
 
@@ -47,14 +47,14 @@
    * @returns The engines that received a permit.
    */
   grant(now: Instant): ReadonlySet<EngineId> {
-    if (!this.#parts.ledger.hasRoom(now)) return new Set();
+    if (!this.#parts.ledger.canGrant(now)) return new Set();
     this.#offerWishes(now);
     return this.#usePermits(now);
   }
 
   #offerWishes(now: Instant): void {
     const { engines, ledger, prefetchPlanner } = this.#parts;
-    prefetchPlanner.look(now, engines);
+    prefetchPlanner.update(now, engines);
     if (now >= this.#nextRefreshAt) {
       this.#nextRefreshAt = later(now, WISH_REFRESH_INTERVAL);
       for (const engine of engines.keys()) this.#changedEngines.add(engine);
@@ -62,7 +62,7 @@
     for (const engine of this.#changedEngines) {
       const wishes = engines.get(engine)
         ?.wishes(now, prefetchPlanner.candidates(now, engine));
-      if (wishes !== undefined) ledger.offer(now, engine, wishes);
+      if (wishes !== undefined) ledger.setWishes(now, engine, wishes);
     }
     this.#changedEngines.clear();
   }
@@ -75,7 +75,7 @@
       if (permit === undefined) return granted;
       const { engine, adapter } = permit;
       const isUsed = engines.get(engine)?.usePermit(now, adapter) ?? false;
-      if (!isUsed) ledger.finished(now, { ...permit, loaded: false });
+      if (!isUsed) ledger.release(now, { ...permit, loaded: false });
       granted.add(engine);
       this.#changedEngines.add(engine);
     }
--- a/packages/core/src/serving/load_planner.ts
+++ b/packages/core/src/serving/load_planner.ts
@@ -2,7 +2,7 @@
 import type { EngineRequests } from "../dispatch/engine_requests.ts";
 import type { LoadWish } from "../loads/mod.ts";
 import {
-  chooseVictim,
+  chooseEvictionCandidate,
   type EngineResidency,
   type EvictionCandidate,
   LoadBackoff,
@@ -13,7 +13,7 @@
   type EngineId,
   type Instant,
 } from "../shared/mod.ts";
-import type { AdapterValue } from "./adapter_value_estimator.ts";
+import type { AdapterValueEstimator } from "./adapter_value_estimator.ts";
 import type { EngineDecision } from "./engine_event.ts";
 
 /** The maximum number of wishes that are offered at once. */
@@ -36,7 +36,7 @@
   readonly engine: EngineId;
   readonly residency: EngineResidency;
   readonly engineRequests: EngineRequests;
-  readonly value: AdapterValue;
+  readonly value: AdapterValueEstimator;
 }
 
 interface LoadStart {
@@ -79,7 +79,7 @@
    */
   roomLoss(now: Instant): number {
     if (this.#freeSlots() > 0) return 0;
-    return this.#chooseVictim(now)?.loss ?? Infinity;
+    return this.#chooseVictim(now)?.cost ?? Infinity;
   }
 
   /**
@@ -159,8 +159,8 @@
    * @param loaded Whether the adapter is now resident.
    */
   loadEnded(now: Instant, key: AdapterKey, loaded: boolean): void {
-    if (loaded) this.#backoff.succeeded(key);
-    else this.#backoff.failed(now, key);
+    if (loaded) this.#backoff.recordSuccess(key);
+    else this.#backoff.recordFailure(now, key);
   }
 
   /**
@@ -206,7 +206,7 @@
 
   #chooseVictim(now: Instant): EvictionCandidate | undefined {
     const { residency, engineRequests, value } = this.#parts;
-    return chooseVictim(
+    return chooseEvictionCandidate(
       residency.all,
       (residence) =>
         value.evictionLoss(
@@ -261,8 +261,8 @@
 
 function minimumUrgency(wish: LoadWish, victim: EvictionCandidate): number {
   return wish.purpose === "prefetch"
-    ? MINIMUM_PREFETCH_RATIO * victim.loss
-    : victim.loss;
+    ? MINIMUM_PREFETCH_RATIO * victim.cost
+    : victim.cost;
 }
 
 function keepMostUrgent(wishes: LoadWish[], wish: LoadWish): void {
--- a/packages/core/src/serving/prefetch_planner.ts
+++ b/packages/core/src/serving/prefetch_planner.ts
@@ -6,7 +6,7 @@
   ResidenceIndex,
 } from "../placement/mod.ts";
 import type { AdapterKey, EngineId, Instant } from "../shared/mod.ts";
-import type { AdapterValue } from "./adapter_value_estimator.ts";
+import type { AdapterValueEstimator } from "./adapter_value_estimator.ts";
 import type { PrefetchCandidate } from "./load_planner.ts";
 
 /** The maximum number of candidates per engine. */
@@ -23,7 +23,7 @@
   readonly demand: DemandTracker;
   readonly index: ResidenceIndex;
   readonly router: AdapterRouter;
-  readonly value: AdapterValue;
+  readonly value: AdapterValueEstimator;
 }
 
 /**
@@ -32,7 +32,7 @@
  * since the last update, so that the cost does not grow with the number of
  * adapters.
  */
-export class PrefetchScout {
+export class PrefetchPlanner {
   readonly #parts: PrefetchPlannerParts;
   readonly #candidates = new Map<EngineId, PrefetchCandidate[]>();
 
@@ -46,8 +46,8 @@
    * @param now The present time.
    * @param views The engines.
    */
-  look(now: Instant, views: ReadonlyMap<EngineId, EngineView>): void {
-    this.#parts.demand.visitAsked((key, demand) => {
+  update(now: Instant, views: ReadonlyMap<EngineId, EngineView>): void {
+    this.#parts.demand.visitRecentlyRequested((key, demand) => {
       this.#consider(now, { key, demand, views });
     });
   }
--- a/packages/core/src/serving/request_dispatcher.ts
+++ b/packages/core/src/serving/request_dispatcher.ts
@@ -3,7 +3,7 @@
   type DispatchHistory,
   type EngineRequest,
   type EngineRequests,
-  TARGET_RATIO,
+  PREEMPTION_TARGET_RATIO,
 } from "../dispatch/mod.ts";
 import type { EngineResidency } from "../residency/mod.ts";
 import { elapsed, type Instant, milliseconds } from "../shared/mod.ts";
@@ -69,7 +69,7 @@
     now: Instant,
     urgent: EngineRequest,
   ): EngineRequest | undefined {
-    const minimumTarget = TARGET_RATIO * urgent.target;
+    const minimumTarget = PREEMPTION_TARGET_RATIO * urgent.target;
     if (this.#parts.engineRequests.countRunningAtLeast(minimumTarget) === 0) {
       return undefined;
     }
--- a/packages/core/tests/delivery/keys_test.ts
+++ b/packages/core/tests/delivery/keys_test.ts
@@ -119,7 +119,7 @@
 
 test("the claim with the lowest offset wins", (t) => {
   const index = new ClaimIndex(milliseconds(1_000));
-  index.readFrom(logOffset(0));
+  index.noteFirstKept(logOffset(0));
   index.apply(NOW, logOffset(0), { id: "r1", claims: [claimOf("1")] });
   index.apply(NOW, logOffset(1), { id: "r2", claims: [claimOf("2")] });
   index.apply(NOW, logOffset(0), { id: "r0", claims: [claimOf("0")] });
@@ -129,7 +129,7 @@
 
 test("an epoch below the retained claims is too old", (t) => {
   const index = new ClaimIndex(milliseconds(1_000));
-  index.readFrom(logOffset(0));
+  index.noteFirstKept(logOffset(0));
   index.apply(NOW, logOffset(0), { id: "r1", claims: [claimOf("1")] });
   t.is(index.checkEpoch(logOffset(0)), "covered");
   t.is(index.checkEpoch(logOffset(9)), "ahead");
--- a/packages/core/tests/delivery/request_delivery_test.ts
+++ b/packages/core/tests/delivery/request_delivery_test.ts
@@ -79,7 +79,7 @@
   delivery.start();
   delivery.handle(NOW, failed(1));
   t.deepEqual(delivery.handle(NOW, frame(1, 0)), []);
-  t.is(delivery.dropped.late, 1);
+  t.is(delivery.droppedFrames.late, 1);
 });
 
 test("foreign, repeated and misordered frames are dropped and counted", (t) => {
@@ -89,7 +89,7 @@
   delivery.handle(NOW, frame(1, 0));
   delivery.handle(NOW, frame(1, 0));
   delivery.handle(NOW, frame(1, 6));
-  t.deepEqual(delivery.dropped, {
+  t.deepEqual(delivery.droppedFrames, {
     late: 0,
     foreign: 1,
     repeated: 1,
--- a/packages/core/tests/placement/adapter_router_test.ts
+++ b/packages/core/tests/placement/adapter_router_test.ts
@@ -9,7 +9,7 @@
   type EngineSummary,
   type EngineView,
   instant,
-  LoadPermitLedger,
+  LoadPermitIssuer,
   milliseconds,
   PrefixHistory,
   type QueuedRequest,
@@ -72,7 +72,7 @@
   const router = new AdapterRouter({
     index,
     prefixes: new PrefixHistory(),
-    loads: new LoadPermitLedger(LIMITS),
+    loads: new LoadPermitIssuer(LIMITS),
   });
   function hold(id: string, name: string): void {
     const adapter = reference(name);
@@ -157,8 +157,8 @@
 test("requests sent since the last summary count as waiting", (t) => {
   const { views } = deployment([summary("a", { running: 4 })]);
   const view = views.get(engineId("a"));
-  const before = view?.placeWait(NOW, milliseconds(1_000)) ?? 0;
-  view?.sent(adapterKey(reference("notes")));
-  t.true((view?.placeWait(NOW, milliseconds(1_000)) ?? 0) > before);
+  const before = view?.batchWait(NOW, milliseconds(1_000)) ?? 0;
+  view?.recordSent(adapterKey(reference("notes")));
+  t.true((view?.batchWait(NOW, milliseconds(1_000)) ?? 0) > before);
   t.is(view?.standing(adapterKey(reference("notes"))), "awaited");
 });
--- a/packages/core/tests/relay/engine_choice_test.ts
+++ b/packages/core/tests/relay/engine_choice_test.ts
@@ -4,7 +4,7 @@
   type EngineState,
   milliseconds,
   modelId,
-  orderEngines,
+  rankEngines,
   rendezvousOrder,
 } from "@foxtailwind/core";
 import test from "ava";
@@ -22,67 +22,72 @@
 ): readonly EngineState[] {
   return IDS.map((id) => ({
     id,
-    wait: 0,
-    reading: milliseconds(30),
+    expectedWait: 0,
+    prefillTime: milliseconds(30),
     running: 0,
-    isOrderable: true,
-    room: 5,
-    holds: false,
+    canOrderLoads: true,
+    availableSlots: 5,
+    holdsAdapter: false,
     isLoading: false,
     ...change(ORDER.indexOf(id)),
   }));
 }
 
 test("an adapter that no engine holds is loaded on its first preference", (t) => {
-  t.is(orderEngines(USE, engines())[0], ORDER[0]);
+  t.is(rankEngines(USE, engines())[0], ORDER[0]);
 });
 
 test("an engine that holds the adapter is preferred to a load elsewhere", (t) => {
-  const choice = orderEngines(USE, engines((rank) => ({ holds: rank === 3 })));
+  const choice = rankEngines(
+    USE,
+    engines((rank) => ({ holdsAdapter: rank === 3 })),
+  );
   t.is(choice[0], ORDER[3]);
 });
 
 test("a load elsewhere is preferred to a holder with a long queue", (t) => {
-  const choice = orderEngines(
+  const choice = rankEngines(
     USE,
-    engines((rank) => rank === 0 ? { holds: true, wait: 900 } : {}),
+    engines((rank) =>
+      rank === 0 ? { holdsAdapter: true, expectedWait: 900 } : {}
+    ),
   );
   t.is(choice[0], ORDER[1]);
 });
 
 test("a full engine ranks last for a load", (t) => {
-  const choice = orderEngines(
+  const choice = rankEngines(
     USE,
-    engines((rank) => ({ room: rank === 0 ? 0 : 5 })),
+    engines((rank) => ({ availableSlots: rank === 0 ? 0 : 5 })),
   );
   t.is(choice[0], ORDER[1]);
   t.is(choice.at(-1), ORDER[0]);
 });
 
 test("engines without an owner are chosen only if they hold the adapter", (t) => {
-  const choice = orderEngines(
+  const choice = rankEngines(
     USE,
-    engines((rank) => ({ isOrderable: false, holds: rank === 2 })),
+    engines((rank) => ({ canOrderLoads: false, holdsAdapter: rank === 2 })),
   );
   t.deepEqual(choice, [ORDER[2]]);
 });
 
 test("a request for the base model goes to the engine with the shortest wait", (t) => {
-  const choice = orderEngines(
+  const choice = rankEngines(
     { model: modelId("m"), promptTokens: 600 },
-    engines((rank) => ({ wait: rank === 2 ? 1 : 50 })),
+    engines((rank) => ({ expectedWait: rank === 2 ? 1 : 50 })),
   );
   t.is(choice[0], ORDER[2]);
 });
 
 test("a long prompt avoids a busy engine sooner than a short one", (t) => {
   const states = engines((rank) => ({
-    holds: rank < 2,
+    holdsAdapter: rank < 2,
     running: rank === 0 ? 30 : 5,
-    wait: rank === 0 ? 0 : 60,
+    expectedWait: rank === 0 ? 0 : 60,
   }));
   const choose = (promptTokens: number) =>
-    orderEngines({ ...USE, promptTokens }, states)[0];
+    rankEngines({ ...USE, promptTokens }, states)[0];
   t.is(choose(600), ORDER[0]);
   t.is(choose(9_000), ORDER[1]);
 });
--- a/packages/core/tests/relay/engine_claims_test.ts
+++ b/packages/core/tests/relay/engine_claims_test.ts
@@ -40,11 +40,11 @@
 
 test("exactly one of the present nodes claims an unclaimed engine", (t) => {
   const claiming = NODES.filter((node) =>
-    claims(node).wanted(instant(0), {
+    claims(node).enginesToClaim(instant(0), {
       engines: [ENGINE],
       nodes: NODES,
       candidates: NODES,
-      left: NOBODY,
+      stoppedNodes: NOBODY,
     })
       .length > 0
   );
@@ -54,17 +54,17 @@
 test("a first owner may send orders at once, a later one after the lease", (t) => {
   const first = claims();
   first.apply(claim(FIRST, 7));
-  t.deepEqual(first.right(ENGINE), { fence: 8, from: 0 } as never);
+  t.deepEqual(first.orderPermission(ENGINE), { fence: 8, from: 0 } as never);
   const second = claims(SECOND);
   second.apply(claim(SECOND, 9, LEASE, 500));
-  t.is(second.right(ENGINE)?.from, instant(3_500));
+  t.is(second.orderPermission(ENGINE)?.validFrom, instant(3_500));
 });
 
 test("a claim by another node ends the permission to send orders", (t) => {
   const first = claims();
   first.apply(claim(FIRST, 7));
   first.apply(claim(SECOND, 9, LEASE));
-  t.is(first.right(ENGINE), undefined);
+  t.is(first.orderPermission(ENGINE), undefined);
   t.is(first.owner(ENGINE), SECOND);
   first.apply(claim(FIRST, 7));
   t.is(first.owner(ENGINE), SECOND, "An older claim changes nothing.");
@@ -73,25 +73,25 @@
 test("a restarted node may not use its earlier run's claim and claims again", (t) => {
   const restarted = claims(FIRST, "run-2");
   restarted.apply(claim(FIRST, 7));
-  t.is(restarted.right(ENGINE), undefined);
+  t.is(restarted.orderPermission(ENGINE), undefined);
   const view: ClusterView = {
     engines: [ENGINE],
     nodes: NODES,
     candidates: NODES,
-    left: NOBODY,
+    stoppedNodes: NOBODY,
   };
-  t.deepEqual(restarted.wanted(instant(0), view), [ENGINE]);
+  t.deepEqual(restarted.enginesToClaim(instant(0), view), [ENGINE]);
 });
 
 test("a fencing number that an engine refused is not used again", (t) => {
   const first = claims();
   first.apply(claim(FIRST, 7));
-  const right = first.right(ENGINE);
+  const right = first.orderPermission(ENGINE);
   t.truthy(right);
-  if (right !== undefined) first.refuse(ENGINE, right.fence);
-  t.is(first.right(ENGINE), undefined);
+  if (right !== undefined) first.recordRefusal(ENGINE, right.fence);
+  t.is(first.orderPermission(ENGINE), undefined);
   first.apply(claim(FIRST, 12, LEASE));
-  t.is(first.right(ENGINE)?.fence, 13 as never);
+  t.is(first.orderPermission(ENGINE)?.fence, 13 as never);
 });
 
 test("an engine is claimed from a silent owner only after the minimum tenure", (t) => {
@@ -102,16 +102,16 @@
     engines: [ENGINE],
     nodes: others,
     candidates: others,
-    left: NOBODY,
+    stoppedNodes: NOBODY,
   };
-  t.deepEqual(second.wanted(instant(6_000), view), []);
-  t.deepEqual(second.wanted(instant(7_000), view), [ENGINE]);
+  t.deepEqual(second.enginesToClaim(instant(6_000), view), []);
+  t.deepEqual(second.enginesToClaim(instant(7_000), view), [ENGINE]);
   t.deepEqual(
-    second.wanted(instant(7_000), {
+    second.enginesToClaim(instant(7_000), {
       engines: [ENGINE],
       nodes: NODES,
       candidates: NODES,
-      left: NOBODY,
+      stoppedNodes: NOBODY,
     }),
     [],
   );
@@ -123,11 +123,11 @@
   const left = new Set(FIRST === undefined ? [] : [FIRST]);
   const nodes = NODES.filter((node) => node !== FIRST);
   t.deepEqual(
-    second.wanted(instant(1_001), {
+    second.enginesToClaim(instant(1_001), {
       engines: [ENGINE],
       nodes,
       candidates: nodes,
-      left,
+      stoppedNodes: left,
     }),
     [ENGINE],
   );
@@ -138,10 +138,10 @@
 test("a restarted node waits only if another node has owned the engine since", (t) => {
   const restarted = claims(FIRST, "run-2");
   restarted.apply(claim(FIRST, 7));
-  t.deepEqual(restarted.abandoned([ENGINE]), [ENGINE]);
+  t.deepEqual(restarted.enginesToReclaim([ENGINE]), [ENGINE]);
   t.is(restarted.waitAfterClaim(ENGINE, NOBODY), milliseconds(0));
   restarted.apply(claim(SECOND, 9, LEASE));
-  t.deepEqual(restarted.abandoned([ENGINE]), []);
+  t.deepEqual(restarted.enginesToReclaim([ENGINE]), []);
   t.is(restarted.waitAfterClaim(ENGINE, NOBODY), LEASE);
 });
 
@@ -150,11 +150,11 @@
     engines: [ENGINE],
     nodes: NODES,
     candidates: NODES.filter((node) => node !== FIRST),
-    left: NOBODY,
+    stoppedNodes: NOBODY,
   };
-  t.deepEqual(claims(FIRST).wanted(instant(0), unowned), []);
-  t.deepEqual(claims(SECOND).wanted(instant(0), unowned), [ENGINE]);
+  t.deepEqual(claims(FIRST).enginesToClaim(instant(0), unowned), []);
+  t.deepEqual(claims(SECOND).enginesToClaim(instant(0), unowned), [ENGINE]);
   const second = claims(SECOND);
   second.apply(claim(FIRST, 7));
-  t.deepEqual(second.wanted(instant(60_000), unowned), []);
+  t.deepEqual(second.enginesToClaim(instant(60_000), unowned), []);
 });
--- a/packages/core/tests/relay/engine_slots_test.ts
+++ b/packages/core/tests/relay/engine_slots_test.ts
@@ -16,7 +16,11 @@
 }
 
 function slots(count = 2): EngineSlots {
-  return new EngineSlots({ slots: count, transfers: 4, kept: 10 });
+  return new EngineSlots({
+    slots: count,
+    concurrentLoads: 4,
+    cachedAdapters: 10,
+  });
 }
 
 function load(
@@ -25,24 +29,24 @@
   at: number,
   version = 0,
 ): void {
-  engine.want(instant(at), name(adapter), version);
+  engine.requestLoad(instant(at), name(adapter), version);
   const order = engine.nextOrder(instant(at));
   if (order?.kind !== "load") {
     throw new Error(`no load: ${JSON.stringify(order)}`);
   }
-  engine.answered(instant(at), order, "accepted");
-  engine.loaded(instant(at), name(adapter));
+  engine.applyAnswer(instant(at), order, "accepted");
+  engine.markLoaded(instant(at), name(adapter));
 }
 
 test("the least recently used idle adapter is evicted, never one in use", (t) => {
   const engine = slots();
   load(engine, "a", 0);
   load(engine, "b", 10);
-  engine.use(instant(20), name("a"), 0);
-  engine.want(instant(30), name("c"), 0);
+  engine.acquire(instant(20), name("a"), 0);
+  engine.requestLoad(instant(30), name("c"), 0);
   const order = engine.nextOrder(instant(30));
   t.deepEqual([order?.kind, order?.name.adapter], ["unload", adapterId("b")]);
-  engine.use(instant(40), name("b"), 0);
+  engine.acquire(instant(40), name("b"), 0);
   t.is(engine.nextOrder(instant(50)), undefined, "Both are in use.");
 });
 
@@ -50,10 +54,10 @@
   const engine = slots();
   load(engine, "a", 0);
   load(engine, "b", 10);
-  engine.want(instant(20), name("c"), 0);
+  engine.requestLoad(instant(20), name("c"), 0);
   const first = engine.nextOrder(instant(20));
   if (first === undefined) throw new Error("no order");
-  engine.answered(instant(20), first, "conflict");
+  engine.applyAnswer(instant(20), first, "conflict");
   t.is(engine.slots.length, 2);
   t.is(engine.nextOrder(instant(21))?.name.adapter, adapterId("b"));
 });
@@ -62,10 +66,10 @@
   const engine = slots();
   load(engine, "a", 0);
   load(engine, "b", 10);
-  engine.want(instant(20), name("c"), 0);
+  engine.requestLoad(instant(20), name("c"), 0);
   const first = engine.nextOrder(instant(20));
   if (first === undefined) throw new Error("no order");
-  engine.answered(instant(20), first, "accepted");
+  engine.applyAnswer(instant(20), first, "accepted");
   t.is(engine.nextOrder(instant(21))?.name.adapter, adapterId("b"));
   t.deepEqual(engine.nextOrder(instant(400))?.name.adapter, adapterId("a"));
 });
@@ -73,17 +77,17 @@
 test("a newer required version replaces the resident one once it is idle", (t) => {
   const engine = slots();
   load(engine, "a", 0);
-  t.is(engine.use(instant(1), name("a"), 0), 0);
-  t.is(engine.use(instant(2), name("a"), 3), undefined);
-  engine.want(instant(2), name("a"), 3);
+  t.is(engine.acquire(instant(1), name("a"), 0), 0);
+  t.is(engine.acquire(instant(2), name("a"), 3), undefined);
+  engine.requestLoad(instant(2), name("a"), 3);
   t.is(engine.nextOrder(instant(2)), undefined, "A request still uses it.");
   engine.release(instant(5), name("a"));
   const order = engine.nextOrder(instant(5));
   t.deepEqual(order?.kind === "load" ? order.version : undefined, 3);
   if (order === undefined) return;
-  engine.answered(instant(5), order, "accepted");
-  engine.loaded(instant(9), name("a"));
-  t.is(engine.use(instant(10), name("a"), 3), 3);
+  engine.applyAnswer(instant(5), order, "accepted");
+  engine.markLoaded(instant(9), name("a"));
+  t.is(engine.acquire(instant(10), name("a"), 3), 3);
 });
 
 test("a recently held adapter has a shorter load time than others", (t) => {
@@ -111,10 +115,10 @@
       for (const { adapter, act, answer } of steps) {
         now += 37;
         const at = instant(now);
-        if (act === "want") engine.want(at, name(adapter), 0);
-        if (act === "use") engine.use(at, name(adapter), 0);
+        if (act === "want") engine.requestLoad(at, name(adapter), 0);
+        if (act === "use") engine.acquire(at, name(adapter), 0);
         if (act === "release") engine.release(at, name(adapter));
-        if (act === "loaded") engine.loaded(at, name(adapter));
+        if (act === "loaded") engine.markLoaded(at, name(adapter));
         if (act === "order") orderOnce(engine, now, answer);
         t.true(engine.slots.length <= 3);
       }
@@ -129,5 +133,5 @@
   answer: OrderAnswer,
 ): void {
   const order: SlotOrder | undefined = engine.nextOrder(instant(now));
-  if (order !== undefined) engine.answered(instant(now), order, answer);
+  if (order !== undefined) engine.applyAnswer(instant(now), order, answer);
 }
--- a/packages/core/tests/relay/event_splitter_test.ts
+++ b/packages/core/tests/relay/event_splitter_test.ts
@@ -20,7 +20,7 @@
   const splitter = new EventSplitter();
   const events = splitter.push(Buffer.from("id: 1\ndata: a\n\nid: 2\nda"));
   t.deepEqual(events.map((event) => event.id), ["1"]);
-  t.is(splitter.rest.toString(), "id: 2\nda");
+  t.is(splitter.remainder.toString(), "id: 2\nda");
   splitter.reset();
   t.deepEqual(
     splitter.push(Buffer.from("id: 2\ndata: b\n\n")).map((event) => event.id),
--- a/packages/core/tests/relay/log_read_pacing_test.ts
+++ b/packages/core/tests/relay/log_read_pacing_test.ts
@@ -1,23 +1,23 @@
 import {
-  gatheringPause,
-  isCrowded,
+  batchingPause,
+  hasManyReaders,
   milliseconds,
+  notifiedReaderPause,
   pauseAfterFailures,
-  pauseOfTold,
-  sharedPause,
+  scaledPause,
 } from "@foxtailwind/core";
 import test from "ava";
 
 test("few readers are not paced", (t) => {
-  t.is(gatheringPause(9), milliseconds(0));
-  t.is(sharedPause(milliseconds(650), 9), milliseconds(650));
-  t.false(isCrowded(9));
-  t.is(pauseOfTold(milliseconds(1_000), 9), milliseconds(0));
+  t.is(batchingPause(9), milliseconds(0));
+  t.is(scaledPause(milliseconds(650), 9), milliseconds(650));
+  t.false(hasManyReaders(9));
+  t.is(notifiedReaderPause(milliseconds(1_000), 9), milliseconds(0));
 });
 
 /** Total reads while each reader writes one record within a duration. */
 function totalReads(readers: number, duration: number): number {
-  const pause = gatheringPause(readers);
+  const pause = batchingPause(readers);
   const recordInterval = duration / readers;
   return readers * Math.ceil(duration / Math.max(pause, recordInterval));
 }
@@ -28,13 +28,13 @@
 });
 
 test("many readers together read as often as twelve", (t) => {
-  const readsASecond = 61 * 1_000 / sharedPause(milliseconds(650), 61);
+  const readsASecond = 61 * 1_000 / scaledPause(milliseconds(650), 61);
   t.true(Math.abs(readsASecond - 12 * 1_000 / 650) < 0.1);
 });
 
 test("61 notified readers together read twelve times a second, whatever the record rate", (t) => {
-  t.true(isCrowded(61));
-  const pause = pauseOfTold(milliseconds(1_000), 61);
+  t.true(hasManyReaders(61));
+  const pause = notifiedReaderPause(milliseconds(1_000), 61);
   t.true(Math.abs(61 * 1_000 / pause - 12) < 0.1);
 });
 
--- a/packages/core/tests/relay/node_retry_budget_test.ts
+++ b/packages/core/tests/relay/node_retry_budget_test.ts
@@ -1,13 +1,13 @@
 import {
   instant,
   milliseconds,
-  RetryAllowance,
-  type RetryTerms,
+  NodeRetryBudget,
+  type RetryBudgetLimits,
 } from "@foxtailwind/core";
 import test from "ava";
 
-const TERMS: RetryTerms = {
-  share: 0.2,
+const TERMS: RetryBudgetLimits = {
+  retriesPerRequest: 0.2,
   reserve: 58,
   window: milliseconds(10_000),
 };
@@ -16,15 +16,15 @@
   const nodes = 9;
   const budgets = Array.from(
     { length: nodes },
-    () => new RetryAllowance(TERMS),
+    () => new NodeRetryBudget(TERMS),
   );
   const retries: number[] = [];
   let requests = 0;
   for (let now = 0; now < 30_000; now += 10) {
     const budget = budgets[(now / 10) % nodes];
-    budget?.earn(instant(now));
+    budget?.recordRequest(instant(now));
     if (now < 10_000) requests += 1;
-    if (budget?.take(instant(now), nodes) === true) retries.push(now);
+    if (budget?.tryTake(instant(now), nodes) === true) retries.push(now);
   }
   for (const start of retries) {
     const inWindow = retries.filter((at) => at >= start && at < start + 10_000);
@@ -33,23 +33,23 @@
 });
 
 test("a node without requests may use its part of the reserve", (t) => {
-  const budget = new RetryAllowance(TERMS);
+  const budget = new NodeRetryBudget(TERMS);
   let taken = 0;
-  while (budget.take(instant(0), 9)) taken += 1;
+  while (budget.tryTake(instant(0), 9)) taken += 1;
   t.is(taken, 5);
 });
 
 test("nodes that are killed together and restart within a window stay within the bound", (t) => {
   const nodes = 9;
   const retries: number[] = [];
-  const takeAll = (budgets: readonly RetryAllowance[], now: number) => {
+  const takeAll = (budgets: readonly NodeRetryBudget[], now: number) => {
     for (const budget of budgets) {
-      while (budget.take(instant(now), nodes)) retries.push(now);
+      while (budget.tryTake(instant(now), nodes)) retries.push(now);
     }
   };
   const run = (startedAt: number) =>
     Array.from({ length: nodes }, () =>
-      new RetryAllowance({
+      new NodeRetryBudget({
         ...TERMS,
         reserveFrom: instant(startedAt + TERMS.window),
       }));
--- a/packages/core/tests/relay/prefill_queue_test.ts
+++ b/packages/core/tests/relay/prefill_queue_test.ts
@@ -16,8 +16,8 @@
   instant,
   milliseconds,
   needsBreaks,
+  PrefillQueue,
   type PrefillTerms,
-  ReadingQueue,
 } from "@foxtailwind/core";
 import test from "ava";
 
@@ -48,14 +48,14 @@
   needsBreak = true,
 ): PrefillTerms {
   return {
-    reading: milliseconds(reading),
-    wantedBy: instant(wantedBy),
+    prefillTime: milliseconds(reading),
+    deadline: instant(wantedBy),
     needsBreak,
   };
 }
 
 test("the prompt with the least slack goes first, and late ones last in order of arrival", (t) => {
-  const queue = new ReadingQueue<string>();
+  const queue = new PrefillQueue<string>();
   const add = (name: string, wantedBy: number) => {
     queue.add(name, prompt(50, wantedBy));
   };
@@ -71,7 +71,7 @@
 });
 
 test("an idle engine prefills at once, and the next prompt waits for the previous one", (t) => {
-  const queue = new ReadingQueue<string>();
+  const queue = new PrefillQueue<string>();
   const terms = prompt(100, 2_000);
   queue.add("a", terms);
   queue.add("b", terms);
@@ -85,7 +85,7 @@
 });
 
 test("a removed prompt is not prefilled", (t) => {
-  const queue = new ReadingQueue<string>();
+  const queue = new PrefillQueue<string>();
   queue.add("a", prompt(9, 9));
   t.true(queue.delete("a"));
   t.is(queue.next(instant(0)), undefined);
@@ -93,7 +93,7 @@
 });
 
 test("prompts that need no break are granted at once, and count towards the wait", (t) => {
-  const queue = new ReadingQueue<string>();
+  const queue = new PrefillQueue<string>();
   const terms = prompt(100, 2_000, false);
   queue.add("a", terms);
   queue.add("b", terms);
--- a/packages/core/tests/relay/prefill_time_model_test.ts
+++ b/packages/core/tests/relay/prefill_time_model_test.ts
@@ -18,7 +18,7 @@
       const model = new PrefillTimeModel();
       for (const { tokens } of drawPrompts(0.3, seed).slice(0, 100)) {
         const waited = random.happens(0.3) ? 120 * random.next() : 0;
-        model.learn(tokens, milliseconds(30 + waited + tokenTime * tokens));
+        model.observe(tokens, milliseconds(30 + waited + tokenTime * tokens));
       }
       const ratio = model.tokenTime / tokenTime;
       t.true(ratio > MINIMUM_RATIO, `seed ${seed}: ${ratio}`);
@@ -30,14 +30,14 @@
 test("an answer delayed by queueing hardly counts", (t) => {
   const model = new PrefillTimeModel();
   const before = model.tokenTime;
-  model.learn(2_000, milliseconds(5_000));
+  model.observe(2_000, milliseconds(5_000));
   t.true(model.tokenTime < 1.1 * before);
 });
 
 test("prompts of one size keep the prior for other sizes", (t) => {
   const model = new PrefillTimeModel();
   for (let count = 0; count < 5_000; count += 1) {
-    model.learn(10, milliseconds(30));
+    model.observe(10, milliseconds(30));
   }
   t.true(model.tokenTime > 0.04 && model.tokenTime < 0.07);
 });
--- a/packages/core/tests/relay/request_urgency_test.ts
+++ b/packages/core/tests/relay/request_urgency_test.ts
@@ -4,8 +4,8 @@
 function urgency(waited: number, promptTokens: number, priority = 0): number {
   return requestUrgency({
     target: milliseconds(1_000),
-    left: milliseconds(1_000 - waited),
-    reading: milliseconds(promptTokens / 20),
+    remaining: milliseconds(1_000 - waited),
+    prefillTime: milliseconds(promptTokens / 20),
     priority,
   });
 }
--- a/packages/core/tests/relay/server_load_test.ts
+++ b/packages/core/tests/relay/server_load_test.ts
@@ -12,10 +12,10 @@
 function send(
   load: ServerLoad,
   now: number,
-  result: Parameters<ServerLoad["ended"]>[1],
+  result: Parameters<ServerLoad["recordResult"]>[1],
 ): void {
-  load.sent(instant(now));
-  load.ended(instant(now), result);
+  load.recordSend(instant(now));
+  load.recordResult(instant(now), result);
 }
 
 test("a server is excluded after two silences, for longer each time", (t) => {
@@ -47,9 +47,9 @@
   const far = { server: "far", load: new ServerLoad(), isNear: false };
   const servers: LoadedServer<string>[] = [far, near];
   t.is(chooseServer(instant(0), servers, 0.1), "near");
-  near.load.sent(instant(0));
+  near.load.recordSend(instant(0));
   t.is(chooseServer(instant(0), servers, 0.1), "far");
-  far.load.sent(instant(0));
+  far.load.recordSend(instant(0));
   t.is(chooseServer(instant(0), servers, 0.9), "near");
 });
 
@@ -67,7 +67,7 @@
   for (let now = 0; now < 1_000; now += 50) {
     send(load, now, { kind: "answered", took: milliseconds(900) });
   }
-  const slow = load.excess(instant(1_000));
+  const slow = load.decayedLatency(instant(1_000));
   t.true(slow > 500);
-  t.true(load.excess(instant(8_000)) < slow / 5);
+  t.true(load.decayedLatency(instant(8_000)) < slow / 5);
 });
--- a/packages/core/tests/relay/server_registry_test.ts
+++ b/packages/core/tests/relay/server_registry_test.ts
@@ -72,10 +72,10 @@
 test("entries that vanish around failed store calls are kept until they could have come back", (t) => {
   const registry = new ServerRegistry();
   for (const id of ["a", "b", "c"]) registry.apply(instant(0), present(id, 1));
-  registry.disturbed(instant(1_000));
+  registry.recordStoreFailure(instant(1_000));
   registry.apply(instant(1_200), gone("a", 2));
   t.deepEqual(ids(registry), ["a", "b", "c"]);
-  registry.disturbed(instant(3_000));
+  registry.recordStoreFailure(instant(3_000));
   registry.expire(instant(5_000));
   t.deepEqual(ids(registry), ["a", "b", "c"], "2 s after the last failure");
   registry.expire(instant(5_600));
@@ -109,7 +109,7 @@
 test("a server whose address another one uses is removed, also for older entries that follow", (t) => {
   const registry = new ServerRegistry();
   registry.apply(instant(0), present("a", 5));
-  registry.replaced(backendServerId("a"));
+  registry.removeReplaced(backendServerId("a"));
   t.deepEqual(ids(registry), []);
   registry.apply(instant(1), present("a", 4));
   t.deepEqual(ids(registry), []);
@@ -141,7 +141,7 @@
 test("a server that vanishes after failed calls is kept until a fixed time after the last one", (t) => {
   const registry = new ServerRegistry();
   for (const id of ["a", "b", "c"]) registry.apply(instant(0), present(id, 1));
-  registry.disturbed(instant(1_000));
+  registry.recordStoreFailure(instant(1_000));
   registry.apply(instant(1_900), gone("a", 2));
   registry.expire(instant(2_700));
   t.deepEqual(ids(registry), ["a", "b", "c"]);
@@ -256,16 +256,16 @@
   const id = backendServerId("a");
   registry.apply(instant(0), present("a", 1, false, 10));
   registry.apply(instant(1), present("a", 2, false, 20));
-  registry.replaced(id, serverStart(10));
+  registry.removeReplaced(id, serverStart(10));
   t.is(registry.find(id)?.start, serverStart(20));
-  registry.replaced(id, serverStart(20));
+  registry.removeReplaced(id, serverStart(20));
   t.is(registry.find(id), undefined);
 });
 
 test("servers with unreadable entries are removed at once, even several together or around failed calls, until their entries are readable", (t) => {
   const registry = new ServerRegistry();
   for (const id of ["a", "b", "c"]) registry.apply(instant(0), present(id, 1));
-  registry.disturbed(instant(1_000));
+  registry.recordStoreFailure(instant(1_000));
   registry.apply(instant(1_100), unreadable("a", 2));
   registry.apply(instant(1_100), unreadable("b", 3));
   t.deepEqual(ids(registry), ["c"]);
@@ -295,7 +295,7 @@
   const registry = new ServerRegistry();
   const id = backendServerId("a");
   registry.apply(instant(0), present("a", 1));
-  registry.disturbed(instant(10));
+  registry.recordStoreFailure(instant(10));
   registry.apply(instant(20), gone("a", 3));
   t.false(registry.find(id)?.leaving, "Its entry may merely have lapsed.");
   const before = registry.revision;
--- a/packages/core/tests/relay/serving_set_test.ts
+++ b/packages/core/tests/relay/serving_set_test.ts
@@ -1,9 +1,9 @@
 import {
   failureDomainId,
   instant,
-  isNamedToCallers,
+  isAdvertised,
   nodeId,
-  owningNodes,
+  ownerCandidates,
   requiredNodes,
   type ServingCandidate,
   ServingSet,
@@ -124,7 +124,7 @@
   const strong = { id: nodeId("strong"), capacity: STRONG };
   const answering = Array.from({ length: 1_000 }, (_, n) => nodeId(`n${n}`));
   const named = (node: typeof weak) =>
-    answering.filter((id) => isNamedToCallers(id, node, STRONG)).length;
+    answering.filter((id) => isAdvertised(id, node, STRONG)).length;
   t.is(named(strong), 1_000);
   t.true(Math.abs(named(weak) / 1_000 - WEAK / STRONG) < 0.05);
   t.is(named(weak), named(weak), "A node always gives the same answer.");
@@ -134,5 +134,5 @@
   const calm = nodes(61, 3, 2);
   const busy = nodes(61, 3, 2, () => 1);
   t.is(requiredNodes(busy).length, 61);
-  t.deepEqual(owningNodes(busy), requiredNodes(calm));
+  t.deepEqual(ownerCandidates(busy), requiredNodes(calm));
 });
--- a/packages/core/tests/residency/engine_residency_test.ts
+++ b/packages/core/tests/residency/engine_residency_test.ts
@@ -55,14 +55,14 @@
 
 test("an adapter found at a takeover is not evicted until proven idle", (t) => {
   const residency = new EngineResidency(2);
-  residency.takeIn(NOW, { resident: [NOTES], loading: [] });
+  residency.adopt(NOW, { resident: [NOTES], loading: [] });
   t.throws(() => {
     residency.startEviction(NOW, KEY);
   }, { instanceOf: InvariantViolation });
   const state = { resident: [KEY], loading: [], inUse: new Set([KEY]) };
-  residency.compare(NOW, state);
+  residency.reconcile(NOW, state);
   t.true(residency.hasUnproven());
-  residency.compare(NOW, { ...state, inUse: new Set() });
+  residency.reconcile(NOW, { ...state, inUse: new Set() });
   t.false(residency.hasUnproven());
   t.notThrows(() => {
     residency.startEviction(NOW, KEY);
@@ -71,11 +71,11 @@
 
 test("a load found in progress ends when reported resident", (t) => {
   const residency = new EngineResidency(2);
-  residency.takeIn(NOW, { resident: [], loading: [NOTES] });
+  residency.adopt(NOW, { resident: [], loading: [NOTES] });
   const inUse = new Set<typeof KEY>();
   const loading = { resident: [], loading: [KEY], inUse };
-  t.deepEqual(residency.compare(NOW, loading).loaded, []);
+  t.deepEqual(residency.reconcile(NOW, loading).loaded, []);
   const ended = { resident: [KEY], loading: [], inUse };
-  t.deepEqual(residency.compare(NOW, ended).loaded, [KEY]);
+  t.deepEqual(residency.reconcile(NOW, ended).loaded, [KEY]);
   t.true(residency.isResident(KEY));
 });
--- a/packages/core/tests/service_routing/service_router_test.ts
+++ b/packages/core/tests/service_routing/service_router_test.ts
@@ -5,7 +5,6 @@
   type Failure,
   failureDomainId,
   instant,
-  NoLimit,
   PowerOfTwoChooser,
   randomSource,
   requestId,
@@ -14,6 +13,7 @@
   type ServiceOrder,
   type ServicePolicy,
   ServiceRouter,
+  UnlimitedConcurrency,
 } from "@foxtailwind/core";
 import test from "ava";
 
@@ -169,7 +169,7 @@
     end(router, call * 20 + 10, { id: `${call}`, result: ANSWERED });
   }
   submit(router, 1_000, { id: "late", repeatable: true });
-  const wake = router.nextWake();
+  const wake = router.nextDecisionAt();
   const [hedge] = router.decide(instant(wake ?? 0));
   t.like(hedge, { kind: "dispatch", call: "late", attempt: 2 });
   const result = { id: "late", attempt: 2, result: ANSWERED };
@@ -184,7 +184,7 @@
     end(router, call * 20 + 10, { id: `${call}`, result: ANSWERED });
   }
   submit(router, 1_000, { id: "late", repeatable: false });
-  t.is(router.nextWake(), undefined);
+  t.is(router.nextDecisionAt(), undefined);
   t.deepEqual(router.decide(instant(1_900)), []);
 });
 
@@ -195,14 +195,14 @@
     end(router, call * 20 + 10, { id: `${call}`, result: ANSWERED });
   }
   submit(router, 1_000, { id: "late", repeatable: true });
-  t.is(router.nextWake(), undefined);
+  t.is(router.nextDecisionAt(), undefined);
 });
 
 test("the local failure domain is preferred when it costs no more", (t) => {
   const policy = {
     ...SERVICE_POLICY,
     chooser: () => new PowerOfTwoChooser(),
-    limit: () => new NoLimit(),
+    limit: () => new UnlimitedConcurrency(),
   };
   const router = routerOf(4, policy);
   const servers = new Set<string>();
--- a/packages/core/tests/serving/engine_controller_test.ts
+++ b/packages/core/tests/serving/engine_controller_test.ts
@@ -8,7 +8,7 @@
   type EngineDecision,
   engineId,
   instant,
-  LoadPermitLedger,
+  LoadPermitIssuer,
   milliseconds,
   type QueuedRequest,
   requestId,
@@ -26,7 +26,7 @@
     capacity: { adapterSlots, batchCapacity },
     demand: new DemandTracker(),
     index: new ResidenceIndex(),
-    loads: new LoadPermitLedger({ loadsPerSecond: 5, concurrentLoads: 2 }),
+    loads: new LoadPermitIssuer({ loadsPerSecond: 5, concurrentLoads: 2 }),
   });
 }
 
--- a/packages/node/src/cluster/cluster_node.ts
+++ b/packages/node/src/cluster/cluster_node.ts
@@ -80,7 +80,7 @@
     now: Instant,
   ): Result<FencingNumber, Failure> {
     if (this.#running === undefined) return err(notStarted(engine));
-    return this.#running.agent.current(engine, now);
+    return this.#running.agent.authorizeOrder(engine, now);
   }
 
   override onChange(listener: () => void): void {
@@ -181,7 +181,7 @@
     if (result.isOk()) return;
     const { outcome, reason, peer, step } = result.error;
     logger.warn("A record was not appended.", { peer, step, reason });
-    if (outcome === "not_run") agent.notAppended(record.id);
+    if (outcome === "not_run") agent.appendRejected(record.id);
   }
 
   #contacts(): readonly Contact[] {
--- a/packages/node/src/crashes/crash_memory.ts
+++ b/packages/node/src/crashes/crash_memory.ts
@@ -71,7 +71,7 @@
    * @returns The time until it may be tried again, or nothing.
    */
   refusedFor(content: ContentDigest): Duration | undefined {
-    return this.#quarantine.refusedFor(this.#parts.clock.now(), content);
+    return this.#quarantine.remainingTime(this.#parts.clock.now(), content);
   }
 
   /**
@@ -92,7 +92,7 @@
    * @param content Its content.
    */
   served(content: ContentDigest): void {
-    const dropped = this.#quarantine.served(content);
+    const dropped = this.#quarantine.recordServed(content);
     if (dropped.length > 0) this.#add({ kind: "served", content });
   }
 
@@ -105,14 +105,14 @@
 
   #take(record: CrashRecord): void {
     const now = this.#parts.clock.now();
-    if (record.kind === "served") this.#quarantine.served(record.content);
-    else this.#quarantine.suspect(now, record.suspicion);
+    if (record.kind === "served") this.#quarantine.recordServed(record.content);
+    else this.#quarantine.addSuspicion(now, record.suspicion);
     this.#quarantine.expire(now);
     this.#noteRefused();
   }
 
   #noteRefused(): void {
-    const { contents } = this.#quarantine;
+    const { quarantinedContents: contents } = this.#quarantine;
     for (const content of contents) {
       if (this.#refused.has(content)) continue;
       this.#parts.logger.warn(
--- a/packages/node/src/crashes/engine_suspects.ts
+++ b/packages/node/src/crashes/engine_suspects.ts
@@ -6,7 +6,7 @@
   engineRun,
   type Instant,
   milliseconds,
-  suspectTime,
+  suspectRunTime,
 } from "@foxtailwind/core";
 import type { CrashMemory } from "./crash_memory.ts";
 
@@ -48,7 +48,7 @@
     content: ContentDigest,
     ranFor: Duration | undefined,
   ): void {
-    const weight = suspectTime(ranFor);
+    const weight = suspectRunTime(ranFor);
     if (weight === undefined) return;
     this.#broken = [...this.#broken, { brokeAt: now, content, weight }];
   }
--- a/packages/node/src/delivery/claim_gatherer.ts
+++ b/packages/node/src/delivery/claim_gatherer.ts
@@ -1,6 +1,6 @@
 import {
   CLAIM_STREAM,
-  ClaimGathering,
+  ClaimBatcher,
   type ClaimRecord,
   type ClaimVerdict,
   DeliveryRules,
@@ -33,7 +33,7 @@
 export class ClaimGatherer {
   readonly #log: LogClient;
   readonly #clock: SteadyClock;
-  readonly #gathering: ClaimGathering;
+  readonly #gathering: ClaimBatcher;
   readonly #waiting = new Map<string, (verdict: ClaimVerdict) => void>();
   #following = false;
   #ticker: NodeJS.Timeout | undefined;
@@ -46,7 +46,7 @@
   constructor(log: LogClient, clock: SteadyClock) {
     this.#log = log;
     this.#clock = clock;
-    this.#gathering = new ClaimGathering({
+    this.#gathering = new ClaimBatcher({
       batchInterval: BATCH_INTERVAL,
       settleTimeout: SETTLE_TIMEOUT,
       maximumBatch: MAXIMUM_BATCH,
@@ -59,7 +59,7 @@
 
   /** The offset that later claims lie at or above, for prefixes of keys. */
   get epoch(): LogOffset {
-    return this.#gathering.index.next;
+    return this.#gathering.index.nextOffset;
   }
 
   /**
@@ -123,13 +123,13 @@
 
   async #readPage(): Promise<boolean> {
     const page = await this.#log.read(CLAIM_STREAM, {
-      from: this.#gathering.index.next,
+      from: this.#gathering.index.nextOffset,
       limit: PAGE_RECORDS,
       waitMilliseconds: LONG_POLL_MILLISECONDS,
     });
     if (page.isErr()) return false;
     const now = this.#clock.now();
-    this.#gathering.index.readFrom(page.value.firstKept);
+    this.#gathering.index.noteFirstKept(page.value.firstKept);
     for (const { offset, data } of page.value.records) {
       const record = parseClaimRecord(data);
       this.#gathering.apply(now, offset, record.unwrapOr(undefined));
--- a/packages/node/src/delivery/generation_attempts.ts
+++ b/packages/node/src/delivery/generation_attempts.ts
@@ -97,7 +97,7 @@
 
   #scheduleWake(): void {
     clearTimeout(this.#timer);
-    const wake = this.#delivery.nextWake;
+    const wake = this.#delivery.nextWakeAt;
     if (wake === undefined) return;
     this.#timer = setTimeout(() => {
       this.#handleEvent({ kind: "tick" });
@@ -179,7 +179,7 @@
     if (result.isOk() && !crashes.isEmpty) {
       crashes.served(contentOf(order.generation));
     }
-    counters.addDropped(this.#delivery.dropped);
+    counters.addDropped(this.#delivery.droppedFrames);
     observer.record(clock.now(), {
       kind: "ended",
       request: order.generation.request,
--- a/packages/node/src/delivery/key_limits.ts
+++ b/packages/node/src/delivery/key_limits.ts
@@ -1,6 +1,6 @@
 import {
   type Duration,
-  type KeyTiming,
+  type KeyScopeLimits,
   milliseconds,
   seconds,
 } from "@foxtailwind/core";
@@ -17,7 +17,7 @@
 const MARGIN_MILLISECONDS = 60_000;
 
 /** How long keys may be used. */
-export const KEY_TIMING: KeyTiming = {
+export const KEY_TIMING: KeyScopeLimits = {
   maximumScopeLifetime: seconds(3_600),
 };
 
--- a/packages/node/src/relay/adapter_uses.ts
+++ b/packages/node/src/relay/adapter_uses.ts
@@ -6,7 +6,7 @@
   type Instant,
   later,
   milliseconds,
-  ReadingQueue,
+  PrefillQueue,
   type ServerStart,
 } from "@foxtailwind/core";
 import type { SteadyClock } from "../clock/steady_clock.ts";
@@ -41,7 +41,7 @@
   readonly #slots: EngineSlots;
   readonly #parts: AdapterUsesParts;
   readonly #waiters = new AdapterWaiters();
-  readonly #turns = new ReadingQueue<Turn>();
+  readonly #turns = new PrefillQueue<Turn>();
   readonly #running = new Set<AbortController>();
   #turnTimer: NodeJS.Timeout | undefined;
 
@@ -60,7 +60,7 @@
    * @returns The time.
    */
   wait(now: Instant): Duration {
-    const wait = this.#turns.wait(now) + this.occupancy.crowding;
+    const wait = this.#turns.wait(now) + this.occupancy.contentionDelay;
     return milliseconds(Math.round(wait));
   }
 
@@ -77,18 +77,18 @@
     }
     const name = { model: request.model, adapter: request.adapter };
     const { minimumVersion } = request;
-    const version = this.#slots.use(this.#now(), name, minimumVersion);
+    const version = this.#slots.acquire(this.#now(), name, minimumVersion);
     if (version !== undefined) {
       return await this.#waitForTurn(request, name, version, signal);
     }
     const isExpected = this.#isExpected(name);
-    if (!isExpected && !this.#slots.canTake(this.#now(), name)) {
+    if (!isExpected && !this.#slots.canLoad(this.#now(), name)) {
       return { kind: "no_room" };
     }
     if (!this.#parts.ordersSoon()) return { kind: "no_room" };
-    this.#slots.want(this.#now(), name, minimumVersion);
+    this.#slots.requestLoad(this.#now(), name, minimumVersion);
     const answer = this.#waiters.add(name, request, signal, () => {
-      if (!this.#waiters.has(name)) this.#slots.forgetWish(name);
+      if (!this.#waiters.has(name)) this.#slots.cancelLoadRequest(name);
     });
     this.#parts.changed();
     return await answer;
@@ -98,16 +98,18 @@
   serveWaiters(): void {
     const now = this.#now();
     for (const { name, request, signal, answer } of this.#waiters.all) {
-      const version = this.#slots.use(now, name, request.minimumVersion);
+      const version = this.#slots.acquire(now, name, request.minimumVersion);
       if (version === undefined) continue;
-      this.#slots.forgetWish(name);
+      this.#slots.cancelLoadRequest(name);
       answer(this.#waitForTurn(request, name, version, signal));
     }
   }
 
   /** Answers those who wait that there is no room, and forgets their wishes. */
   sendWaitersAway(): void {
-    for (const { name } of this.#waiters.all) this.#slots.forgetWish(name);
+    for (const { name } of this.#waiters.all) {
+      this.#slots.cancelLoadRequest(name);
+    }
     this.#waiters.answerAll({ kind: "no_room" });
     this.#endTurns({ kind: "no_room" });
   }
@@ -148,8 +150,8 @@
       };
       const now = this.#now();
       this.#turns.add(turn, {
-        reading: request.reading,
-        wantedBy: later(now, request.timeLeft),
+        prefillTime: request.reading,
+        deadline: later(now, request.timeLeft),
         needsBreak: request.needsBreak,
       });
       signal.addEventListener("abort", leave, { once: true });
@@ -205,7 +207,7 @@
 
   #endUse(name: AdapterName | undefined): void {
     if (name !== undefined) this.#slots.release(this.#now(), name);
-    if (this.#slots.waiting > 0) this.#parts.changed();
+    if (this.#slots.pendingLoads > 0) this.#parts.changed();
   }
 
   #isExpected(name: AdapterName): boolean {
--- a/packages/node/src/relay/answer_passage.ts
+++ b/packages/node/src/relay/answer_passage.ts
@@ -190,7 +190,7 @@
    * not where that end cut an event off.
    */
   get isKnownWhole(): boolean {
-    const rest = this.#splitter?.rest.length ?? 0;
+    const rest = this.#splitter?.remainder.length ?? 0;
     return !this.#isOpenEnded || rest === 0;
   }
 
@@ -198,7 +198,7 @@
   finish(): void {
     this.#firstAfter ??= elapsed(this.#sentAt, this.#heardAt);
     if (this.#kept !== undefined) this.#passWhole(this.#kept);
-    const rest = this.#splitter?.rest;
+    const rest = this.#splitter?.remainder;
     if (rest !== undefined && rest.length > 0) this.#answer.write(rest);
     this.#answer.end();
   }
--- a/packages/node/src/relay/crash_reports.ts
+++ b/packages/node/src/relay/crash_reports.ts
@@ -8,8 +8,8 @@
   type RegisteredServer,
   type RequestQuarantine,
   type ServerLoad,
-  suspectedRun,
-  suspectTime,
+  suspectedRunKey,
+  suspectRunTime,
   type SuspicionKey,
 } from "@foxtailwind/core";
 import { afterPendingInput } from "@foxtailwind/edges";
@@ -82,7 +82,7 @@
   refusedFor(content: RequestContent): Duration | undefined {
     if (this.#quarantine.isEmpty) return undefined;
     const now = this.#parts.clock.now();
-    return this.#quarantine.refusedFor(now, content.digest);
+    return this.#quarantine.remainingTime(now, content.digest);
   }
 
   /**
@@ -91,7 +91,7 @@
    */
   served(content: RequestContent): void {
     if (this.#quarantine.isEmpty) return;
-    this.#writeDropped(this.#quarantine.served(content.digest));
+    this.#writeDropped(this.#quarantine.recordServed(content.digest));
   }
 
   /**
@@ -100,11 +100,11 @@
    * @param call The call.
    */
   broke(content: RequestContent, call: BrokenCall): void {
-    const time = suspectTime(call.ranFor);
+    const time = suspectRunTime(call.ranFor);
     if (time === undefined) return;
     const brokeAt = this.#parts.clock.now();
     const suspicion = suspicionOf(call.server, content.digest, time);
-    this.#quarantine.suspect(brokeAt, suspicion);
+    this.#quarantine.addSuspicion(brokeAt, suspicion);
     setTimeout(() => {
       afterPendingInput(() => {
         this.#settle(suspicion, call, brokeAt);
@@ -136,11 +136,11 @@
     brokeAt: Instant,
   ): void {
     if (this.#isStopped) return;
-    const { heardAt } = load;
+    const { lastBytesAt: heardAt } = load;
     const wasHeard = heardAt !== undefined &&
       heardAt > later(brokeAt, LATE_BYTES_TIME);
     if (wasHeard || isConnected()) {
-      this.#quarantine.drop(suspicion);
+      this.#quarantine.dropSuspicion(suspicion);
       return;
     }
     this.#parts.logger.info("A server may have ended under a request.", {
@@ -157,7 +157,7 @@
       const [oldest] = this.#unwritten.keys();
       if (oldest !== undefined) this.#unwritten.delete(oldest);
     }
-    this.#unwritten.set(`${key.content} ${suspectedRun(key)}`, change);
+    this.#unwritten.set(`${key.content} ${suspectedRunKey(key)}`, change);
     if (!this.#isWriting) void this.#write();
   }
 
--- a/packages/node/src/relay/engine_model.ts
+++ b/packages/node/src/relay/engine_model.ts
@@ -3,7 +3,7 @@
   later,
   milliseconds,
   type ModelId,
-  type OrderRight,
+  type OrderPermission,
   type RegisteredServer,
 } from "@foxtailwind/core";
 import type { EngineOrders } from "./engine_orders.ts";
@@ -55,7 +55,7 @@
    * @param right The right to order.
    * @returns Whether there is a model to be loaded.
    */
-  async load(now: Instant, right: OrderRight): Promise<boolean> {
+  async load(now: Instant, right: OrderPermission): Promise<boolean> {
     const service = this.#knowledge.routes?.service(this.#server.service);
     const model = service?.engine?.models[0]?.model;
     if (model === undefined) return false;
--- a/packages/node/src/relay/engine_orders.ts
+++ b/packages/node/src/relay/engine_orders.ts
@@ -1,7 +1,7 @@
 import {
   type ModelId,
   type NodeId,
-  type OrderRight,
+  type OrderPermission,
   type RegisteredServer,
   RELAY_SENTENCE,
   type ServerStart,
@@ -115,7 +115,7 @@
    * @param right The right to order.
    * @returns What came of it.
    */
-  loadModel(model: ModelId, right: OrderRight): Promise<OrderResult> {
+  loadModel(model: ModelId, right: OrderPermission): Promise<OrderResult> {
     return this.#send("load", { kind: "load", model }, right);
   }
 
@@ -125,7 +125,7 @@
    * @param right The right to order.
    * @returns What came of it.
    */
-  ask(order: SlotOrder, right: OrderRight): Promise<OrderResult> {
+  ask(order: SlotOrder, right: OrderPermission): Promise<OrderResult> {
     return this.#send("ask", toEngineOrder(order), right);
   }
 
@@ -137,7 +137,10 @@
    * @param right The right to order.
    * @returns What came of it.
    */
-  async carryOut(order: SlotOrder, right: OrderRight): Promise<OrderResult> {
+  async carryOut(
+    order: SlotOrder,
+    right: OrderPermission,
+  ): Promise<OrderResult> {
     let result: OrderResult = { kind: "unknown" };
     for (let sends = 0; sends < MOST_COPIES; sends += 1) {
       const isCopy = sends > 0;
@@ -153,7 +156,7 @@
   async #send(
     purpose: string,
     order: OrderContent,
-    right: OrderRight,
+    right: OrderPermission,
   ): Promise<OrderResult> {
     const { control, self, logger } = this.#parts;
     const expectedOrders = this.count;
--- a/packages/node/src/relay/engine_owner.ts
+++ b/packages/node/src/relay/engine_owner.ts
@@ -1,6 +1,6 @@
 import {
+  type EngineSpecification,
   EngineStart,
-  type EngineTerms,
   type RegisteredServer,
   type ServerStart,
 } from "@foxtailwind/core";
@@ -15,7 +15,7 @@
  */
 export class EngineOwner {
   readonly #parts: EngineOwnerParts;
-  readonly #terms: EngineTerms;
+  readonly #terms: EngineSpecification;
   readonly #start: EngineStart;
   #server: RegisteredServer;
   #run: EngineRun;
@@ -27,7 +27,7 @@
    */
   constructor(
     server: RegisteredServer,
-    terms: EngineTerms,
+    terms: EngineSpecification,
     parts: EngineOwnerParts,
   ) {
     this.#server = server;
@@ -48,7 +48,7 @@
    */
   update(server: RegisteredServer): void {
     this.#server = server;
-    if (this.#start.registered(server.start)) this.#restarted();
+    if (this.#start.applyRegistered(server.start)) this.#restarted();
     else this.#run.update(server);
   }
 
@@ -103,7 +103,7 @@
   /** Whether a report is of the start that is known. */
   #isBelieved(start: ServerStart | undefined): boolean {
     const before = this.#start.current;
-    const news = this.#start.reported(start);
+    const news = this.#start.applyReported(start);
     switch (news) {
       case "current":
         return true;
--- a/packages/node/src/relay/engine_owner_parts.ts
+++ b/packages/node/src/relay/engine_owner_parts.ts
@@ -1,4 +1,4 @@
-import type { LateOrders, ServerStart } from "@foxtailwind/core";
+import type { ServerStart, UnansweredLoads } from "@foxtailwind/core";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { PartLogger } from "../logging/part_logger.ts";
 import type { EngineControl } from "./engine_control.ts";
@@ -13,7 +13,7 @@
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
   /** This node's loads of the engine that got no answer, before this owner. */
-  readonly lateOrders: LateOrders;
+  readonly lateOrders: UnansweredLoads;
 }
 
 /** What an owner works with at one start of its engine. */
--- a/packages/node/src/relay/engine_owners.ts
+++ b/packages/node/src/relay/engine_owners.ts
@@ -2,11 +2,11 @@
   type BackendServerId,
   type Failure,
   type Instant,
-  LateOrders,
   later,
   milliseconds,
   type NodeId,
   nodeId,
+  UnansweredLoads,
 } from "@foxtailwind/core";
 import type { EngineDigest } from "@foxtailwind/protocol";
 import { EngineOwner } from "./engine_owner.ts";
@@ -43,7 +43,7 @@
    * Kept past the end of an owner: the engine may leave the registry, or be
    * another node's, and start again while its orders are on their way.
    */
-  readonly #lateOrders = new Map<BackendServerId, LateOrders>();
+  readonly #lateOrders = new Map<BackendServerId, UnansweredLoads>();
   readonly #startedAt: Instant;
   #isClaiming = false;
   /** Before it, claims would most likely meet those of other nodes again. */
@@ -80,7 +80,8 @@
     const engines = knowledge.engines;
     const ids = new Set(engines.map((engine) => engine.id));
     for (const [id, owner] of this.#owners) {
-      const isKept = ids.has(id) && knowledge.claims.right(id) !== undefined &&
+      const isKept = ids.has(id) &&
+        knowledge.claims.orderPermission(id) !== undefined &&
         !this.#parts.isLeaving();
       if (isKept) continue;
       owner.stop();
@@ -106,10 +107,10 @@
       known.update(server);
       return;
     }
-    if (knowledge.claims.right(id) === undefined) return;
+    if (knowledge.claims.orderPermission(id) === undefined) return;
     const terms = knowledge.routes?.service(server.service)?.engine;
     if (terms === undefined) return;
-    const lateOrders = this.#lateOrders.get(id) ?? new LateOrders();
+    const lateOrders = this.#lateOrders.get(id) ?? new UnansweredLoads();
     this.#lateOrders.set(id, lateOrders);
     const parts = { ...this.#parts, lateOrders };
     const owner = new EngineOwner(server, terms, parts);
@@ -156,18 +157,18 @@
     const left = knowledge.peers.left(now);
     const engines = knowledge.engines.map((engine) => engine.id);
     if (now - this.#startedAt < LISTENING_MILLISECONDS) {
-      return knowledge.claims.abandoned(engines);
+      return knowledge.claims.enginesToReclaim(engines);
     }
     const peers = knowledge.peers.alive(now)
       .filter((peer) => !peer.isLeaving)
       .map((peer) => nodeId(peer.node));
     const nodes = [settings.node.id, ...peers];
     const taking = nodes.filter((node) => knowledge.serving.takesEngines(node));
-    return knowledge.claims.wanted(now, {
+    return knowledge.claims.enginesToClaim(now, {
       engines,
       nodes,
       candidates: taking.length > 0 ? taking : nodes,
-      left,
+      stoppedNodes: left,
     });
   }
 
--- a/packages/node/src/relay/engine_run.ts
+++ b/packages/node/src/relay/engine_run.ts
@@ -1,16 +1,16 @@
 import {
   type AdapterName,
   EngineSlots,
-  type EngineTerms,
+  type EngineSpecification,
   type Instant,
-  LateOrders,
   later,
   milliseconds,
-  type OrderRight,
+  type OrderPermission,
   type RegisteredServer,
-  REPORT_LAG,
-  ReportDoubt,
+  REPORT_DELAY,
+  ReportTrigger,
   type SlotOrder,
+  UnansweredLoads,
 } from "@foxtailwind/core";
 import type { EngineDigest } from "@foxtailwind/protocol";
 import { AdapterUses } from "./adapter_uses.ts";
@@ -37,9 +37,9 @@
   readonly #model: EngineModel;
   readonly #loop: StepLoop;
   readonly #uses: AdapterUses;
-  readonly #doubt = new ReportDoubt();
+  readonly #doubt = new ReportTrigger();
   /** Loads of this start; their slots are known while it lasts. */
-  #unanswered = new LateOrders();
+  #unanswered = new UnansweredLoads();
   #server: RegisteredServer;
 
   /**
@@ -49,7 +49,7 @@
    */
   constructor(
     server: RegisteredServer,
-    terms: EngineTerms,
+    terms: EngineSpecification,
     parts: EngineRunParts,
   ) {
     this.#server = server;
@@ -58,8 +58,8 @@
     const { engines, node } = parts.settings;
     this.#slots = new EngineSlots({
       slots: terms.adapterSlots,
-      transfers: engines.transfers,
-      kept: engines.kept_adapters,
+      concurrentLoads: engines.transfers,
+      cachedAdapters: engines.kept_adapters,
     });
     this.#uses = new AdapterUses(this.#slots, {
       clock: parts.clock,
@@ -98,7 +98,7 @@
     return writeEngineDigest(this.#server, this.#slots.slots, {
       start: writeStart(this.#parts.start()),
       waitMilliseconds: this.#uses.wait(now),
-      room: this.#ordersSoon() ? this.#slots.room(now) : 0,
+      room: this.#ordersSoon() ? this.#slots.availableSlots(now) : 0,
       isReachable: this.#orders.isReachable,
       running: this.#uses.occupancy.running,
       isFull: this.#isFull(),
@@ -119,7 +119,7 @@
 
   /** Takes note that the engine lacked what a use was granted of. */
   missed(): void {
-    if (!this.#doubt.missed(this.#now())) return;
+    if (!this.#doubt.recordMiss(this.#now())) return;
     this.#askAgain();
     void this.pump();
   }
@@ -127,7 +127,7 @@
   /** Gives up the engine: nobody waits here any more. */
   stop(): void {
     const { lateOrders } = this.#parts;
-    if (!this.#loop.isStopped) lateOrders.include(this.#unanswered);
+    if (!this.#loop.isStopped) lateOrders.merge(this.#unanswered);
     this.#unanswered = lateOrders;
     this.#loop.stop();
     this.#orders.stop();
@@ -148,14 +148,14 @@
   /** One step; whether another one may follow at once. */
   async #step(): Promise<boolean> {
     const now = this.#now();
-    const right = this.#parts.knowledge.claims.right(this.#server.id);
+    const right = this.#parts.knowledge.claims.orderPermission(this.#server.id);
     if (right === undefined) return false;
-    const askFrom = this.#doubt.askFrom ?? now;
+    const askFrom = this.#doubt.dueAt ?? now;
     if (askFrom > now) return this.#loop.wakeAt(askFrom);
     // What the engine holds may be used, and asked for, before orders may go.
     if (!this.#orders.isCounted) return await this.#readReport();
     this.#keepSlotsFree(now);
-    if (right.from > now) return this.#loop.wakeAt(right.from);
+    if (right.validFrom > now) return this.#loop.wakeAt(right.validFrom);
     if (!this.#model.isThere) return await this.#loadModel(now, right);
     if (await this.#askAfterLoads(now, right)) return true;
     const order = this.#slots.nextOrder(now);
@@ -163,37 +163,39 @@
       await this.#carryOut(order, right);
       return true;
     }
-    if (this.#slots.waiting > 0) this.#loop.wakeAt(later(now, LOAD_POLL));
+    if (this.#slots.pendingLoads > 0) this.#loop.wakeAt(later(now, LOAD_POLL));
     return false;
   }
 
   /** Keeps slots for what was ordered of an earlier start and may come. */
   #keepSlotsFree(now: Instant): void {
     const { lateOrders } = this.#parts;
-    this.#slots.reserve(lateOrders.slots(now, this.#orders.count));
+    this.#slots.reserve(lateOrders.reservedSlots(now, this.#orders.count));
   }
 
   async #readReport(): Promise<boolean> {
     const report = await this.#orders.report();
     if (this.#loop.isStopped) return false;
     const now = this.#now();
-    if (report === undefined) return this.#loop.wakeAt(later(now, REPORT_LAG));
+    if (report === undefined) {
+      return this.#loop.wakeAt(later(now, REPORT_DELAY));
+    }
     this.#model.reported(report.models);
-    this.#doubt.agreed();
-    this.#slots.reported(now, report.adapters, report.incoming);
+    this.#doubt.recordAgreement();
+    this.#slots.applyReport(now, report.adapters, report.incoming);
     this.#uses.serveWaiters();
     return true;
   }
 
-  async #loadModel(now: Instant, right: OrderRight): Promise<boolean> {
+  async #loadModel(now: Instant, right: OrderPermission): Promise<boolean> {
     const isWanted = await this.#model.load(now, right);
     if (isWanted) this.#askAgain();
     return isWanted;
   }
 
   /** Asks whether a load that should have ended has; one at a time. */
-  async #askAfterLoads(now: Instant, right: OrderRight): Promise<boolean> {
-    const due = this.#slots.nextCheck();
+  async #askAfterLoads(now: Instant, right: OrderPermission): Promise<boolean> {
+    const due = this.#slots.nextLoadCheck();
     if (due === undefined) return false;
     if (due.at > now) {
       this.#loop.wakeAt(due.at);
@@ -209,23 +211,23 @@
   #takeLoadState(
     name: AdapterName,
     result: OrderResult,
-    right: OrderRight,
+    right: OrderPermission,
   ): void {
     if (this.#loop.isStopped) return;
     const now = this.#now();
     switch (result.kind) {
       case "holds":
-        this.#doubt.agreed();
-        this.#slots.loaded(now, name);
+        this.#doubt.recordAgreement();
+        this.#slots.markLoaded(now, name);
         this.#uses.serveWaiters();
         break;
       case "conflict":
-        this.#slots.checkAgain(now, name, LOAD_POLL);
-        if (this.#doubt.conflicted()) this.#askAgain();
+        this.#slots.postponeLoadCheck(now, name, LOAD_POLL);
+        if (this.#doubt.recordConflict()) this.#askAgain();
         break;
       case "accepted":
       case "unknown":
-        this.#slots.checkAgain(now, name, LOAD_POLL);
+        this.#slots.postponeLoadCheck(now, name, LOAD_POLL);
         break;
       case "fenced":
       case "misdirected":
@@ -234,7 +236,7 @@
     }
   }
 
-  async #carryOut(order: SlotOrder, right: OrderRight): Promise<void> {
+  async #carryOut(order: SlotOrder, right: OrderPermission): Promise<void> {
     const result = await this.#orders.carryOut(order, right);
     // A late answer says nothing of what came after: a new start, or owner.
     if (this.#loop.isStopped) return;
@@ -242,16 +244,16 @@
     switch (result.kind) {
       case "holds":
       case "accepted":
-        this.#doubt.agreed();
-        this.#slots.answered(now, order, result.kind);
+        this.#doubt.recordAgreement();
+        this.#slots.applyAnswer(now, order, result.kind);
         this.#orders.accepted();
         break;
       case "conflict":
-        this.#slots.answered(now, order, "conflict");
-        if (this.#doubt.conflicted()) this.#askAgain();
+        this.#slots.applyAnswer(now, order, "conflict");
+        if (this.#doubt.recordConflict()) this.#askAgain();
         break;
       case "unknown":
-        this.#slots.answered(now, order, "unknown");
+        this.#slots.applyAnswer(now, order, "unknown");
         this.#askAgain();
         break;
       case "fenced":
@@ -264,10 +266,10 @@
   /** Trusts nothing that is known until the engine has reported. */
   #askAgain(): void {
     this.#orders.forgetCount();
-    this.#doubt.ask(this.#now());
+    this.#doubt.schedule(this.#now());
   }
 
-  #takeTrouble(result: OrderTrouble, right: OrderRight): void {
+  #takeTrouble(result: OrderTrouble, right: OrderPermission): void {
     const step = takeTrouble(this.#parts, this.#server.id, result, right);
     if (step === "stop") this.stop();
     if (step === "ask_again") this.#askAgain();
@@ -279,8 +281,8 @@
 
   /** Whether orders may go now, or as soon as a load takes anyway. */
   #ordersSoon(): boolean {
-    const right = this.#parts.knowledge.claims.right(this.#server.id);
-    return right !== undefined && right.from - this.#now() < SOON;
+    const right = this.#parts.knowledge.claims.orderPermission(this.#server.id);
+    return right !== undefined && right.validFrom - this.#now() < SOON;
   }
 
   #now(): Instant {
--- a/packages/node/src/relay/engine_trouble.ts
+++ b/packages/node/src/relay/engine_trouble.ts
@@ -1,4 +1,4 @@
-import type { BackendServerId, OrderRight } from "@foxtailwind/core";
+import type { BackendServerId, OrderPermission } from "@foxtailwind/core";
 import type { OrderTrouble } from "./engine_control.ts";
 import type { EngineRunParts } from "./engine_owner_parts.ts";
 
@@ -17,14 +17,14 @@
   { knowledge, logger, start }: EngineRunParts,
   engine: BackendServerId,
   trouble: OrderTrouble,
-  right: OrderRight,
+  right: OrderPermission,
 ): TroubleStep {
   switch (trouble.kind) {
     case "fenced":
       knowledge.fenced(engine, right.fence);
       return "go_on";
     case "misdirected":
-      knowledge.registry.replaced(engine, start());
+      knowledge.registry.removeReplaced(engine, start());
       return "stop";
     case "invalid":
       logger.error("An engine did not take an order.", {
--- a/packages/node/src/relay/knowledge.ts
+++ b/packages/node/src/relay/knowledge.ts
@@ -6,8 +6,8 @@
   EngineClaims,
   type Failure,
   type FencingNumber,
+  hasManyReaders,
   type Instant,
-  isCrowded,
   type LogOffset,
   logOffset,
   milliseconds,
@@ -142,7 +142,9 @@
     if (this.#reachedAt === undefined) return false;
     // A node that others tell calls too rarely to know more than how its last
     // call ended.
-    if (isCrowded(this.readers) && !this.isWatcher) return this.#isInContact;
+    if (hasManyReaders(this.readers) && !this.isWatcher) {
+      return this.#isInContact;
+    }
     return now - this.#reachedAt < CONTACT_TIME;
   }
 
@@ -181,7 +183,7 @@
     version: number,
   ): void {
     if (this.versions.newest(model, adapter) >= version) return;
-    this.versions.name(model, adapter, version);
+    this.versions.record(model, adapter, version);
     this.#parts.logger.info("A version of an adapter was named.", {
       model,
       adapter,
@@ -260,7 +262,7 @@
   override failed(failure: Failure): void {
     this.work.count("log_failed");
     const now = this.#parts.clock.now();
-    this.registry.disturbed(now);
+    this.registry.recordStoreFailure(now);
     if (!this.#isInContact) return;
     this.#isInContact = false;
     this.#parts.logger.warn(RELAY_SENTENCE.logFailed, {
@@ -277,7 +279,7 @@
    * @param fence The number.
    */
   fenced(engine: BackendServerId, fence: FencingNumber): void {
-    this.claims.refuse(engine, fence);
+    this.claims.recordRefusal(engine, fence);
     this.#parts.logger.warn("An engine has a newer owner.", { engine, fence });
     this.onChange();
   }
--- a/packages/node/src/relay/knowledge_message.ts
+++ b/packages/node/src/relay/knowledge_message.ts
@@ -45,7 +45,7 @@
     registry: knowsRegistry
       ? ""
       : JSON.stringify(registry.entries.map(storeEntry)),
-    versions: JSON.stringify(knowledge.versions.all),
+    versions: JSON.stringify(knowledge.versions.entries),
     operatorsEnd: knowledge.operatorsEnd,
     registryEnd: registry.changedAt,
   };
@@ -76,7 +76,7 @@
     knowledge.adapterVersion(modelId(model), adapterId(adapter), version);
   }
   knowledge.operatorsTold(logOffset(message.operatorsEnd));
-  knowledge.registry.toldUntil(logOffset(message.registryEnd));
+  knowledge.registry.advanceChangedAt(logOffset(message.registryEnd));
 }
 
 function storeEntry(entry: RegistryEntry): StoredEntry {
--- a/packages/node/src/relay/known_engines.ts
+++ b/packages/node/src/relay/known_engines.ts
@@ -57,7 +57,7 @@
   ): KnownEngine | undefined {
     const { loads } = this.#parts;
     const load = loads.of(server);
-    const reading = load.pace.time(use.promptTokens);
+    const reading = load.prefillTimes.estimate(use.promptTokens);
     const heard = this.#heard(now, server);
     if (heard?.digest.isFull === true) return undefined;
     if (heard === undefined) {
@@ -68,12 +68,12 @@
       return {
         id: server.id,
         server,
-        wait: load.excess(now),
-        reading,
+        expectedWait: load.decayedLatency(now),
+        prefillTime: reading,
         running: 0,
-        isOrderable: false,
-        room: 0,
-        holds,
+        canOrderLoads: false,
+        availableSlots: 0,
+        holdsAdapter: holds,
         isLoading: false,
       };
     }
@@ -87,12 +87,12 @@
       server,
       owner,
       address,
-      wait: digest.waitMilliseconds + load.excess(now),
-      reading,
+      expectedWait: digest.waitMilliseconds + load.decayedLatency(now),
+      prefillTime: reading,
       running: digest.running,
-      isOrderable: digest.isReachable,
-      room: digest.room,
-      holds: digest.isReachable &&
+      canOrderLoads: digest.isReachable,
+      availableSlots: digest.room,
+      holdsAdapter: digest.isReachable &&
         (use.adapter === undefined || (isFresh && !held.isLoading)),
       isLoading: isFresh && held.isLoading,
     };
--- a/packages/node/src/relay/make_relay_parts.ts
+++ b/packages/node/src/relay/make_relay_parts.ts
@@ -1,4 +1,4 @@
-import { CallerPatience, later, seconds } from "@foxtailwind/core";
+import { CallerTimeouts, later, seconds } from "@foxtailwind/core";
 import type { PeerChannels } from "../peers/peer_channels.ts";
 import { AdapterGrants } from "./adapter_grants.ts";
 import type { EngineOwners } from "./engine_owners.ts";
@@ -64,11 +64,11 @@
     wire,
     logger,
     record,
-    patience: new CallerPatience(),
+    patience: new CallerTimeouts(),
     plannedStop: () => presence.plannedStop,
     asked: () => serving.asked(clock.now()) ? log.catchUp() : undefined,
     allowances: new RetryAllowances({
-      share: retries.share,
+      retriesPerRequest: retries.share,
       reserve: retries.reserve,
       window,
       reserveFrom: later(clock.now(), window),
--- a/packages/node/src/relay/node_presence.ts
+++ b/packages/node/src/relay/node_presence.ts
@@ -1,7 +1,7 @@
 import {
   elapsed,
   type Instant,
-  isNamedToCallers,
+  isAdvertised,
   milliseconds,
   nodeId,
 } from "@foxtailwind/core";
@@ -186,7 +186,7 @@
     if (chosen.length === 0) return inReach.map((one) => one.callerAddress);
     const strongest = Math.max(...chosen.map((one) => one.capacity));
     return chosen.filter((one) =>
-      isNamedToCallers(settings.node.id, {
+      isAdvertised(settings.node.id, {
         id: nodeId(one.node),
         capacity: capacityOf(one.capacity),
       }, capacityOf(strongest))
--- a/packages/node/src/relay/relay_daemon.ts
+++ b/packages/node/src/relay/relay_daemon.ts
@@ -152,7 +152,8 @@
       nodesAlive: () => knowledge.peers.alive(clock.now()).length,
       nodesServing: () => this.#serving.count,
       isActive: () => this.#serving.isActive(clock.now()) ? 1 : 0,
-      contentsRefused: () => knowledge.suspicions.quarantine.contents.size,
+      contentsRefused: () =>
+        knowledge.suspicions.quarantine.quarantinedContents.size,
       serversLimited: () => this.#parts.limits.count,
       work: () => knowledge.work.all,
     });
--- a/packages/node/src/relay/relay_parts.ts
+++ b/packages/node/src/relay/relay_parts.ts
@@ -1,4 +1,4 @@
-import type { CallerPatience, Duration, Route } from "@foxtailwind/core";
+import type { CallerTimeouts, Duration, Route } from "@foxtailwind/core";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { PartLogger } from "../logging/part_logger.ts";
 import type { BackendPools } from "./backend_pools.ts";
@@ -20,7 +20,7 @@
   readonly allowances: RetryAllowances;
   readonly crashes: CrashReports;
   readonly limits: RequestLimits;
-  readonly patience: CallerPatience;
+  readonly patience: CallerTimeouts;
   readonly wire: RelayWire;
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
--- a/packages/node/src/relay/relay_request.ts
+++ b/packages/node/src/relay/relay_request.ts
@@ -49,7 +49,7 @@
     const stop = parts.plannedStop();
     this.#stoppingFor = stop && elapsed(stop.begunAt, request.arrivedAt);
     this.#passage = new AnswerPassage(request, parts);
-    const waitedBefore = parts.patience.waitedBefore(
+    const waitedBefore = parts.patience.estimateEarlierWait(
       request.arrivedAt,
       request.route.name,
       longestTime(request),
@@ -173,7 +173,7 @@
   #noteMisdirected(server: RegisteredServer): void {
     // An engine also says so of an adapter that it does not hold.
     if (!this.#isEngine) {
-      this.#parts.knowledge.registry.replaced(server.id, server.start);
+      this.#parts.knowledge.registry.removeReplaced(server.id, server.start);
     }
   }
 
--- a/packages/node/src/relay/request_limits.ts
+++ b/packages/node/src/relay/request_limits.ts
@@ -3,18 +3,18 @@
   backendServerId,
   type Duration,
   elapsed,
+  estimateQueueWait,
   type Instant,
-  LimitMemory,
   milliseconds,
-  type NamedLimit,
   type NodeId,
-  partOfLimit,
   type RegisteredServer,
-  RequestPace,
+  RequestPacer,
+  type ServerRateLimit,
+  ServerRateLimits,
   serverStart,
   type ServiceId,
+  shareOfLimit,
   startKey,
-  waitBehind,
 } from "@foxtailwind/core";
 import type { ServerLimit } from "@foxtailwind/protocol";
 import type { SteadyClock } from "../clock/steady_clock.ts";
@@ -45,13 +45,13 @@
 
 interface KnownPace {
   readonly server: BackendServerId;
-  readonly pace: RequestPace;
+  readonly pace: RequestPacer;
 }
 
 /** Keeps this node's part of the limits that servers name. */
 export class RequestLimits {
   readonly #parts: RequestLimitsParts;
-  readonly #memory = new LimitMemory();
+  readonly #memory = new ServerRateLimits();
   readonly #paces = new Map<string, KnownPace>();
   readonly #waiting = new Map<ServiceId, number>();
   #nodes: readonly NodeId[] = [];
@@ -64,12 +64,12 @@
 
   /** What this node has seen itself, as other nodes are told. */
   get told(): readonly ServerLimit[] {
-    return this.#memory.own.map(writeLimit);
+    return this.#memory.ownLimits.map(writeLimit);
   }
 
   /** How many runs of servers have a limit. */
   get count(): number {
-    return this.#memory.runs.size;
+    return this.#memory.limitedRuns.size;
   }
 
   /**
@@ -81,7 +81,7 @@
   answered(run: ServerRun, sentAt: Instant, limit: number | undefined): void {
     if (limit === undefined && this.#memory.isEmpty) return;
     const { clock, logger, changed } = this.#parts;
-    const isNews = this.#memory.answered(
+    const isNews = this.#memory.applyAnswer(
       clock.now(),
       startKey(run.id, run.start),
       { sentAt, limit },
@@ -132,7 +132,7 @@
       const { pace, rate } = limited;
       return [{ wait: pace.wait(now, rate), rate }];
     });
-    return waitBehind(servers, ahead);
+    return estimateQueueWait(servers, ahead);
   }
 
   /**
@@ -159,7 +159,7 @@
   take(run: ServerRun): boolean {
     const now = this.#parts.clock.now();
     const limited = this.#limited(now, run);
-    return limited === undefined || limited.pace.take(now, limited.rate);
+    return limited === undefined || limited.pace.tryTake(now, limited.rate);
   }
 
   /**
@@ -167,7 +167,7 @@
    * @param run The server.
    */
   giveBack(run: ServerRun): void {
-    this.#paces.get(startKey(run.id, run.start))?.pace.giveBack();
+    this.#paces.get(startKey(run.id, run.start))?.pace.refund();
   }
 
   /**
@@ -178,7 +178,7 @@
     const { self, knowledge } = this.#parts;
     this.#lookedAt = now;
     const peers = knowledge.peers.alive(now);
-    this.#memory.told(
+    this.#memory.applyPeerLimits(
       now,
       peers.flatMap(({ limits }) => limits.map(readLimit)),
     );
@@ -201,15 +201,15 @@
     const limit = this.#memory.limitOf(run);
     if (limit === undefined) return undefined;
     const known = this.#paces.get(run) ??
-      { server: id, pace: new RequestPace(now) };
+      { server: id, pace: new RequestPacer(now) };
     this.#paces.set(run, known);
     const { self } = this.#parts;
-    const rate = partOfLimit({ run, limit, self, nodes: this.#nodes });
+    const rate = shareOfLimit({ run, limit, self, nodes: this.#nodes });
     return { pace: known.pace, rate };
   }
 }
 
-function writeLimit({ run, limit }: NamedLimit): ServerLimit {
+function writeLimit({ run, limit }: ServerRateLimit): ServerLimit {
   const at = run.lastIndexOf("@");
   return {
     server: run.slice(0, at),
@@ -220,7 +220,7 @@
 
 function readLimit(
   { server, start, requestsPerSecond }: ServerLimit,
-): NamedLimit {
+): ServerRateLimit {
   const run = startKey(
     backendServerId(server),
     start === 0 ? undefined : serverStart(start),
--- a/packages/node/src/relay/request_placer.ts
+++ b/packages/node/src/relay/request_placer.ts
@@ -6,8 +6,8 @@
   milliseconds,
   needsBreaks,
   type NodeId,
-  orderEngines,
-  RefusalMemory,
+  rankEngines,
+  RecentRefusals,
   type RegisteredServer,
 } from "@foxtailwind/core";
 import { BoundedSignal } from "@foxtailwind/edges";
@@ -80,7 +80,7 @@
 export class RequestPlacer {
   readonly #parts: RequestPlacerParts;
   readonly #engines: KnownEngines;
-  readonly #refusals = new RefusalMemory();
+  readonly #refusals = new RecentRefusals();
 
   /** @param parts What it works with. */
   constructor(parts: RequestPlacerParts) {
@@ -130,7 +130,7 @@
       )
       .filter((engine) => engine !== undefined);
     const byId = new Map(engines.map((engine) => [engine.id, engine]));
-    for (const id of orderEngines(use, engines).slice(0, MOST_ASKED)) {
+    for (const id of rankEngines(use, engines).slice(0, MOST_ASKED)) {
       const engine = byId.get(id);
       if (engine === undefined || search.signal.aborted) break;
       const { server } = engine;
@@ -144,7 +144,7 @@
   }
 
   /** Whether a question to an engine may be answered by a place. */
-  #mayTake({ id, holds, isLoading }: KnownEngine): boolean {
+  #mayTake({ id, holdsAdapter: holds, isLoading }: KnownEngine): boolean {
     const now = this.#parts.clock.now();
     return holds || isLoading || !this.#refusals.isLikelyFull(now, id);
   }
@@ -158,14 +158,14 @@
     const { server, owner, address } = engine;
     if (owner === undefined || address === undefined) {
       note({ engine: engine.id, answer: "no_owner" });
-      return engine.holds
+      return engine.holdsAdapter
         ? { server, release: nothing, missed: nothing }
         : undefined;
     }
-    const answerTime = engine.holds
+    const answerTime = engine.holdsAdapter
       ? HELD_ANSWER_MILLISECONDS
       : LOAD_ANSWER_MILLISECONDS;
-    const patience = Math.ceil(engine.wait + answerTime);
+    const patience = Math.ceil(engine.expectedWait + answerTime);
     const where = { engine: engine.id, owner, address };
     if (owner !== this.#parts.self) {
       this.#parts.knowledge.work.count("use_asked");
@@ -177,11 +177,11 @@
         model: use.model,
         ...(use.adapter === undefined ? {} : { adapter: use.adapter }),
         minimumVersion,
-        reading: engine.reading,
+        reading: engine.prefillTime,
         timeLeft: milliseconds(wantedBy - this.#parts.clock.now()),
         needsBreak: longestPause !== undefined &&
           needsBreaks(
-            this.#parts.loads.of(server).pace.tokenTime,
+            this.#parts.loads.of(server).prefillTimes.tokenTime,
             longestPause,
           ),
       },
@@ -190,7 +190,7 @@
     asking.release();
     note({ engine: engine.id, owner, answer: answer.kind });
     if (answer.kind === "no_room") {
-      this.#refusals.refused(this.#parts.clock.now(), engine.id);
+      this.#refusals.recordRefusal(this.#parts.clock.now(), engine.id);
     }
     const isOpen = this.#isOpen(server);
     if (answer.kind === "granted") {
@@ -208,7 +208,7 @@
         },
       };
     }
-    const isHeldWithoutOwner = engine.holds && answer.kind !== "no_room";
+    const isHeldWithoutOwner = engine.holdsAdapter && answer.kind !== "no_room";
     return isHeldWithoutOwner && isOpen && !signal.aborted
       ? { server, release: nothing, missed: nothing }
       : undefined;
--- a/packages/node/src/relay/request_sender.ts
+++ b/packages/node/src/relay/request_sender.ts
@@ -59,11 +59,11 @@
     const isResumed = this.#terms.passage.lastEventId !== undefined;
     const isRepeat = this.#terms.sent.hasTried(server.id);
     this.#terms.sent.begin(server.id);
-    load.sent(sentAt);
+    load.recordSend(sentAt);
     const headers = this.#sendHeaders(place, sentAt);
     this.#terms.passage.begin(sentAt, {
       heard: (now) => {
-        load.heard(now);
+        load.recordBytes(now);
       },
       named: (limit) => {
         this.#parts.limits.answered(server, sentAt, limit);
@@ -97,9 +97,9 @@
     if (isRepeat) void connections.close();
     this.#call = undefined;
     const result = this.#resultFor(end);
-    load.ended(this.#now(), result);
+    load.recordResult(this.#now(), result);
     if (this.#isEngine && !isResumed && result.kind === "answered") {
-      load.pace.learn(this.#promptTokens, result.took);
+      load.prefillTimes.observe(this.#promptTokens, result.took);
     }
     const { verdict, isMisdirected } = this.#terms.passage;
     if (verdict === "not_run" && isMisdirected) place.missed();
@@ -127,11 +127,11 @@
 
   #urgency(server: RegisteredServer, now: Instant): number {
     const { route } = this.#request;
-    const { pace } = this.#parts.loads.of(server);
+    const { prefillTimes: pace } = this.#parts.loads.of(server);
     return requestUrgency({
       target: route.target,
-      left: milliseconds(this.#terms.wantedBy - now),
-      reading: pace.time(this.#promptTokens),
+      remaining: milliseconds(this.#terms.wantedBy - now),
+      prefillTime: pace.estimate(this.#promptTokens),
       priority: route.priority,
     });
   }
--- a/packages/node/src/relay/retry_allowances.ts
+++ b/packages/node/src/relay/retry_allowances.ts
@@ -1,21 +1,21 @@
 import {
   type Instant,
-  RetryAllowance,
-  type RetryTerms,
+  NodeRetryBudget,
+  type RetryBudgetLimits,
   type ServiceId,
 } from "@foxtailwind/core";
 
 /** The allowances of all services for this node's further sends. */
 export class RetryAllowances {
-  readonly #terms: RetryTerms;
+  readonly #terms: RetryBudgetLimits;
   readonly #nodes: () => number;
-  readonly #allowances = new Map<ServiceId, RetryAllowance>();
+  readonly #allowances = new Map<ServiceId, NodeRetryBudget>();
 
   /**
    * @param terms The bound for all nodes together.
    * @param nodes Counts the nodes that share it.
    */
-  constructor(terms: RetryTerms, nodes: () => number) {
+  constructor(terms: RetryBudgetLimits, nodes: () => number) {
     this.#terms = terms;
     this.#nodes = nodes;
   }
@@ -26,7 +26,7 @@
    * @param service The service that it is for.
    */
   earn(now: Instant, service: ServiceId): void {
-    this.#of(service).earn(now);
+    this.#of(service).recordRequest(now);
   }
 
   /**
@@ -36,13 +36,13 @@
    * @returns Whether the send is allowed.
    */
   take(now: Instant, service: ServiceId): boolean {
-    return this.#of(service).take(now, Math.max(1, this.#nodes()));
+    return this.#of(service).tryTake(now, Math.max(1, this.#nodes()));
   }
 
-  #of(service: ServiceId): RetryAllowance {
+  #of(service: ServiceId): NodeRetryBudget {
     const known = this.#allowances.get(service);
     if (known !== undefined) return known;
-    const allowance = new RetryAllowance(this.#terms);
+    const allowance = new NodeRetryBudget(this.#terms);
     this.#allowances.set(service, allowance);
     return allowance;
   }
--- a/packages/node/src/relay/serving_nodes.ts
+++ b/packages/node/src/relay/serving_nodes.ts
@@ -4,7 +4,7 @@
   type Instant,
   milliseconds,
   type NodeId,
-  owningNodes,
+  ownerCandidates,
   ServingSet,
 } from "@foxtailwind/core";
 import { capacityOf, NodeLoad, toldCapacity } from "./node_load.ts";
@@ -121,7 +121,7 @@
     const wasActive = this.isActive(now);
     const candidates = this.#parts.isLeaving() ? others : [own, ...others];
     this.#serving = this.#set.choose(now, candidates);
-    this.#owning = new Set(owningNodes(candidates));
+    this.#owning = new Set(ownerCandidates(candidates));
     if (!wasActive && this.isActive(now)) this.#parts.woken();
   }
 }
--- a/packages/node/src/relay/suspicion_news.ts
+++ b/packages/node/src/relay/suspicion_news.ts
@@ -39,8 +39,11 @@
    * @param change The change.
    */
   changed(change: SuspicionChange): void {
-    if (change.kind === "dropped") this.quarantine.drop(change.key);
-    else this.quarantine.suspect(this.#parts.clock.now(), change.suspicion);
+    if (change.kind === "dropped") this.quarantine.dropSuspicion(change.key);
+    else {this.quarantine.addSuspicion(
+        this.#parts.clock.now(),
+        change.suspicion,
+      );}
   }
 
   /**
@@ -48,7 +51,7 @@
    * @param suspicions The suspicions.
    */
   listed(suspicions: readonly CrashSuspicion[]): void {
-    this.quarantine.retain([...suspicions, ...this.unwritten()]);
+    this.quarantine.retainOnly([...suspicions, ...this.unwritten()]);
     for (const suspicion of suspicions) {
       this.changed({ kind: "added", suspicion });
     }
@@ -56,7 +59,7 @@
 
   /** Tells of the contents that are refused since it was last called. */
   noteRefused(): void {
-    const { contents } = this.quarantine;
+    const { quarantinedContents: contents } = this.quarantine;
     if (contents === this.#refused) return;
     const added = [...contents].filter((one) => !this.#refused.has(one));
     this.#refused = contents;
@@ -77,6 +80,6 @@
     const known = registry.newestOffset(id);
     if (known === undefined || entry.offset <= known) return;
     const now = this.#parts.clock.now();
-    this.onServersLive(this.quarantine.serverWrote(now, id, start));
+    this.onServersLive(this.quarantine.recordServerWrite(now, id, start));
   }
 }
--- a/packages/node/src/routing/service_channel.ts
+++ b/packages/node/src/routing/service_channel.ts
@@ -6,7 +6,7 @@
   type RequestId,
   type ServiceOrder,
   ServiceRouter,
-  type ServiceRouterParts,
+  type ServiceRouterOptions,
   type ServiceServerView,
   type Target,
 } from "@foxtailwind/core";
@@ -27,7 +27,7 @@
 
 /** What a channel works with. */
 export interface ServiceChannelParts {
-  readonly router: ServiceRouterParts;
+  readonly router: ServiceRouterOptions;
   readonly client: ServiceClient;
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
@@ -121,7 +121,7 @@
     const now = this.#parts.clock.now();
     for (const order of this.#router.decide(now)) this.#carryOut(order);
     clearTimeout(this.#timer);
-    const wake = this.#router.nextWake();
+    const wake = this.#router.nextDecisionAt();
     if (wake === undefined) return;
     const delay = Math.max(1, Math.ceil(wake - now));
     this.#timer = setTimeout(() => {
--- a/packages/node/src/serving/adapter_aggregates.ts
+++ b/packages/node/src/serving/adapter_aggregates.ts
@@ -1,13 +1,13 @@
 import {
   AdapterRouter,
-  AdapterValue,
+  AdapterValueEstimator,
   DemandTracker,
   type Duration,
-  expectedGrantWait,
+  expectedPermitWait,
+  type LoadEstimates,
   type LoadLimits,
-  type LoadOutlook,
   milliseconds,
-  PrefetchScout,
+  PrefetchPlanner,
   PrefixHistory,
   ResidenceIndex,
   SmoothedDuration,
@@ -23,7 +23,7 @@
 };
 
 /** What this node expects of loads, by its own and the permit holder's word. */
-export class MeasuredLoadOutlook implements LoadOutlook {
+export class MeasuredLoadOutlook implements LoadEstimates {
   limits: LoadLimits = CAUTIOUS_LIMITS;
   /** How many permits are out in the whole deployment. */
   outstanding = 0;
@@ -45,8 +45,8 @@
   }
 
   expectedWait(ahead: number): Duration {
-    return expectedGrantWait({
-      ahead,
+    return expectedPermitWait({
+      wishesAhead: ahead,
       outstanding: this.outstanding,
       limits: this.limits,
       loadTime: this.loadTime,
@@ -61,12 +61,12 @@
   readonly prefixes = new PrefixHistory();
   readonly loads = new MeasuredLoadOutlook();
   readonly router: AdapterRouter;
-  readonly value: AdapterValue;
-  readonly scout: PrefetchScout;
+  readonly value: AdapterValueEstimator;
+  readonly scout: PrefetchPlanner;
 
   constructor() {
     this.router = new AdapterRouter(this);
-    this.value = new AdapterValue(this);
-    this.scout = new PrefetchScout(this);
+    this.value = new AdapterValueEstimator(this);
+    this.scout = new PrefetchPlanner(this);
   }
 }
--- a/packages/node/src/serving/engine_runner.ts
+++ b/packages/node/src/serving/engine_runner.ts
@@ -198,7 +198,7 @@
       loads: aggregates.loads,
     });
     this.#controlledSince = this.#now();
-    controller.takeIn(this.#controlledSince, found);
+    controller.adoptState(this.#controlledSince, found);
     views.put(controller);
     return controller;
   }
@@ -206,7 +206,7 @@
   #noteDemand({ adapter, firstTokenTarget }: GenerationRequest): void {
     const key = adapterKey(adapter);
     const arrival = { key, adapter, target: firstTokenTarget };
-    this.#parts.aggregates.demand.arrived(this.#now(), arrival);
+    this.#parts.aggregates.demand.recordArrival(this.#now(), arrival);
   }
 
   #act(): void {
@@ -220,7 +220,7 @@
   #offerWishes(): void {
     const { aggregates, engine, views } = this.#parts;
     const now = this.#now();
-    aggregates.scout.look(now, views.running(this.#model));
+    aggregates.scout.update(now, views.running(this.#model));
     const prefetch = aggregates.scout.candidates(now, engine);
     this.#wishes.offer(now, this.#controller.wishes(now, prefetch));
   }
--- a/packages/node/src/serving/engine_state_follower.ts
+++ b/packages/node/src/serving/engine_state_follower.ts
@@ -46,7 +46,8 @@
   }
 
   override get needsState(): boolean {
-    return this.#orphans.size > 0 || this.#parts.controller().hasUnproven;
+    return this.#orphans.size > 0 ||
+      this.#parts.controller().hasUnverifiedAdapters;
   }
 
   /**
@@ -87,8 +88,8 @@
     const { engine, prefixes } = this.#parts;
     for (const event of events) {
       const prefix = { key: adapterKey(event.adapter), hash: event.prefixHash };
-      if (event.kind === "stored") prefixes.stored(prefix, engine);
-      else prefixes.evicted(prefix, engine);
+      if (event.kind === "stored") prefixes.recordStored(prefix, engine);
+      else prefixes.recordEvicted(prefix, engine);
     }
   }
 
@@ -99,7 +100,7 @@
     if (now < controlledSince() + LONGEST_FLIGHT_MILLISECONDS) return;
     const inUse = state.running.filter(({ request }) => !isHeld(request))
       .map((running) => adapterKey(running.adapter));
-    this.#parts.controller().found(now, {
+    this.#parts.controller().reconcile(now, {
       resident: state.resident.map(adapterKey),
       loading: state.loading.map(adapterKey),
       inUse: new Set(inUse),
--- a/packages/node/src/serving/generation_router.ts
+++ b/packages/node/src/serving/generation_router.ts
@@ -252,9 +252,9 @@
     }
     const { adapter, firstTokenTarget } = generation;
     const key = adapterKey(adapter);
-    this.#watcher.viewOf(engine)?.sent(key);
+    this.#watcher.viewOf(engine)?.recordSent(key);
     const arrival = { key, adapter, target: firstTokenTarget };
-    aggregates.demand.arrived(now, arrival);
+    aggregates.demand.recordArrival(now, arrival);
     return peers.generate(peer, { engine, generation, now }, sink);
   }
 
--- a/packages/node/src/serving/permits/permit_holder.ts
+++ b/packages/node/src/serving/permits/permit_holder.ts
@@ -4,7 +4,7 @@
   type Instant,
   later,
   type LoadLimits,
-  LoadPermitLedger,
+  LoadPermitIssuer,
   type LoadWish,
   seconds,
 } from "@foxtailwind/core";
@@ -18,7 +18,7 @@
 /** Holds the permits of one weight store while this node is chosen for it. */
 export class PermitHolder {
   readonly #clock: SteadyClock;
-  readonly #ledger: LoadPermitLedger;
+  readonly #ledger: LoadPermitIssuer;
   readonly #listeners = new Map<EngineId, PermitListener>();
   #timer: NodeJS.Timeout | undefined;
 
@@ -28,7 +28,7 @@
    */
   constructor(clock: SteadyClock, limits: LoadLimits) {
     this.#clock = clock;
-    this.#ledger = new LoadPermitLedger(limits, later(clock.now(), QUIET));
+    this.#ledger = new LoadPermitIssuer(limits, later(clock.now(), QUIET));
   }
 
   /** How many permits are out. */
@@ -56,7 +56,7 @@
     listener: PermitListener,
   ): void {
     this.#listeners.set(engine, listener);
-    this.#ledger.offer(this.#clock.now(), engine, wishes);
+    this.#ledger.setWishes(this.#clock.now(), engine, wishes);
     this.#grant();
   }
 
@@ -66,7 +66,7 @@
    */
   ended(load: PermittedLoad & { readonly loaded: boolean }): void {
     const key = adapterKey(load.adapter);
-    this.#ledger.finished(this.#clock.now(), { ...load, key });
+    this.#ledger.release(this.#clock.now(), { ...load, key });
     this.#grant();
   }
 
@@ -84,7 +84,7 @@
    * @param engine The engine.
    */
   withdraw(engine: EngineId): void {
-    this.#ledger.offer(this.#clock.now(), engine, []);
+    this.#ledger.setWishes(this.#clock.now(), engine, []);
     this.#listeners.delete(engine);
   }
 
@@ -102,7 +102,7 @@
       if (permit === undefined) break;
       const listener = this.#listeners.get(permit.engine);
       if (listener === undefined) {
-        this.#ledger.finished(now, { ...permit, loaded: false });
+        this.#ledger.release(now, { ...permit, loaded: false });
       } else {
         listener(permit.adapter);
       }
--- a/packages/node/src/serving/permits/static_permits.ts
+++ b/packages/node/src/serving/permits/static_permits.ts
@@ -2,7 +2,7 @@
   adapterKey,
   type EngineId,
   type LoadLimits,
-  LoadPermitLedger,
+  LoadPermitIssuer,
   type LoadWish,
   staticShare,
 } from "@foxtailwind/core";
@@ -12,7 +12,7 @@
 /** Grants each engine its cautious share while no holder can be reached. */
 export class StaticPermits {
   readonly #clock: SteadyClock;
-  readonly #ledgers = new Map<EngineId, LoadPermitLedger>();
+  readonly #ledgers = new Map<EngineId, LoadPermitIssuer>();
 
   /** @param clock This VM's clock. */
   constructor(clock: SteadyClock) {
@@ -33,10 +33,10 @@
   }): void {
     const now = this.#clock.now();
     const share = staticShare(how.limits, how.engines);
-    const ledger = this.#ledgers.get(engine) ?? new LoadPermitLedger(share);
+    const ledger = this.#ledgers.get(engine) ?? new LoadPermitIssuer(share);
     this.#ledgers.set(engine, ledger);
     ledger.changeLimits(now, share);
-    ledger.offer(now, engine, wishes);
+    ledger.setWishes(now, engine, wishes);
     const permit = ledger.grant(now);
     if (permit !== undefined) how.listener(permit.adapter);
   }
@@ -48,6 +48,6 @@
   ended(load: PermittedLoad & { readonly loaded: boolean }): void {
     const key = adapterKey(load.adapter);
     const ledger = this.#ledgers.get(load.engine);
-    ledger?.finished(this.#clock.now(), { ...load, key });
+    ledger?.release(this.#clock.now(), { ...load, key });
   }
 }
--- a/packages/node/src/serving/summaries/summary_messages.ts
+++ b/packages/node/src/serving/summaries/summary_messages.ts
@@ -1,11 +1,11 @@
 import {
   adapterKey,
   type AdapterStanding,
+  type AdapterWithStanding,
   engineId,
   type EngineSummary,
   milliseconds,
-  type StandingAdapter,
-  type TargetLoad,
+  type TargetCount,
 } from "@foxtailwind/core";
 import {
   type AdapterChange,
@@ -27,7 +27,7 @@
  */
 export function toSummaryMessage(
   summary: EngineSummary,
-  changes: readonly StandingAdapter[],
+  changes: readonly AdapterWithStanding[],
   whole: boolean,
 ): SummaryMessage {
   return {
@@ -74,7 +74,9 @@
  * @param message The message.
  * @returns The adapters and their standing.
  */
-export function changesOf(message: SummaryMessage): readonly StandingAdapter[] {
+export function changesOf(
+  message: SummaryMessage,
+): readonly AdapterWithStanding[] {
   return message.changes.map((change) => {
     const adapter = fromLoadedAdapter(change.adapter);
     const standing = fromStanding(change.standing);
@@ -82,7 +84,7 @@
   });
 }
 
-function toChange(changed: StandingAdapter): AdapterChange {
+function toChange(changed: AdapterWithStanding): AdapterChange {
   return {
     adapter: toLoadedAdapter(changed.adapter),
     standing: toStanding(changed.standing),
@@ -120,7 +122,7 @@
 function toClassLoads(summary: EngineSummary): ClassLoad[] {
   const byTarget = new Map<number, ClassLoad>();
   function count(
-    loads: readonly TargetLoad[],
+    loads: readonly TargetCount[],
     place: "ready" | "blocked" | "running",
   ): void {
     for (const { target, count } of loads) {
@@ -143,7 +145,7 @@
 function loadsOf(
   classes: readonly ClassLoad[],
   countOf: (entry: ClassLoad) => number,
-): readonly TargetLoad[] {
+): readonly TargetCount[] {
   return classes.map((entry) => ({
     target: milliseconds(entry.targetMilliseconds),
     count: countOf(entry),
--- a/packages/node/src/serving/summaries/summary_service.ts
+++ b/packages/node/src/serving/summaries/summary_service.ts
@@ -1,8 +1,8 @@
 import {
   type AdapterKey,
+  type AdapterWithStanding,
   type EngineController,
   type EngineId,
-  type StandingAdapter,
 } from "@foxtailwind/core";
 import {
   EngineSummariesService,
@@ -67,7 +67,7 @@
 }
 
 interface SentSummary {
-  readonly standings: ReadonlyMap<AdapterKey, StandingAdapter>;
+  readonly standings: ReadonlyMap<AdapterKey, AdapterWithStanding>;
   readonly text: string;
   readonly age: number;
 }
@@ -132,10 +132,10 @@
 }
 
 function changedStandings(
-  before: ReadonlyMap<AdapterKey, StandingAdapter> | undefined,
-  after: ReadonlyMap<AdapterKey, StandingAdapter>,
-): readonly StandingAdapter[] {
-  const changes: StandingAdapter[] = [];
+  before: ReadonlyMap<AdapterKey, AdapterWithStanding> | undefined,
+  after: ReadonlyMap<AdapterKey, AdapterWithStanding>,
+): readonly AdapterWithStanding[] {
+  const changes: AdapterWithStanding[] = [];
   for (const [key, entry] of after) {
     if (before?.get(key)?.standing !== entry.standing) changes.push(entry);
   }
--- a/packages/node/tests/relay/engine_restart_test.ts
+++ b/packages/node/tests/relay/engine_restart_test.ts
@@ -136,7 +136,7 @@
     await Promise.resolve();
     owner.update(restart(control));
     t.is((await use(owner, "c")).kind, "granted", kind);
-    t.not(knowledge.claims.right(SERVER.id), undefined);
+    t.not(knowledge.claims.orderPermission(SERVER.id), undefined);
     owner.stop();
   }
 });
--- a/packages/node/tests/relay/helpers/owned_engine.ts
+++ b/packages/node/tests/relay/helpers/owned_engine.ts
@@ -2,7 +2,6 @@
   adapterId,
   backendServerId,
   failureDomainId,
-  LateOrders,
   logOffset,
   milliseconds,
   modelId,
@@ -10,6 +9,7 @@
   type RegisteredServer,
   serverStart,
   serviceId,
+  UnansweredLoads,
 } from "@foxtailwind/core";
 import { EngineOwner, type UseAnswer } from "@foxtailwind/node/relay";
 import { relayBase } from "./relay_base.ts";
@@ -47,7 +47,7 @@
     megabytes: 10,
     adapterSlots: slots,
   };
-  const lateOrders = new LateOrders();
+  const lateOrders = new UnansweredLoads();
   const own = (server: RegisteredServer) =>
     new EngineOwner(server, terms, {
       settings,
--- a/packages/node/tests/relay/helpers/relay_world.ts
+++ b/packages/node/tests/relay/helpers/relay_world.ts
@@ -6,7 +6,7 @@
 } from "@foxtailwind/bench";
 import {
   backendServerId,
-  CallerPatience,
+  CallerTimeouts,
   type Duration,
   type Instant,
   instant,
@@ -105,10 +105,10 @@
       wire: new StandInWire(),
       nodes: () => 1,
       asked: () => undefined,
-      patience: new CallerPatience(),
+      patience: new CallerTimeouts(),
       plannedStop: () => this.stop,
       allowances: new RetryAllowances({
-        share: 0.2,
+        retriesPerRequest: 0.2,
         reserve: 58,
         window: seconds(10),
       }, () => 1),
