--- a/packages/node/tests/relay/knowledge_message_test.ts
+++ b/packages/node/tests/relay/knowledge_message_test.ts
@@ -150,7 +150,7 @@
 test("the registry is told to those alone who lack a change of it", (t) => {
   const peer = knowledge();
   const { registry } = peer;
-  registry.toldUntil(logOffset(7));
+  registry.advanceChangedAt(logOffset(7));
   t.is(writeKnowledge(peer, { ...ASKER, registryEnd: 7 }).registry, "");
   t.is(writeKnowledge(peer, { ...ASKER, registryEnd: 6 }).registry, "[]");
 });
--- a/packages/node/tests/relay/quarantine_test.ts
+++ b/packages/node/tests/relay/quarantine_test.ts
@@ -45,7 +45,9 @@
   const path = "/once/crashing";
   for (const id of ["r1", "r2", "r3", "r4", "r5", "r6", "r7", "r8"]) {
     await world.call(path, { body: BODY, headers: { "x-id": id } });
-    if (world.knowledge.suspicions.quarantine.contents.size > 0) break;
+    if (world.knowledge.suspicions.quarantine.quarantinedContents.size > 0) {
+      break;
+    }
   }
   const before = arrivals.length;
   const refused = await world.call(path, { body: BODY });
@@ -167,7 +169,7 @@
       world.knowledge.suspicion({ kind: "added", suspicion });
     }
   }
-  t.is(world.knowledge.suspicions.quarantine.contents.size, 2);
+  t.is(world.knowledge.suspicions.quarantine.quarantinedContents.size, 2);
   world.front.endCrashing();
   t.regex((await waiting?.ended)?.bytes ?? "", /^HTTP\/1\.1 502 /);
   finish();
@@ -175,7 +177,7 @@
   t.regex(served?.bytes ?? "", /^HTTP\/1\.1 200 /);
   t.true(served?.looksWhole);
   t.is(
-    world.knowledge.suspicions.quarantine.contents.size,
+    world.knowledge.suspicions.quarantine.quarantinedContents.size,
     1,
     "It was served.",
   );
--- a/packages/node/tests/relay/server_starts_test.ts
+++ b/packages/node/tests/relay/server_starts_test.ts
@@ -49,14 +49,14 @@
   const loads = new ServerLoads(failureDomainId("d"));
   const first = loads.of(server(10));
   for (let dead = 0; dead < 3; dead += 1) {
-    first.sent(instant(dead));
-    first.ended(instant(dead), { kind: "dead" });
+    first.recordSend(instant(dead));
+    first.recordResult(instant(dead), { kind: "dead" });
   }
-  first.sent(instant(5));
+  first.recordSend(instant(5));
   t.true(loads.of(server(10)).isPaused(instant(10)));
   const second = loads.of(server(20));
   t.false(second.isPaused(instant(10)));
-  first.ended(instant(11), { kind: "dead" });
+  first.recordResult(instant(11), { kind: "dead" });
   t.is(second.running, 0);
   t.false(second.isPaused(instant(12)));
 });
