--- a/packages/core/src/addresses/address_choice.ts
+++ b/packages/core/src/addresses/address_choice.ts
@@ -9,141 +9,155 @@
   type RegionId,
 } from "../shared/mod.ts";
 
-/** A node that callers could be sent to. */
+/** A node that may be returned to callers. */
 export interface AddressCandidate {
   readonly node: NodeId;
   readonly region: RegionId;
   readonly failureDomain: FailureDomainId;
   readonly leaving: boolean;
-  /** Work in progress, in any unit that all nodes share; absent if unknown. */
+  /** Work in progress, in a unit common to all nodes; absent if unknown. */
   readonly load?: number;
 }
 
-/** What a caller says of itself and its work. */
+/** What a caller states about itself and its work. */
 export interface AddressQuery {
   readonly region?: string;
   readonly failureDomain?: string;
-  /** The node that controls the engine which will likely do the work. */
+  /** The node that controls the engine likely to serve the request. */
   readonly controller?: NodeId;
 }
 
-/** The nodes to use, best first, and for how long. */
+/** The nodes to use, best first, and how long the list is valid. */
 export interface AddressAnswer {
   readonly nodes: readonly NodeId[];
   readonly lifetime: Duration;
 }
 
-/** What an answer is made with. */
+/** The inputs of an address choice besides the nodes and the query. */
 export interface AddressChoiceOptions {
-  /** The longest lifetime of an answer. */
+  /** The maximum lifetime of an answer. */
   readonly longestLifetime: Duration;
   readonly random: RandomSource;
 }
 
-interface Weighted {
+interface WeightedCandidate {
   readonly candidate: AddressCandidate;
-  /** 1 at the mean load; within bounds, so that no answer moves everyone. */
+  /** 1 at the mean load; bounded, so that no answer diverts all callers. */
   readonly weight: number;
 }
 
-const MOST_NAMED = 4;
-const LOWEST_WEIGHT = 0.5;
-const HIGHEST_WEIGHT = 1.5;
-const UNEVEN_WEIGHT = 0.75;
-const UNEVEN_LIFETIME_SHARE = 0.5;
-const LIFETIME_SPREAD = 0.1;
+const MAXIMUM_NODES = 4;
+const MINIMUM_WEIGHT = 0.5;
+const MAXIMUM_WEIGHT = 1.5;
+const UNEVEN_LOAD_WEIGHT = 0.75;
+const UNEVEN_LOAD_LIFETIME_FACTOR = 0.5;
+const LIFETIME_JITTER = 0.1;
 
 /**
- * Chooses the nodes that a caller is to use. Nodes near the caller go first,
- * in random order weighted against their load; a part of the callers of an
- * overloaded node, at most half, is sent elsewhere.
- * @param candidates All nodes known, this one too.
- * @param query What the caller says of itself.
- * @param options The longest lifetime and the generator.
- * @returns The answer; it names no node that is leaving.
+ * Chooses the nodes that a caller should use. Nodes near the caller come
+ * first, in random order weighted inversely by load. At most half of the
+ * callers of an overloaded node are sent elsewhere.
+ * @param candidates All known nodes, including this one.
+ * @param query What the caller states about itself.
+ * @param options The maximum lifetime and the random number generator.
+ * @returns The answer, which contains no node that is leaving.
  */
 export function chooseAddresses(
   candidates: readonly AddressCandidate[],
   query: AddressQuery,
   options: AddressChoiceOptions,
 ): AddressAnswer {
-  const staying = candidates.filter((candidate) => !candidate.leaving);
-  const weighted = weigh(staying);
+  const available = candidates.filter((candidate) => !candidate.leaving);
+  const weighted = assignWeights(available);
   const ordered = preferController(orderNodes(weighted, query, options), query);
-  const nodes = ordered.slice(0, MOST_NAMED).map((one) => one.candidate.node);
+  const nodes = ordered.slice(0, MAXIMUM_NODES).map((entry) =>
+    entry.candidate.node
+  );
   assertInvariant(
-    ordered.every((one) => !one.candidate.leaving),
+    ordered.every((entry) => !entry.candidate.leaving),
     "leaving_node_is_not_named",
-    () => `Named are ${nodes.join(", ")}.`,
+    () => `The answer contains ${nodes.join(", ")}.`,
   );
-  return { nodes, lifetime: lifetimeOf(weighted, options) };
+  return { nodes, lifetime: answerLifetime(weighted, options) };
 }
 
-function weigh(staying: readonly AddressCandidate[]): readonly Weighted[] {
-  const known = staying.flatMap(({ load }) => load === undefined ? [] : [load]);
-  const sum = known.reduce((total, load) => total + load, 0);
-  const mean = sum / Math.max(1, known.length);
-  return staying.map((candidate) => ({
+function assignWeights(
+  available: readonly AddressCandidate[],
+): readonly WeightedCandidate[] {
+  const knownLoads = available.flatMap(({ load }) =>
+    load === undefined ? [] : [load]
+  );
+  const sum = knownLoads.reduce((total, load) => total + load, 0);
+  const mean = sum / Math.max(1, knownLoads.length);
+  return available.map((candidate) => ({
     candidate,
     weight: weightOf(candidate.load ?? mean, mean),
   }));
 }
 
-/** One is added to both, so that single requests do not count for much. */
+/** Adds one to both loads, so that at low load single requests count little. */
 function weightOf(load: number, mean: number): number {
   const ratio = (mean + 1) / (load + 1);
-  return Math.min(HIGHEST_WEIGHT, Math.max(LOWEST_WEIGHT, ratio));
+  return Math.min(MAXIMUM_WEIGHT, Math.max(MINIMUM_WEIGHT, ratio));
 }
 
 function orderNodes(
-  weighted: readonly Weighted[],
+  weighted: readonly WeightedCandidate[],
   query: AddressQuery,
   { random }: AddressChoiceOptions,
-): readonly Weighted[] {
+): readonly WeightedCandidate[] {
   const shuffled = weightedShuffle(weighted, random);
-  const isNear = ({ candidate }: Weighted): boolean =>
+  const isInDomain = ({ candidate }: WeightedCandidate): boolean =>
     candidate.failureDomain === query.failureDomain;
-  const isRegional = ({ candidate }: Weighted): boolean =>
+  const isInRegion = ({ candidate }: WeightedCandidate): boolean =>
     query.region === undefined || candidate.region === query.region;
-  const near = shuffled.filter(isNear);
-  const regional = shuffled.filter((one) => !isNear(one) && isRegional(one));
-  const others = shuffled.filter((one) => !isNear(one) && !isRegional(one));
-  const first = near[0];
-  const isMoved = first !== undefined && regional.length > 0 &&
+  const inDomain = shuffled.filter(isInDomain);
+  const inRegion = shuffled.filter((entry) =>
+    !isInDomain(entry) && isInRegion(entry)
+  );
+  const others = shuffled.filter((entry) =>
+    !isInDomain(entry) && !isInRegion(entry)
+  );
+  const first = inDomain[0];
+  const isDiverted = first !== undefined && inRegion.length > 0 &&
     uniformFloat64(random) > first.weight;
-  return isMoved
-    ? [...regional.slice(0, 1), ...near, ...regional.slice(1), ...others]
-    : [...near, ...regional, ...others];
+  return isDiverted
+    ? [...inRegion.slice(0, 1), ...inDomain, ...inRegion.slice(1), ...others]
+    : [...inDomain, ...inRegion, ...others];
 }
 
 /** Weighted sampling without replacement (Efraimidis and Spirakis, 2006). */
 function weightedShuffle(
-  weighted: readonly Weighted[],
+  weighted: readonly WeightedCandidate[],
   random: RandomSource,
-): readonly Weighted[] {
-  const keyed = weighted.map((one) => ({
-    one,
-    key: uniformFloat64(random) ** (1 / one.weight),
+): readonly WeightedCandidate[] {
+  const withKeys = weighted.map((entry) => ({
+    entry,
+    key: uniformFloat64(random) ** (1 / entry.weight),
   }));
-  keyed.sort((left, right) => right.key - left.key);
-  return keyed.map(({ one }) => one);
+  withKeys.sort((left, right) => right.key - left.key);
+  return withKeys.map(({ entry }) => entry);
 }
 
 function preferController(
-  ordered: readonly Weighted[],
+  ordered: readonly WeightedCandidate[],
   { controller }: AddressQuery,
-): readonly Weighted[] {
-  const preferred = ordered.find((one) => one.candidate.node === controller);
+): readonly WeightedCandidate[] {
+  const preferred = ordered.find((entry) =>
+    entry.candidate.node === controller
+  );
   if (preferred === undefined) return ordered;
-  return [preferred, ...ordered.filter((one) => one !== preferred)];
+  return [preferred, ...ordered.filter((entry) => entry !== preferred)];
 }
 
-function lifetimeOf(
-  weighted: readonly Weighted[],
+function answerLifetime(
+  weighted: readonly WeightedCandidate[],
   { longestLifetime, random }: AddressChoiceOptions,
 ): Duration {
-  const isUneven = weighted.some(({ weight }) => weight < UNEVEN_WEIGHT);
-  const share = isUneven ? UNEVEN_LIFETIME_SHARE : 1;
-  const spread = 1 - uniformFloat64(random) * LIFETIME_SPREAD;
-  return milliseconds(longestLifetime * share * spread);
+  const isLoadUneven = weighted.some(({ weight }) =>
+    weight < UNEVEN_LOAD_WEIGHT
+  );
+  const factor = isLoadUneven ? UNEVEN_LOAD_LIFETIME_FACTOR : 1;
+  const jitter = 1 - uniformFloat64(random) * LIFETIME_JITTER;
+  return milliseconds(longestLifetime * factor * jitter);
 }
--- a/packages/core/src/configuration/change.ts
+++ b/packages/core/src/configuration/change.ts
@@ -11,9 +11,9 @@
 } from "../shared/mod.ts";
 import { type ItemKey, itemKeyOf } from "./item_key.ts";
 
-const MAXIMUM_TEXT = 128;
+const MAXIMUM_TEXT_CHARACTERS = 128;
 
-function branded<Id extends string>() {
+function idSchema<Id extends string>() {
   return z.string().regex(/^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$/)
     .transform((value) => value as Id);
 }
@@ -32,67 +32,68 @@
 const changeSchema = z.discriminatedUnion("kind", [
   z.strictObject({
     kind: z.literal("set_class"),
-    class: branded<ClassId>(),
+    class: idSchema<ClassId>(),
     target: targetSchema,
   }),
   z.strictObject({
     kind: z.literal("remove_class"),
-    class: branded<ClassId>(),
+    class: idSchema<ClassId>(),
   }),
   z.strictObject({
     kind: z.literal("set_tenant"),
-    tenant: branded<TenantId>(),
+    tenant: idSchema<TenantId>(),
   }),
   z.strictObject({
     kind: z.literal("remove_tenant"),
-    tenant: branded<TenantId>(),
+    tenant: idSchema<TenantId>(),
   }),
   z.strictObject({
     kind: z.literal("set_adapter"),
-    adapter: branded<AdapterId>(),
-    model: branded<ModelId>(),
-    versions: z.array(branded<AdapterVersion>()).min(1).readonly(),
-    current: branded<AdapterVersion>(),
+    adapter: idSchema<AdapterId>(),
+    model: idSchema<ModelId>(),
+    versions: z.array(idSchema<AdapterVersion>()).min(1).readonly(),
+    current: idSchema<AdapterVersion>(),
   }),
   z.strictObject({
     kind: z.literal("remove_adapter"),
-    adapter: branded<AdapterId>(),
+    adapter: idSchema<AdapterId>(),
   }),
   z.strictObject({
     kind: z.literal("set_service"),
-    service: branded<ServiceId>(),
+    service: idSchema<ServiceId>(),
     target: targetSchema,
   }),
   z.strictObject({
     kind: z.literal("remove_service"),
-    service: branded<ServiceId>(),
+    service: idSchema<ServiceId>(),
   }),
 ]);
 
-/** How many changes one record carries at most. */
+/** The maximum number of changes in one record. */
 export const MAXIMUM_RECORD_CHANGES = 500;
 
 /**
- * The newest form of records that this program reads. A record's meaning is
- * fixed by its format: a change of {@link configurationRecordSchema} needs a
- * new number, else two releases would decide differently about one record.
+ * The newest record format that this release reads. The format number fixes
+ * the meaning of a record: any change to {@link configurationRecordSchema}
+ * needs a new number, otherwise two releases would decide differently about
+ * the same record.
  */
 export const RECORD_FORMAT = 1;
 
 const changesSchema = z.array(changeSchema).min(1).max(MAXIMUM_RECORD_CHANGES)
   .superRefine((changes, context) => {
-    const seen = new Set<ItemKey>();
+    const seenItems = new Set<ItemKey>();
     for (const [index, change] of changes.entries()) {
       const item = itemKeyOf(change);
-      if (seen.has(item)) {
+      if (seenItems.has(item)) {
         context.addIssue({
           code: "custom",
           path: [index],
           message: `changes ${item} a second time; name each item once`,
         });
       }
-      seen.add(item);
-      if (namesUnknownCurrent(change)) {
+      seenItems.add(item);
+      if (hasUnlistedCurrentVersion(change)) {
         context.addIssue({
           code: "custom",
           path: [index, "current"],
@@ -102,27 +103,29 @@
     }
   });
 
-function namesUnknownCurrent(change: z.output<typeof changeSchema>): boolean {
+function hasUnlistedCurrentVersion(
+  change: z.output<typeof changeSchema>,
+): boolean {
   return change.kind === "set_adapter" &&
     !change.versions.includes(change.current);
 }
 
-/** The form of a configuration record in the log. */
+/** The schema of a configuration record in the log. */
 export const configurationRecordSchema = z.object({
-  id: z.string().min(1).max(MAXIMUM_TEXT).transform((value) =>
+  id: z.string().min(1).max(MAXIMUM_TEXT_CHARACTERS).transform((value) =>
     value as ChangeId
   ),
-  author: z.string().max(MAXIMUM_TEXT),
-  /** The offset of the configuration that the author changes; -1 for none. */
+  author: z.string().max(MAXIMUM_TEXT_CHARACTERS),
+  /** The offset of the configuration that the author saw; -1 for none. */
   base: z.number().int().min(-1).transform((value) => value as LogOffset),
   changes: changesSchema,
 });
 
-/** How quickly the requests of a class must be answered. */
+/** The latency targets of a class or service. */
 export type Target = z.output<typeof targetSchema>;
 
-/** One change of one item of the configuration. */
+/** A change of one configuration item. */
 export type ConfigurationChange = z.output<typeof changeSchema>;
 
-/** A record of changes that are accepted or refused together. */
+/** A set of changes that are accepted or refused together. */
 export type ConfigurationRecord = z.output<typeof configurationRecordSchema>;
--- a/packages/core/src/configuration/configuration.ts
+++ b/packages/core/src/configuration/configuration.ts
@@ -23,13 +23,13 @@
 import { fingerprintOf, StateDigest } from "./state_digest.ts";
 import type { FirstVerdict, RecordVerdict } from "./verdict.ts";
 
-/** The base of a change to an item that does not exist. */
+/** The version of an absent item, and the base of a change that creates it. */
 export const NO_VERSION = -1 as LogOffset;
 
 /**
- * How far back a record's base may lie. Removed items are remembered for as
- * long, so that a late record cannot bring one back unnoticed; beyond it the
- * record is refused. Nearly two days at 36,000 changes a day.
+ * How many offsets a record's base may lag behind the record; older bases are
+ * refused. Removed items are remembered for as long, so that a late record
+ * cannot recreate one undetected. Nearly two days at 36,000 changes a day.
  */
 export const BASE_WINDOW = 65_536;
 
@@ -39,28 +39,28 @@
 }
 
 /**
- * The configuration in force, built from the records of the log in the order
- * of their offsets, never backwards.
+ * The configuration in force, built by applying the records of the log in
+ * strictly increasing order of their offsets.
  */
 export class Configuration {
   readonly #rules: ConfigurationRules;
   #state = new ConfigurationState();
   #recent = new RecentChanges();
   #digest = new StateDigest();
-  #removed: RemovedItem[] = [];
+  #removedItems: RemovedItem[] = [];
   #offset = NO_VERSION;
 
-  /** @param rules The decisions, as they are unless a run breaks one. */
+  /** @param rules The decision rules; randomised tests break single ones. */
   constructor(rules: ConfigurationRules = new ConfigurationRules()) {
     this.#rules = rules;
   }
 
-  /** The offset of the last record that was read, accepted or not. */
+  /** The offset of the last record read, whether accepted or not. */
   get offset(): LogOffset {
     return this.#offset;
   }
 
-  /** The classes by id. */
+  /** The latency targets of classes by id. */
   get classes(): ReadonlyMap<ClassId, Target> {
     return this.#state.classes;
   }
@@ -75,39 +75,39 @@
     return this.#state.adapters;
   }
 
-  /** The services by id. */
+  /** The latency targets of services by id. */
   get services(): ReadonlyMap<ServiceId, Target> {
     return this.#state.services;
   }
 
-  /** Where each item comes from, removed ones included. */
+  /** The change that last set each item, including removed items. */
   get origins(): ReadonlyMap<ItemKey, ItemOrigin> {
     return this.#state.origins;
   }
 
-  /** The latest changes and what became of them. */
+  /** The latest changes and their verdicts. */
   get recent(): Pick<RecentChanges, "all" | "find" | "latest" | "size"> {
     return this.#recent;
   }
 
-  /** A digest of all that decides about later records. */
+  /** A digest of all state that affects verdicts on later records. */
   get digest(): string {
     return this.#digest.text;
   }
 
   /**
-   * Tells which change made an item as it is.
+   * Returns the version of an item.
    * @param item The item.
-   * @returns The offset of its last accepted change, or -1.
+   * @returns The offset of its last accepted change, or -1 if none is known.
    */
   versionOf(item: ItemKey): LogOffset {
     return this.#state.origins.get(item)?.offset ?? NO_VERSION;
   }
 
   /**
-   * Reads an item as the change that would make it.
+   * Returns an item's current state as the change that would produce it.
    * @param item The item.
-   * @returns The change, which removes the item where there is none.
+   * @returns The change; a removal if the item does not exist.
    */
   changeThatMakes(item: ItemKey): ConfigurationChange {
     return this.#state.changeThatMakes(item);
@@ -115,9 +115,9 @@
 
   /**
    * Applies the next record of the log.
-   * @param offset The record's offset, above all before.
+   * @param offset The record's offset, higher than all before it.
    * @param record The record.
-   * @returns Whether it is accepted; the same for every reader.
+   * @returns The verdict; the same for every reader of the log.
    */
   apply(offset: LogOffset, record: ConfigurationRecord): RecordVerdict {
     this.skipTo(offset);
@@ -137,48 +137,48 @@
     this.#remember({ id, offset, author, summary, fingerprint, verdict });
     if (verdict.kind !== "accepted") return verdict;
     const origin: ItemOrigin = { offset, author, change: id };
-    for (const change of record.changes) this.#change(change, origin);
+    for (const change of record.changes) this.#applyChange(change, origin);
     return verdict;
   }
 
   /**
-   * Passes over a record that changes nothing.
+   * Advances past a record that changes nothing.
    * @param offset The record's offset.
    */
   skipTo(offset: LogOffset): void {
     assertInvariant(
       offset > this.#offset,
       "configuration_never_reverts",
-      () => `Offset ${offset} comes after ${this.#offset}.`,
+      () => `Offset ${offset} does not exceed ${this.#offset}.`,
     );
     this.#offset = offset;
-    this.#forgetRemoved();
+    this.#expireRemovedItems();
   }
 
   /**
-   * Becomes equal to another configuration that covers more. Those who hold
-   * this one go on with it.
-   * @param other The other one, which must not be used afterwards.
+   * Replaces this configuration's content by that of another one that covers
+   * more records. References to this object stay valid.
+   * @param other The other configuration, which must not be used afterwards.
    */
-  become(other: Configuration): void {
+  replaceWith(other: Configuration): void {
     this.skipTo(other.#offset);
     this.#state = other.#state;
     this.#recent = other.#recent;
     this.#digest = other.#digest;
-    this.#removed = other.#removed;
+    this.#removedItems = other.#removedItems;
   }
 
   /**
-   * Takes over an item and its origin from a snapshot.
-   * @param change The change that makes the item.
-   * @param origin Where it comes from.
+   * Restores an item and its origin from a snapshot.
+   * @param change The change that produces the item.
+   * @param origin The change that last set the item.
    */
   restoreItem(change: ConfigurationChange, origin: ItemOrigin): void {
-    this.#change(change, origin);
+    this.#applyChange(change, origin);
   }
 
   /**
-   * Takes over a remembered change from a snapshot.
+   * Restores a recent change from a snapshot.
    * @param change The change.
    */
   restoreChange(change: RecentChange): void {
@@ -196,13 +196,13 @@
       const origin = this.#state.origins.get(item);
       if (origin === undefined) continue;
       if (this.#rules.baseHolds(origin.offset, record.base)) continue;
-      const { author, change: winner } = origin;
+      const { author, change: winningChange } = origin;
       return {
         kind: "conflict",
         item,
         winner: origin.offset,
         author,
-        change: winner,
+        change: winningChange,
       };
     }
     return { kind: "accepted" };
@@ -210,17 +210,17 @@
 
   #remember(change: RecentChange): void {
     this.#digest.toggle(changeLine(change));
-    const forgotten = this.#recent.remember(change);
-    if (forgotten !== undefined) this.#digest.toggle(changeLine(forgotten));
+    const evicted = this.#recent.remember(change);
+    if (evicted !== undefined) this.#digest.toggle(changeLine(evicted));
   }
 
-  #change(change: ConfigurationChange, origin: ItemOrigin): void {
+  #applyChange(change: ConfigurationChange, origin: ItemOrigin): void {
     const item = itemKeyOf(change);
     this.#toggleItem(item);
-    this.#state.change(change, origin);
+    this.#state.apply(change, origin);
     this.#toggleItem(item);
     if (change.kind.startsWith("remove_")) {
-      this.#removed.push({ item, offset: origin.offset });
+      this.#removedItems.push({ item, offset: origin.offset });
     }
   }
 
@@ -230,23 +230,23 @@
     this.#digest.toggle(itemLine(this.changeThatMakes(item), origin));
   }
 
-  #forgetRemoved(): void {
+  #expireRemovedItems(): void {
     const oldest = this.#offset - BASE_WINDOW;
-    let forgotten = 0;
-    for (const { item, offset } of this.#removed) {
+    let expired = 0;
+    for (const { item, offset } of this.#removedItems) {
       if (offset >= oldest) break;
-      forgotten += 1;
+      expired += 1;
       if (this.versionOf(item) !== offset) continue;
       this.#toggleItem(item);
       this.#state.origins.delete(item);
     }
-    if (forgotten > 0) this.#removed = this.#removed.slice(forgotten);
+    if (expired > 0) this.#removedItems = this.#removedItems.slice(expired);
   }
 }
 
 function summaryOf(record: ConfigurationRecord): string {
   const [first] = record.changes;
   const item = first === undefined ? "" : itemKeyOf(first);
-  const more = record.changes.length - 1;
-  return more === 0 ? item : `${item} and ${more} more`;
+  const otherCount = record.changes.length - 1;
+  return otherCount === 0 ? item : `${item} and ${otherCount} more`;
 }
--- a/packages/core/src/configuration/configuration_reader.ts
+++ b/packages/core/src/configuration/configuration_reader.ts
@@ -4,25 +4,25 @@
 import {
   parseConfigurationRecord,
   type SnapshotManifest,
-} from "./record_text.ts";
+} from "./record_codec.ts";
 import type { RecordVerdict } from "./verdict.ts";
 
-const REMEMBERED_DIGESTS = 4_096;
+const MAXIMUM_KEPT_DIGESTS = 4_096;
 
-/** A record as it lies in the log. */
+/** A record as stored in the log. */
 export interface StoredRecord {
   readonly offset: LogOffset;
   readonly data: string;
 }
 
-/** Why a reader reads no further. */
+/** Why a reader stopped: a record's format is too new for this release. */
 export interface Halt {
   readonly offset: LogOffset;
   readonly format: number;
   readonly newestFormat: number;
 }
 
-/** What reading one record came to. */
+/** The outcome of reading one record. */
 export type RecordReading =
   | { readonly kind: "read"; readonly verdict: RecordVerdict }
   | { readonly kind: "manifest"; readonly matches: boolean | undefined }
@@ -31,9 +31,9 @@
   | { readonly kind: "halted" };
 
 /**
- * Reads the configuration stream record by record and keeps the configuration
- * in force. Two readers of the same records come to the same, whatever way
- * the records reached them.
+ * Reads the configuration stream record by record and maintains the
+ * configuration in force. Readers of the same records reach the same state,
+ * regardless of how the records reached them.
  */
 export class ConfigurationReader {
   readonly #rules: ConfigurationRules;
@@ -45,7 +45,7 @@
   #lastManifest: SnapshotManifest | undefined;
   #recordsSinceManifest = 0;
 
-  /** @param rules The decisions, as they are unless a run breaks one. */
+  /** @param rules The decision rules; randomised tests break single ones. */
   constructor(rules: ConfigurationRules = new ConfigurationRules()) {
     this.#rules = rules;
     this.#configuration = new Configuration(rules);
@@ -56,49 +56,49 @@
     return this.#configuration;
   }
 
-  /** The lowest offset that is not read yet. */
+  /** The lowest unread offset. */
   get next(): LogOffset {
     return (this.#configuration.offset + 1) as LogOffset;
   }
 
-  /** Why nothing more is read, where that is so. */
+  /** Why the reader stopped; undefined while it reads on. */
   get halt(): Halt | undefined {
     return this.#halt;
   }
 
-  /** How many records could not be read. */
+  /** The number of records that could not be parsed. */
   get corruptRecords(): number {
     return this.#corruptRecords;
   }
 
-  /** How many snapshots of others were not equal to what was read here. */
+  /** The number of snapshots whose digest differs from this reader's own. */
   get mismatchedSnapshots(): number {
     return this.#mismatchedSnapshots;
   }
 
-  /** The newest snapshot seen in the stream. */
+  /** The manifest of the newest snapshot seen in the stream. */
   get lastManifest(): SnapshotManifest | undefined {
     return this.#lastManifest;
   }
 
-  /** How many records came after the newest snapshot seen. */
+  /** The number of records since the newest snapshot seen. */
   get recordsSinceManifest(): number {
     return this.#recordsSinceManifest;
   }
 
   /**
-   * Tells whether records from an offset on can be read without a gap.
-   * @param from Where they start.
-   * @returns Whether none is missing between.
+   * Checks whether records from an offset on can be read without a gap.
+   * @param from The offset of the first record.
+   * @returns Whether no record is missing before it.
    */
   joins(from: LogOffset): boolean {
     return this.#rules.joins(from, this.next);
   }
 
   /**
-   * Reads the next record; one that was read before changes nothing.
+   * Reads the next record. Records that were already read are ignored.
    * @param stored The record.
-   * @returns What became of it.
+   * @returns The outcome.
    */
   read(stored: StoredRecord): RecordReading {
     const { offset, data } = stored;
@@ -107,54 +107,59 @@
       return { kind: "already_read" };
     }
     const { newestFormat } = this.#rules;
-    const text = parseConfigurationRecord(data, newestFormat);
-    if (text.kind === "newer" && this.#rules.atNewerFormat() === "halt") {
-      this.#halt = { offset, format: text.format, newestFormat };
+    const parsed = parseConfigurationRecord(data, newestFormat);
+    if (parsed.kind === "newer" && this.#rules.atNewerFormat() === "halt") {
+      this.#halt = { offset, format: parsed.format, newestFormat };
       return { kind: "halted" };
     }
-    const reading = this.#take(offset, text);
+    const reading = this.#applyParsed(offset, parsed);
     this.#keepDigest(offset);
     return reading;
   }
 
   /**
-   * Takes over a configuration that covers more than is read here.
+   * Replaces the configuration by one that covers more records.
    * @param configuration The configuration, from a snapshot or a peer.
    */
   adopt(configuration: Configuration): void {
-    this.#configuration.become(configuration);
+    this.#configuration.replaceWith(configuration);
     this.#halt = undefined;
     this.#digests.clear();
     this.#keepDigest(configuration.offset);
   }
 
-  #take(
+  #applyParsed(
     offset: LogOffset,
-    text: ReturnType<typeof parseConfigurationRecord>,
+    parsed: ReturnType<typeof parseConfigurationRecord>,
   ): RecordReading {
-    switch (text.kind) {
+    switch (parsed.kind) {
       case "changes":
         this.#recordsSinceManifest += 1;
         return {
           kind: "read",
-          verdict: this.#configuration.apply(offset, text.record),
+          verdict: this.#configuration.apply(offset, parsed.record),
         };
       case "manifest":
         this.#configuration.skipTo(offset);
-        return { kind: "manifest", matches: this.#verify(text.manifest) };
+        return {
+          kind: "manifest",
+          matches: this.#verifyManifest(parsed.manifest),
+        };
       case "newer":
         this.#configuration.skipTo(offset);
-        return { kind: "corrupt", message: `Format ${text.format}.` };
+        return { kind: "corrupt", message: `Format ${parsed.format}.` };
       case "corrupt":
         this.#configuration.skipTo(offset);
         this.#corruptRecords += 1;
-        return { kind: "corrupt", message: text.message };
+        return { kind: "corrupt", message: parsed.message };
     }
   }
 
-  #verify(manifest: SnapshotManifest): boolean | undefined {
-    const own = this.#digests.get(manifest.covers);
-    const matches = own === undefined ? undefined : own === manifest.digest;
+  #verifyManifest(manifest: SnapshotManifest): boolean | undefined {
+    const ownDigest = this.#digests.get(manifest.covers);
+    const matches = ownDigest === undefined
+      ? undefined
+      : ownDigest === manifest.digest;
     if (matches === false) {
       this.#mismatchedSnapshots += 1;
       return matches;
@@ -169,7 +174,7 @@
 
   #keepDigest(offset: LogOffset): void {
     this.#digests.set(offset, this.#configuration.digest);
-    if (this.#digests.size <= REMEMBERED_DIGESTS) return;
+    if (this.#digests.size <= MAXIMUM_KEPT_DIGESTS) return;
     const [oldest] = this.#digests.keys();
     if (oldest !== undefined) this.#digests.delete(oldest);
   }
--- a/packages/core/src/configuration/configuration_rules.ts
+++ b/packages/core/src/configuration/configuration_rules.ts
@@ -2,19 +2,20 @@
 import { RECORD_FORMAT } from "./change.ts";
 
 /**
- * The decisions on which the safety of the configuration rests, one method
- * each, so that randomised runs can break one and see that a check notices.
+ * The decisions on which the safety of the configuration depends, one method
+ * each, so that randomised tests can break a single one and verify that a
+ * check detects it.
  */
 export class ConfigurationRules {
-  /** The newest record format that is understood. */
+  /** The newest record format that is supported. */
   get newestFormat(): number {
     return RECORD_FORMAT;
   }
 
   /**
-   * Tells whether a record is still to be read.
+   * Checks whether a record is still unread.
    * @param offset The record's offset.
-   * @param next The lowest offset that is not read yet.
+   * @param next The lowest unread offset.
    * @returns Whether to read it.
    */
   isUnread(offset: LogOffset, next: LogOffset): boolean {
@@ -22,46 +23,46 @@
   }
 
   /**
-   * Tells whether a change may replace an item.
+   * Checks whether a change may replace an item.
    * @param version The offset of the item's last change.
-   * @param base What the author looked at.
-   * @returns Whether nobody came between.
+   * @param base The offset of the configuration that the author saw.
+   * @returns Whether the item has not changed since the base.
    */
   baseHolds(version: LogOffset, base: LogOffset): boolean {
     return version <= base;
   }
 
   /**
-   * Tells whether a known id settles a record.
-   * @param known Whether the id was read before.
-   * @returns Whether the record is only a repeat.
+   * Checks whether a record repeats one with the same id.
+   * @param known Whether a record with this id was read before.
+   * @returns Whether to treat the record as a repeat.
    */
   isRepeat(known: boolean): boolean {
     return known;
   }
 
   /**
-   * Says which offset a snapshot covers.
+   * Determines the offset that a snapshot covers.
    * @param offset The offset of the last record read.
-   * @returns The offset to state.
+   * @returns The offset to write into the snapshot.
    */
   snapshotCovers(offset: LogOffset): LogOffset {
     return offset;
   }
 
   /**
-   * Says what to do at a record of a newer format.
-   * @returns To read no further, or to pass over the record.
+   * Determines how to handle a record of a newer format.
+   * @returns Whether to stop reading or to skip the record.
    */
   atNewerFormat(): "halt" | "skip" {
     return "halt";
   }
 
   /**
-   * Tells whether a page follows what was read without a gap.
-   * @param from Where the page starts.
-   * @param next The lowest offset that is not read yet.
-   * @returns Whether no record is missing between.
+   * Checks whether a page of records follows the read ones without a gap.
+   * @param from The offset of the page's first record.
+   * @param next The lowest unread offset.
+   * @returns Whether no record is missing before the page.
    */
   joins(from: LogOffset, next: LogOffset): boolean {
     return from <= next;
--- a/packages/core/src/configuration/configuration_state.ts
+++ b/packages/core/src/configuration/configuration_state.ts
@@ -11,23 +11,23 @@
 import type { ConfigurationChange, Target } from "./change.ts";
 import { type ItemKey, itemKeyOf } from "./item_key.ts";
 
-/** An adapter as configured. */
+/** The configuration of an adapter. */
 export interface ConfiguredAdapter {
   readonly adapter: AdapterId;
   readonly model: ModelId;
   readonly versions: readonly AdapterVersion[];
-  /** What a request gets that names no version. */
+  /** The version served to requests that specify none. */
   readonly current: AdapterVersion;
 }
 
-/** The change that made an item as it is. */
+/** The change that last set or removed an item. */
 export interface ItemOrigin {
   readonly offset: LogOffset;
   readonly author: string;
   readonly change: ChangeId;
 }
 
-/** The items of the configuration and where each comes from. */
+/** The items of the configuration and the origin of each. */
 export class ConfigurationState {
   readonly classes = new Map<ClassId, Target>();
   readonly tenants = new Set<TenantId>();
@@ -36,11 +36,11 @@
   readonly origins = new Map<ItemKey, ItemOrigin>();
 
   /**
-   * Makes an item as a change says.
+   * Applies a change to its item.
    * @param change The change.
-   * @param origin Where it comes from.
+   * @param origin The origin to record for the item.
    */
-  change(change: ConfigurationChange, origin: ItemOrigin): void {
+  apply(change: ConfigurationChange, origin: ItemOrigin): void {
     this.origins.set(itemKeyOf(change), origin);
     switch (change.kind) {
       case "set_class":
@@ -73,9 +73,9 @@
   }
 
   /**
-   * Reads an item as the change that would make it.
+   * Returns an item's current state as the change that would produce it.
    * @param item The item.
-   * @returns The change, which removes the item where there is none.
+   * @returns The change; a removal if the item does not exist.
    */
   changeThatMakes(item: ItemKey): ConfigurationChange {
     const separator = item.indexOf("/");
--- a/packages/core/src/configuration/difference.ts
+++ b/packages/core/src/configuration/difference.ts
@@ -2,7 +2,7 @@
 import type { Configuration } from "./configuration.ts";
 import { type ItemKey, itemKeyOf } from "./item_key.ts";
 
-/** An item that a change would alter. */
+/** An item that a change would modify. */
 export interface ConfigurationDifference {
   readonly item: ItemKey;
   readonly before: string;
@@ -11,10 +11,10 @@
 }
 
 /**
- * Finds what changes would alter.
+ * Lists the items that changes would modify.
  * @param configuration The configuration in force.
  * @param changes The changes.
- * @returns One difference for each change that is not yet in force.
+ * @returns One difference for each change that is not in force yet.
  */
 export function findDifferences(
   configuration: Configuration,
@@ -29,9 +29,9 @@
 }
 
 /**
- * Describes in one line what a change makes of its item.
+ * Describes the state of an item after a change, in one line.
  * @param change The change.
- * @returns The line; the same for changes that make the same.
+ * @returns The description; equal for changes with equal results.
  */
 export function describeChange(change: ConfigurationChange): string {
   switch (change.kind) {
@@ -52,11 +52,13 @@
 }
 
 function describeTarget(target: Target): string {
-  const between = target.betweenTokensMilliseconds;
-  const whole = target.wholeAnswerMilliseconds;
+  const betweenTokens = target.betweenTokensMilliseconds;
+  const wholeAnswer = target.wholeAnswerMilliseconds;
   return [
     `first token ${target.firstTokenMilliseconds} ms`,
-    ...(between === undefined ? [] : [`between tokens ${between} ms`]),
-    ...(whole === undefined ? [] : [`whole answer ${whole} ms`]),
+    ...(betweenTokens === undefined
+      ? []
+      : [`between tokens ${betweenTokens} ms`]),
+    ...(wholeAnswer === undefined ? [] : [`whole answer ${wholeAnswer} ms`]),
   ].join(", ");
 }
--- a/packages/core/src/configuration/spread_tree.ts
+++ b/packages/core/src/configuration/distribution_tree.ts
@@ -4,39 +4,40 @@
   rendezvousOrder,
 } from "../shared/mod.ts";
 
-/** How many peers a node passes records on to. */
-export const SPREAD_FANOUT = 4;
+/** The maximum number of peers that a node forwards records to. */
+export const DISTRIBUTION_FANOUT = 4;
 
-/** A node among which records are spread. */
+/** A node that takes part in the distribution of records. */
 export interface SpreadNode {
   readonly id: NodeId;
   readonly failureDomain: FailureDomainId;
 }
 
-/** Where a node takes its records from. */
+/** A node's position in the distribution tree: where it gets its records. */
 export interface SpreadPlace {
   /** Whether this node reads the log for its failure domain. */
   readonly readsLog: boolean;
-  /** The peer to follow; none for the domain's reader. */
+  /** The peer to follow; undefined for the domain's reader. */
   readonly parent: NodeId | undefined;
-  /** Other peers to ask where neither the parent nor the log answers. */
+  /** Fallback peers if neither the parent nor the log responds. */
   readonly others: readonly NodeId[];
-  /** How many hops from the log's reader. */
+  /** The number of hops from the domain's reader of the log. */
   readonly depth: number;
 }
 
 /**
- * Places a node in the tree of its failure domain. The tree is computed, not
- * agreed on: nodes whose lists differ only read from another place.
+ * Computes a node's position in the distribution tree of its failure domain.
+ * Each node computes the tree on its own, without agreement: nodes with
+ * different node lists merely read from different parents.
  * @param self The node.
- * @param nodes All live nodes, this one included or not.
- * @param fanout How many peers each node serves.
- * @returns Where it takes records from.
+ * @param nodes All live nodes, with or without this one.
+ * @param fanout The maximum number of peers that each node serves.
+ * @returns The position.
  */
 export function spreadPlace(
   self: SpreadNode,
   nodes: readonly SpreadNode[],
-  fanout: number = SPREAD_FANOUT,
+  fanout: number = DISTRIBUTION_FANOUT,
 ): SpreadPlace {
   const inDomain = nodes.filter((node) =>
     node.failureDomain === self.failureDomain && node.id !== self.id
@@ -49,12 +50,14 @@
   const parent = index === 0
     ? undefined
     : order[Math.floor((index - 1) / fanout)];
-  const readers = readersOfOtherDomains(self, nodes);
-  const near = order.filter((id) => id !== self.id && id !== parent);
+  const otherReaders = readersOfOtherDomains(self, nodes);
+  const sameDomain = order.filter((id) => id !== self.id && id !== parent);
   return {
     readsLog: index === 0,
     parent,
-    others: index === 0 ? [...readers, ...near] : [...near, ...readers],
+    others: index === 0
+      ? [...otherReaders, ...sameDomain]
+      : [...sameDomain, ...otherReaders],
     depth: depthOf(index, fanout),
   };
 }
@@ -76,6 +79,10 @@
 
 function depthOf(index: number, fanout: number): number {
   let depth = 0;
-  for (let at = index; at > 0; at = Math.floor((at - 1) / fanout)) depth += 1;
+  for (
+    let ancestor = index;
+    ancestor > 0;
+    ancestor = Math.floor((ancestor - 1) / fanout)
+  ) depth += 1;
   return depth;
 }
--- a/packages/core/src/configuration/item_key.ts
+++ b/packages/core/src/configuration/item_key.ts
@@ -1,10 +1,10 @@
 import type { Brand } from "../shared/mod.ts";
 
-/** Names one item of the configuration, as `class/drafting`. */
+/** Identifies a configuration item, for example `class/drafting`. */
 export type ItemKey = Brand<string, "ItemKey">;
 
-/** What of a change says which item it is about. */
-export type ItemNaming =
+/** The fields of a change that identify its item. */
+export type ItemIdentity =
   | { readonly kind: "set_class" | "remove_class"; readonly class: string }
   | { readonly kind: "set_tenant" | "remove_tenant"; readonly tenant: string }
   | {
@@ -17,11 +17,11 @@
   };
 
 /**
- * Names the item that a change is about.
+ * Returns the key of the item that a change affects.
  * @param change The change.
  * @returns The item's key.
  */
-export function itemKeyOf(change: ItemNaming): ItemKey {
+export function itemKeyOf(change: ItemIdentity): ItemKey {
   switch (change.kind) {
     case "set_class":
     case "remove_class":
--- a/packages/core/src/configuration/recent_changes.ts
+++ b/packages/core/src/configuration/recent_changes.ts
@@ -3,24 +3,24 @@
 
 /**
  * How many changes are remembered by id: over five hours at 36,000 a day. A
- * repeat that comes later is still never applied twice, since its base is then
- * below the versions that the first one made; only its answer is less exact.
+ * later repeat is still never applied twice, since its base is then lower than
+ * the versions that the first one produced; only its verdict is less precise.
  */
 export const REMEMBERED_CHANGES = 8_192;
 
-/** A change that was read, and what became of it. */
+/** A change that was read, with its verdict. */
 export interface RecentChange {
   readonly id: ChangeId;
   readonly offset: LogOffset;
   readonly author: string;
-  /** The items, shortened. */
+  /** A short description of the changed items. */
   readonly summary: string;
-  /** A hash of the changes, to tell a reused id from a repeat. */
+  /** A hash of the changes, to distinguish a reused id from a repeat. */
   readonly fingerprint: number;
   readonly verdict: FirstVerdict;
 }
 
-/** The latest changes by id, oldest first, bounded. */
+/** A bounded collection of the latest changes by id, oldest first. */
 export class RecentChanges {
   readonly #changes = new Map<ChangeId, RecentChange>();
 
@@ -29,7 +29,7 @@
     return this.#changes.values();
   }
 
-  /** How many are remembered. */
+  /** The number of remembered changes. */
   get size(): number {
     return this.#changes.size;
   }
@@ -37,16 +37,16 @@
   /**
    * Finds a change.
    * @param id Its id.
-   * @returns The change, where it is remembered.
+   * @returns The change, or undefined if it is not remembered.
    */
   find(id: ChangeId): RecentChange | undefined {
     return this.#changes.get(id);
   }
 
   /**
-   * Remembers a change, in the place of the oldest where there are too many.
+   * Remembers a change and evicts the oldest one beyond the limit.
    * @param change The change.
-   * @returns The change that is forgotten for it.
+   * @returns The evicted change, if any.
    */
   remember(change: RecentChange): RecentChange | undefined {
     this.#changes.set(change.id, change);
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Lists the latest changes.
-   * @param limit How many at most.
+   * Returns the latest changes.
+   * @param limit The maximum number of changes.
    * @returns The changes, latest first.
    */
   latest(limit: number): readonly RecentChange[] {
--- a/packages/core/src/configuration/record_text.ts
+++ b/packages/core/src/configuration/record_codec.ts
@@ -6,48 +6,48 @@
   RECORD_FORMAT,
 } from "./change.ts";
 
-/** The log's stream of configuration records. */
+/** The log stream that holds configuration records. */
 export const CONFIGURATION_STREAM = "configuration";
 
-/** How long a record's text is at most, in bytes. */
+/** The maximum size of a serialized record, in bytes. */
 export const MAXIMUM_RECORD_BYTES = 262_144;
 
-const offset = z.number().int().min(-1).transform((value) =>
+const offsetSchema = z.number().int().min(-1).transform((value) =>
   value as LogOffset
 );
 
 const manifestSchema = z.object({
-  covers: offset,
+  covers: offsetSchema,
   digest: z.string(),
-  /** The offsets of the chunks in the stream of snapshots, in order. */
-  chunks: z.array(offset).min(1),
+  /** The offsets of the chunks in the snapshot stream, in order. */
+  chunks: z.array(offsetSchema).min(1),
 });
 
 const formatSchema = z.looseObject({
   format: z.number().int().positive().default(RECORD_FORMAT),
 });
 
-/** Says where a whole snapshot lies in the log. */
+/** The location of a complete snapshot in the log. */
 export type SnapshotManifest = z.output<typeof manifestSchema>;
 
-/** What a record's text turns out to be. */
-export type RecordText =
+/** The result of parsing a record. */
+export type ParsedRecord =
   | { readonly kind: "changes"; readonly record: ConfigurationRecord }
   | { readonly kind: "manifest"; readonly manifest: SnapshotManifest }
   | { readonly kind: "newer"; readonly format: number }
   | { readonly kind: "corrupt"; readonly message: string };
 
 /**
- * Reads a record's text, as the log keeps it.
- * @param text JSON.
- * @param newestFormat The newest format that is understood.
- * @returns What it is. A text without a readable format is corrupt for every
- * release alike; one with a newer format is not judged at all.
+ * Parses a record as stored in the log.
+ * @param text The record as JSON.
+ * @param newestFormat The newest format that is supported.
+ * @returns The parsed record. A record without a readable format is corrupt
+ * for every release; one of a newer format is not validated at all.
  */
 export function parseConfigurationRecord(
   text: string,
   newestFormat = RECORD_FORMAT,
-): RecordText {
+): ParsedRecord {
   let raw: unknown;
   try {
     raw = JSON.parse(text);
@@ -69,7 +69,7 @@
 }
 
 /**
- * Writes a record as the log keeps it.
+ * Serializes a record for the log.
  * @param record The record.
  * @returns JSON.
  */
@@ -80,7 +80,7 @@
 }
 
 /**
- * Writes a manifest as the log keeps it.
+ * Serializes a manifest for the log.
  * @param manifest The manifest.
  * @returns JSON.
  */
@@ -88,11 +88,11 @@
   return JSON.stringify({ format: RECORD_FORMAT, snapshot: manifest });
 }
 
-function corrupt(error: z.ZodError): RecordText {
+function corrupt(error: z.ZodError): ParsedRecord {
   const [issue] = error.issues;
-  const where = issue?.path.join(".") ?? "";
+  const path = issue?.path.join(".") ?? "";
   return {
     kind: "corrupt",
-    message: `Record does not match at "${where}": ${issue?.message ?? ""}.`,
+    message: `Record does not match at "${path}": ${issue?.message ?? ""}.`,
   };
 }
--- a/packages/core/src/configuration/snapshot.ts
+++ b/packages/core/src/configuration/snapshot.ts
@@ -9,10 +9,10 @@
 import type { RecentChange } from "./recent_changes.ts";
 import { StateDigest } from "./state_digest.ts";
 
-/** The log's stream of snapshot chunks. */
+/** The log stream that holds snapshot chunks. */
 export const SNAPSHOT_STREAM = "configuration_snapshots";
 
-/** How large a chunk's lines are at most, in UTF-16 units. */
+/** The maximum size of a chunk's lines, in UTF-16 code units. */
 export const CHUNK_CHARACTERS = 120_000;
 
 const offsetSchema = z.number().int().min(-1).transform((value) =>
@@ -30,16 +30,16 @@
 
 type Chunk = z.output<typeof chunkSchema>;
 
-/** A configuration at one offset, which later changes do not touch. */
+/** A copy of a configuration at one offset, unaffected by later changes. */
 export interface SnapshotCopy {
-  /** The offset of the last record that it covers. */
+  /** The offset of the last record covered. */
   readonly covers: LogOffset;
   readonly digest: string;
   readonly items: readonly (readonly [ConfigurationChange, ItemOrigin])[];
   readonly recent: readonly RecentChange[];
 }
 
-/** A snapshot, ready to be appended or sent. */
+/** A serialized snapshot, ready to be appended or sent. */
 export interface Snapshot {
   readonly covers: LogOffset;
   readonly digest: string;
@@ -47,10 +47,10 @@
 }
 
 /**
- * Copies what a snapshot holds. Only references are copied, so that the slow
- * work of {@link snapshotChunks} can be done a chunk at a time.
+ * Copies the content of a snapshot. Only references are copied, so that the
+ * slow work of {@link snapshotChunks} can be done a chunk at a time.
  * @param configuration The configuration.
- * @param rules The decisions.
+ * @param rules The decision rules.
  * @returns The copy.
  */
 export function copyForSnapshot(
@@ -73,7 +73,7 @@
 }
 
 /**
- * Writes a snapshot chunk by chunk: equal copies give equal texts.
+ * Serializes a snapshot chunk by chunk. Equal copies produce equal chunks.
  * @param copy The copy.
  * @returns The chunks, in order.
  */
@@ -96,10 +96,10 @@
 }
 
 /**
- * Takes a whole snapshot at once.
+ * Serializes a complete snapshot at once.
  * @param configuration The configuration.
- * @param rules The decisions.
- * @returns The snapshot in chunks.
+ * @param rules The decision rules.
+ * @returns The snapshot.
  */
 export function takeSnapshot(
   configuration: Configuration,
@@ -111,61 +111,66 @@
 }
 
 /**
- * Makes a configuration from a snapshot, a chunk at a time. It decides about
- * every later record as one that read all records from the first.
+ * Restores a configuration from a snapshot, one chunk at a time. The restored
+ * configuration decides about later records exactly as one that read all
+ * records from the first.
  */
 export class SnapshotRestorer {
   readonly #configuration: Configuration;
   readonly #digest = new StateDigest();
   #previous: Chunk | undefined;
 
-  /** @param rules The decisions of the new configuration. */
+  /** @param rules The decision rules of the new configuration. */
   constructor(rules: ConfigurationRules = new ConfigurationRules()) {
     this.#configuration = new Configuration(rules);
   }
 
-  /** Whether the last chunk was taken. */
+  /** Whether the last chunk was added. */
   get isWhole(): boolean {
     return this.#previous?.last ?? false;
   }
 
   /**
-   * Takes the next chunk.
+   * Adds the next chunk.
    * @param text The chunk.
-   * @returns Why it cannot be used, where that is so.
+   * @returns An error if the chunk cannot be used.
    */
   push(text: string): Result<undefined, Failure> {
     const chunk = chunkSchema.safeParse(parseJson(text));
-    if (!chunk.success) return err(unusable("has a broken chunk"));
-    if (!this.#follows(chunk.data)) {
-      return err(unusable(`has a foreign chunk at ${chunk.data.index}`));
+    if (!chunk.success) return err(unusableSnapshot("has a malformed chunk"));
+    if (!this.#isNextChunk(chunk.data)) {
+      return err(
+        unusableSnapshot(
+          `has an unexpected chunk at index ${chunk.data.index}`,
+        ),
+      );
     }
     this.#previous = chunk.data;
     for (const line of chunk.data.lines) {
       this.#digest.toggle(JSON.stringify(line));
       if (!restoreLine(this.#configuration, line)) {
-        return err(unusable("has a line that cannot be read"));
+        return err(unusableSnapshot("has a line that cannot be read"));
       }
     }
     return ok(undefined);
   }
 
   /**
-   * Gives the configuration once all chunks are taken.
-   * @returns The configuration, or why the snapshot cannot be used.
+   * Returns the configuration once all chunks are added.
+   * @returns The configuration, or an error if the snapshot cannot be used.
    */
   finish(): Result<Configuration, Failure> {
     const last = this.#previous;
-    if (!last?.last) return err(unusable("is not whole"));
+    if (!last?.last) return err(unusableSnapshot("is incomplete"));
     const configuration = this.#configuration;
     const matches = this.#digest.text === last.digest &&
       configuration.digest === last.digest;
-    if (!matches) return err(unusable("does not match its digest"));
+    if (!matches) return err(unusableSnapshot("does not match its digest"));
     if (last.covers > configuration.offset) configuration.skipTo(last.covers);
     return ok(configuration);
   }
 
-  #follows(chunk: Chunk): boolean {
+  #isNextChunk(chunk: Chunk): boolean {
     const previous = this.#previous;
     if (previous === undefined) return chunk.index === 0;
     return !previous.last && chunk.index === previous.index + 1 &&
@@ -174,10 +179,10 @@
 }
 
 /**
- * Makes a configuration from a whole snapshot.
+ * Restores a configuration from a complete snapshot.
  * @param chunks All chunks of one snapshot, in order.
- * @param rules The decisions of the new configuration.
- * @returns The configuration, or why the snapshot cannot be used.
+ * @param rules The decision rules of the new configuration.
+ * @returns The configuration, or an error if the snapshot cannot be used.
  */
 export function restoreSnapshot(
   chunks: readonly string[],
@@ -185,8 +190,8 @@
 ): Result<Configuration, Failure> {
   const restorer = new SnapshotRestorer(rules);
   for (const chunk of chunks) {
-    const taken = restorer.push(chunk);
-    if (taken.isErr()) return err(taken.error);
+    const pushed = restorer.push(chunk);
+    if (pushed.isErr()) return err(pushed.error);
   }
   return restorer.finish();
 }
@@ -196,20 +201,20 @@
   for (const recent of copy.recent) yield changeLine(recent);
 }
 
-/** The lines are JSON already; written as they are, nothing is escaped twice. */
+/** The lines are JSON already and are inserted without escaping them again. */
 function formatChunk(
-  head: Omit<Chunk, "format" | "lines">,
+  header: Omit<Chunk, "format" | "lines">,
   lines: readonly string[],
 ): string {
-  const { covers, digest, index, last } = head;
-  const start = JSON.stringify({
+  const { covers, digest, index, last } = header;
+  const serializedHeader = JSON.stringify({
     format: RECORD_FORMAT,
     covers,
     digest,
     index,
     last,
   });
-  return `${start.slice(0, -1)},"lines":[${lines.join(",")}]}`;
+  return `${serializedHeader.slice(0, -1)},"lines":[${lines.join(",")}]}`;
 }
 
 function restoreLine(configuration: Configuration, raw: unknown): boolean {
@@ -234,7 +239,7 @@
   }
 }
 
-function unusable(detail: string): Failure {
+function unusableSnapshot(detail: string): Failure {
   return {
     reason: "corrupt",
     step: "read_log",
--- a/packages/core/src/configuration/snapshot_line.ts
+++ b/packages/core/src/configuration/snapshot_line.ts
@@ -8,32 +8,36 @@
 import type { ItemKey } from "./item_key.ts";
 import type { RecentChange } from "./recent_changes.ts";
 
-const offset = z.number().int().min(-1).transform((value) =>
+const offsetSchema = z.number().int().min(-1).transform((value) =>
   value as LogOffset
 );
-const changeId = z.string().transform((value) => value as ChangeId);
+const changeIdSchema = z.string().transform((value) => value as ChangeId);
 
 const verdictSchema = z.discriminatedUnion("kind", [
   z.object({ kind: z.literal("accepted") }),
   z.object({
     kind: z.literal("conflict"),
     item: z.string().transform((value) => value as ItemKey),
-    winner: offset,
+    winner: offsetSchema,
     author: z.string(),
-    change: changeId,
+    change: changeIdSchema,
   }),
   z.object({
     kind: z.literal("base_out_of_range"),
-    oldest: offset,
-    newest: offset,
+    oldest: offsetSchema,
+    newest: offsetSchema,
   }),
 ]);
 
-/** The form of a snapshot's lines: an item, or a remembered change. */
+/** The schema of a snapshot's lines: an item or a recent change. */
 export const snapshotLineSchema = z.discriminatedUnion("line", [
   z.object({
     line: z.literal("item"),
-    origin: z.object({ offset, author: z.string(), change: changeId }),
+    origin: z.object({
+      offset: offsetSchema,
+      author: z.string(),
+      change: changeIdSchema,
+    }),
     change: configurationRecordSchema.shape.changes.transform((changes) =>
       changes[0]
     ),
@@ -41,8 +45,8 @@
   z.object({
     line: z.literal("change"),
     recent: z.object({
-      id: changeId,
-      offset,
+      id: changeIdSchema,
+      offset: offsetSchema,
       author: z.string(),
       summary: z.string(),
       fingerprint: z.number(),
@@ -52,25 +56,25 @@
 ]);
 
 /**
- * Writes an item as a snapshot's line; equal items give equal texts.
- * @param change The change that makes the item.
- * @param origin Where it comes from.
+ * Serializes an item as a line of a snapshot. Equal items produce equal lines.
+ * @param change The change that produces the item.
+ * @param origin The change that last set the item.
  * @returns One line of JSON.
  */
 export function itemLine(
   change: ConfigurationChange,
   origin: ItemOrigin,
 ): string {
-  const { offset: at, author, change: by } = origin;
+  const { offset, author, change: changeId } = origin;
   return JSON.stringify({
     line: "item",
-    origin: { offset: at, author, change: by },
+    origin: { offset, author, change: changeId },
     change: [change],
   });
 }
 
 /**
- * Writes a remembered change as a snapshot's line.
+ * Serializes a recent change as a line of a snapshot.
  * @param recent The change.
  * @returns One line of JSON.
  */
--- a/packages/core/src/configuration/snapshot_schedule.ts
+++ b/packages/core/src/configuration/snapshot_schedule.ts
@@ -6,50 +6,50 @@
   seconds,
 } from "../shared/mod.ts";
 
-/** When snapshots are taken. */
+/** When snapshots are written. */
 export const SNAPSHOT_SCHEDULE = {
-  /** Half or less of the shortest time that the log keeps records. */
+  /** At most half of the shortest time that the log retains records. */
   interval: seconds(600),
   records: 2_000,
-  /** How much later each next candidate writes where those before did not. */
+  /** The additional wait of each next candidate if no earlier one wrote. */
   grace: seconds(15),
 } as const;
 
-/** What decides whether a snapshot is due. */
-export interface SnapshotView {
+/** The inputs that determine whether a snapshot is due. */
+export interface SnapshotScheduleInput {
   readonly now: Instant;
-  /** When this node last saw a snapshot in the stream, or began to read. */
+  /** When this node last saw a snapshot in the stream, or started reading. */
   readonly lastSeenAt: Instant;
   readonly recordsSince: number;
-  /** What the newest snapshot covers; nothing where none was seen. */
+  /** The offset that the newest snapshot covers; undefined if none was seen. */
   readonly covers: LogOffset | undefined;
-  /** The oldest record that the log still keeps. */
+  /** The oldest record that the log still retains. */
   readonly firstKept: LogOffset;
-  /** This node's place among the candidates; 0 writes first. */
+  /** This node's rank among the candidates; rank 0 writes first. */
   readonly rank: number;
 }
 
 /**
- * Tells whether this node is to write a snapshot now. Every node asks, the
- * first candidate by rendezvous writes, each next one only where those before
- * it let the grace time pass. Two writers do no harm: their snapshots are
- * equal wherever they cover the same offset.
- * @param view What is known here.
- * @param schedule When snapshots are taken.
- * @returns Whether to write.
+ * Checks whether this node should write a snapshot now. Every node checks. The
+ * first candidate in rendezvous order writes; each next one writes only if the
+ * candidates before it let the grace time pass. Two writers are harmless:
+ * snapshots that cover the same offset are equal.
+ * @param input The node's current knowledge.
+ * @param schedule When snapshots are written.
+ * @returns Whether to write a snapshot.
  */
 export function snapshotDue(
-  view: SnapshotView,
+  input: SnapshotScheduleInput,
   schedule: {
     readonly interval: number;
     readonly records: number;
     readonly grace: number;
   } = SNAPSHOT_SCHEDULE,
 ): boolean {
-  const wait = milliseconds(schedule.grace * view.rank);
-  const since = elapsed(view.lastSeenAt, view.now);
-  if (since >= schedule.interval + wait) return true;
-  const uncovered = view.firstKept > (view.covers ?? -1) + 1;
-  const many = view.recordsSince >= schedule.records;
-  return (uncovered || many) && since >= wait;
+  const rankDelay = milliseconds(schedule.grace * input.rank);
+  const sinceLast = elapsed(input.lastSeenAt, input.now);
+  if (sinceLast >= schedule.interval + rankDelay) return true;
+  const hasUncoveredRecords = input.firstKept > (input.covers ?? -1) + 1;
+  const hasManyRecords = input.recordsSince >= schedule.records;
+  return (hasUncoveredRecords || hasManyRecords) && sinceLast >= rankDelay;
 }
--- a/packages/core/src/configuration/state_digest.ts
+++ b/packages/core/src/configuration/state_digest.ts
@@ -1,23 +1,23 @@
 import xxhash from "xxhash-wasm";
 
 const hasher = await xxhash();
-const HEXADECIMAL = 16;
-const DIGITS = 16;
+const HEXADECIMAL_RADIX = 16;
+const DIGEST_DIGITS = 16;
 
 /**
- * A digest of a set of lines that is kept up to date line by line, in any
- * order: the exclusive or of the lines' xxHash64 values.
+ * An incremental, order-independent digest of a set of lines: the exclusive or
+ * of the lines' xxHash64 values.
  */
 export class StateDigest {
   #value = 0n;
 
-  /** The digest as text, the same for equal sets of lines. */
+  /** The digest in hexadecimal; equal for equal sets of lines. */
   get text(): string {
-    return this.#value.toString(HEXADECIMAL).padStart(DIGITS, "0");
+    return this.#value.toString(HEXADECIMAL_RADIX).padStart(DIGEST_DIGITS, "0");
   }
 
   /**
-   * Adds a line, or takes it out where it is in.
+   * Adds a line, or removes it if it is in the set.
    * @param line The line.
    */
   toggle(line: string): void {
@@ -26,9 +26,9 @@
 }
 
 /**
- * Hashes a text for comparison only.
+ * Computes a non-cryptographic hash of a text, for comparison only.
  * @param text The text.
- * @returns 32 bits.
+ * @returns The hash, an unsigned 32-bit integer.
  */
 export function fingerprintOf(text: string): number {
   return hasher.h32(text);
--- a/packages/core/src/configuration/verdict.ts
+++ b/packages/core/src/configuration/verdict.ts
@@ -1,7 +1,7 @@
 import type { ChangeId, LogOffset } from "../shared/mod.ts";
 import type { ItemKey } from "./item_key.ts";
 
-/** What became of a record when it was first read. */
+/** The verdict on a record whose id was not read before. */
 export type FirstVerdict =
   | { readonly kind: "accepted" }
   | {
@@ -13,17 +13,17 @@
     readonly change: ChangeId;
   }
   | {
-    /** The base is too old to be checked, or has not been read yet. */
+    /** The base is too old to be checked, or not read yet. */
     readonly kind: "base_out_of_range";
     readonly oldest: LogOffset;
     readonly newest: LogOffset;
   };
 
-/** What became of a record. Every reader of the log comes to the same. */
+/** The verdict on a record; the same for every reader of the log. */
 export type RecordVerdict =
   | FirstVerdict
   | {
-    /** The id was read before: the same change, which is not applied again. */
+    /** The id was read before; the record is not applied again. */
     readonly kind: "repeated";
     readonly first: LogOffset;
     readonly verdict: FirstVerdict;
--- a/packages/core/src/drain/planned_stop.ts
+++ b/packages/core/src/drain/planned_stop.ts
@@ -7,110 +7,112 @@
   seconds,
 } from "../shared/mod.ts";
 
-/** How far a planned stop has come. */
+/** The phase of a planned stop. */
 export type StopPhase = "serving" | "leaving" | "finishing" | "stopped";
 
-/** What a planned stop wants done; the shell carries it out. */
+/** An action that a planned stop requests; the caller executes it. */
 export type StopOrder =
-  /** Tells all peers that this node takes no new work. */
+  /** Notify all peers that this node accepts no new work. */
   | { readonly kind: "announce" }
-  /** Gives the engines that this node controls to other nodes. */
+  /** Transfer the engines that this node controls to other nodes. */
   | { readonly kind: "hand_over" }
-  /** Closes the listening sockets; nothing is in progress any more. */
+  /** Close the listening sockets; `cutOff` counts the requests cut off. */
   | { readonly kind: "stop"; readonly cutOff: number };
 
-/** What bounds a planned stop. */
+/** The time limits of a planned stop. */
 export interface PlannedStopTerms {
-  /** How long callers may use an address answer that names this node. */
+  /** How long callers may use an address answer that contains this node. */
   readonly addressLifetime: Duration;
-  /** The operator's bound, after which work is cut off; none by default. */
+  /** The operator's limit, after which work is cut off; none by default. */
   readonly longestWait?: Duration;
 }
 
-/** How long peers are waited for before the node counts as announced. */
-const LONGEST_ANNOUNCEMENT = seconds(2);
-/** How long a hand-over may hold up a stop that has nothing else to do. */
-const LONGEST_HAND_OVER = seconds(10);
+/** How long to wait for peers before the announcement counts as done. */
+const MAXIMUM_ANNOUNCEMENT_WAIT = seconds(2);
+/** How long a hand-over may delay an otherwise finished stop. */
+const MAXIMUM_HAND_OVER_WAIT = seconds(10);
 
 /**
- * The course of a planned stop: the node leaves the address answers, hands
- * its engines over, serves what still arrives until no caller can hold its
- * address, finishes everything and stops.
+ * The state machine of a planned stop. The node is removed from address
+ * answers, hands its engines over, serves new requests until no caller can
+ * still have its address, finishes all requests and stops.
  */
 export class PlannedStop {
   readonly #terms: PlannedStopTerms;
   #phase: StopPhase = "serving";
-  #begunAt: Instant | undefined;
+  #startedAt: Instant | undefined;
   #announcedAt: Instant | undefined;
   #isHandedOver = false;
-  #orders: StopOrder[] = [];
+  #pendingActions: StopOrder[] = [];
 
-  /** @param terms What bounds the stop. */
+  /** @param terms The time limits of the stop. */
   constructor(terms: PlannedStopTerms) {
     this.#terms = terms;
   }
 
-  /** How far the stop has come. */
+  /** The current phase. */
   get phase(): StopPhase {
     return this.#phase;
   }
 
   /**
-   * Begins the stop. A second signal changes nothing.
-   * @param now The present time.
+   * Begins the stop. Later calls have no effect.
+   * @param now The current time.
    */
   begin(now: Instant): void {
     if (this.#phase !== "serving") return;
     this.#phase = "leaving";
-    this.#begunAt = now;
-    this.#orders.push({ kind: "announce" }, { kind: "hand_over" });
+    this.#startedAt = now;
+    this.#pendingActions.push({ kind: "announce" }, { kind: "hand_over" });
   }
 
   /**
-   * Takes note that all reachable peers know.
-   * @param now The present time.
+   * Records that all reachable peers have been notified.
+   * @param now The current time.
    */
   announced(now: Instant): void {
     this.#announcedAt ??= now;
   }
 
-  /** Takes note that the hand-over ended, well or not. */
+  /** Records that the hand-over ended, successfully or not. */
   handedOver(): void {
     this.#isHandedOver = true;
   }
 
   /**
-   * Decides what to do now.
-   * @param now The present time.
-   * @param inProgress How many requests of callers and peers are in progress.
-   * @returns The orders, in the order in which to carry them out.
+   * Advances the phase and returns the actions that are due.
+   * @param now The current time.
+   * @param inProgress The number of callers' and peers' requests in progress.
+   * @returns The actions, in the order in which to execute them.
    */
   decide(now: Instant, inProgress: number): readonly StopOrder[] {
-    if (this.#phase === "leaving" && this.#hasLeft(now)) {
+    if (this.#phase === "leaving" && this.#canFinish(now)) {
       this.#phase = "finishing";
     }
     const isDone = this.#phase === "finishing" && inProgress === 0;
     if (isDone || this.#isOverdue(now)) this.#stop(now, inProgress);
-    const orders = this.#orders;
-    this.#orders = [];
-    return orders;
+    const actions = this.#pendingActions;
+    this.#pendingActions = [];
+    return actions;
   }
 
   /**
-   * Tells when a decision may change though no work ends before.
-   * @returns The time to decide again, or nothing.
+   * Computes when a decision may change even if no request ends before.
+   * @returns The time to decide again, or undefined if there is none.
    */
   nextWake(): Instant | undefined {
-    if (this.#begunAt === undefined || this.#phase === "stopped") {
+    if (this.#startedAt === undefined || this.#phase === "stopped") {
       return undefined;
     }
-    const times: Instant[] = [];
-    if (this.#phase === "leaving") times.push(...this.#leavingTimes());
+    const deadlines: Instant[] = [];
+    if (this.#phase === "leaving") deadlines.push(...this.#leavingDeadlines());
     const { longestWait } = this.#terms;
     if (longestWait !== undefined) {
-      times.push(later(this.#begunAt, longestWait));
+      deadlines.push(later(this.#startedAt, longestWait));
     }
-    return times.length === 0 ? undefined : Math.min(...times) as Instant;
+    return deadlines.length === 0
+      ? undefined
+      : Math.min(...deadlines) as Instant;
   }
 
   #stop(now: Instant, inProgress: number): void {
@@ -121,35 +123,39 @@
       () => `${inProgress} requests are in progress.`,
     );
     this.#phase = "stopped";
-    this.#orders.push({ kind: "stop", cutOff: inProgress });
+    this.#pendingActions.push({ kind: "stop", cutOff: inProgress });
   }
 
-  #hasLeft(now: Instant): boolean {
-    const begunAt = this.#begunAt ?? now;
-    const isGone = now >= this.#addressesEnd(begunAt);
-    const isReleased = this.#isHandedOver ||
-      elapsed(begunAt, now) >= LONGEST_HAND_OVER;
-    return isGone && isReleased;
+  #canFinish(now: Instant): boolean {
+    const startedAt = this.#startedAt ?? now;
+    const areAddressesExpired = now >= this.#addressExpiry(startedAt);
+    const isHandOverDone = this.#isHandedOver ||
+      elapsed(startedAt, now) >= MAXIMUM_HAND_OVER_WAIT;
+    return areAddressesExpired && isHandOverDone;
   }
 
-  #leavingTimes(): readonly Instant[] {
-    const begunAt = this.#begunAt;
-    if (begunAt === undefined) return [];
-    const end = this.#addressesEnd(begunAt);
-    if (this.#isHandedOver) return [end];
-    return [Math.max(end, later(begunAt, LONGEST_HAND_OVER)) as Instant];
+  #leavingDeadlines(): readonly Instant[] {
+    const startedAt = this.#startedAt;
+    if (startedAt === undefined) return [];
+    const expiry = this.#addressExpiry(startedAt);
+    if (this.#isHandedOver) return [expiry];
+    return [
+      Math.max(expiry, later(startedAt, MAXIMUM_HAND_OVER_WAIT)) as Instant,
+    ];
   }
 
-  /** Answers given before a peer knew are the last to run out. */
-  #addressesEnd(begunAt: Instant): Instant {
+  /** Answers given before a peer was notified are the last to expire. */
+  #addressExpiry(startedAt: Instant): Instant {
     const announcedAt = this.#announcedAt ??
-      later(begunAt, LONGEST_ANNOUNCEMENT);
+      later(startedAt, MAXIMUM_ANNOUNCEMENT_WAIT);
     return later(announcedAt, this.#terms.addressLifetime);
   }
 
   #isOverdue(now: Instant): boolean {
     const { longestWait } = this.#terms;
-    if (longestWait === undefined || this.#begunAt === undefined) return false;
-    return elapsed(this.#begunAt, now) >= longestWait;
+    if (longestWait === undefined || this.#startedAt === undefined) {
+      return false;
+    }
+    return elapsed(this.#startedAt, now) >= longestWait;
   }
 }
--- a/packages/core/src/membership/failure_detector.ts
+++ b/packages/core/src/membership/failure_detector.ts
@@ -10,21 +10,27 @@
 import type { MembershipTiming } from "./timing.ts";
 
 const MAXIMUM_DIGEST_ENTRIES = 16;
-/** A gap between ticks of more intervals than this was a pause of our own. */
-const PAUSE_INTERVALS = 2;
+/**
+ * A gap between ticks of more heartbeat intervals than this means that this
+ * process itself was paused.
+ */
+const PAUSE_THRESHOLD_INTERVALS = 2;
 
-interface Rumour {
+interface ReportedState {
   readonly incarnation: IncarnationId;
   readonly state: DigestEntry["state"];
   readonly since: Instant;
   readonly member?: Member;
 }
 
-/** Suspects nodes by their silence, measured on one VM's own clock. */
+/**
+ * Detects failed nodes by missing heartbeats, measured on the local VM's clock.
+ * Nodes also exchange their findings in the digests of their heartbeats.
+ */
 export class FailureDetector {
   readonly #timing: MembershipTiming;
-  readonly #heardAt = new Map<NodeId, Instant>();
-  readonly #rumours = new Map<NodeId, Rumour>();
+  readonly #lastHeardAt = new Map<NodeId, Instant>();
+  readonly #reportedStates = new Map<NodeId, ReportedState>();
   #lastTick: Instant;
 
   constructor(timing: MembershipTiming, startedAt: Instant) {
@@ -33,134 +39,146 @@
   }
 
   /**
-   * Takes in a heartbeat.
-   * @param now The present time.
+   * Processes a received heartbeat.
+   * @param now The current time.
    * @param heartbeat The heartbeat.
    */
-  heard(now: Instant, heartbeat: Heartbeat): void {
+  receiveHeartbeat(now: Instant, heartbeat: Heartbeat): void {
     const { from } = heartbeat;
-    this.#heardAt.set(from.node, now);
-    const rumour = this.#rumours.get(from.node);
-    if (rumour?.state === "suspected") this.#rumours.delete(from.node);
+    this.#lastHeardAt.set(from.node, now);
+    const reported = this.#reportedStates.get(from.node);
+    if (reported?.state === "suspected") this.#reportedStates.delete(from.node);
     if (heartbeat.leaving) {
-      this.#note(from, { state: "leaving", since: now });
+      this.#recordState(from, { state: "leaving", since: now });
     }
-    for (const entry of heartbeat.digest) this.#believe(now, entry);
+    for (const entry of heartbeat.digest) this.#mergeDigestEntry(now, entry);
   }
 
   /**
-   * Notes that a run wants to join.
-   * @param now The present time.
+   * Records that a run wants to join.
+   * @param now The current time.
    * @param member The run.
    */
-  wantsToJoin(now: Instant, member: Member): void {
-    this.#note(member, { state: "joining", since: now, member });
+  recordJoinRequest(now: Instant, member: Member): void {
+    this.#recordState(member, { state: "joining", since: now, member });
   }
 
   /**
-   * Looks for silent peers.
-   * @param now The present time.
+   * Suspects silent peers and drops expired states.
+   * @param now The current time.
    * @param peers The peers that send heartbeats to this node.
    */
   tick(now: Instant, peers: readonly Member[]): void {
-    this.#forgiveOwnPause(now);
-    const watched = new Set(peers.map((peer) => peer.node));
-    for (const node of this.#heardAt.keys()) {
-      if (!watched.has(node)) this.#heardAt.delete(node);
+    this.#resetAfterOwnPause(now);
+    const watchedNodes = new Set(peers.map((peer) => peer.node));
+    for (const node of this.#lastHeardAt.keys()) {
+      if (!watchedNodes.has(node)) this.#lastHeardAt.delete(node);
     }
-    for (const peer of peers) this.#watch(now, peer);
-    for (const [node, rumour] of this.#rumours) {
-      const age = elapsed(rumour.since, now);
-      const lifetime = rumour.state === "leaving"
+    for (const peer of peers) this.#checkPeer(now, peer);
+    for (const [node, reported] of this.#reportedStates) {
+      const age = elapsed(reported.since, now);
+      const lifetime = reported.state === "leaving"
         ? this.#timing.leavingLifetime
         : this.#timing.digestLifetime;
-      if (age > lifetime) this.#rumours.delete(node);
+      if (age > lifetime) this.#reportedStates.delete(node);
     }
   }
 
   /**
-   * Tells what is rumoured of a run.
+   * Returns the state reported for a run.
    * @param run The run.
-   * @returns Its state, or nothing where it counts as alive.
+   * @returns Its state, or undefined if it counts as alive.
    */
   stateOf(run: NodeRun): DigestEntry["state"] | undefined {
-    const rumour = this.#rumours.get(run.node);
-    return rumour?.incarnation === run.incarnation ? rumour.state : undefined;
+    const reported = this.#reportedStates.get(run.node);
+    return reported?.incarnation === run.incarnation
+      ? reported.state
+      : undefined;
   }
 
-  /** The runs that want to join, as far as they are known here. */
+  /** The runs that want to join, as far as this node knows. */
   get joining(): readonly Member[] {
-    return [...this.#rumours.values()].flatMap((rumour) =>
-      rumour.state === "joining" && rumour.member !== undefined
-        ? [rumour.member]
+    return [...this.#reportedStates.values()].flatMap((reported) =>
+      reported.state === "joining" && reported.member !== undefined
+        ? [reported.member]
         : []
     );
   }
 
   /**
-   * Gives the newest rumours, for the next heartbeat.
-   * @param now The present time.
+   * Returns the newest states, for the next heartbeat.
+   * @param now The current time.
    * @returns A bounded number of entries.
    */
   digest(now: Instant): readonly DigestEntry[] {
-    const entries = [...this.#rumours].map(([node, rumour]) => ({
+    const entries = [...this.#reportedStates].map(([node, reported]) => ({
       node,
-      incarnation: rumour.incarnation,
-      state: rumour.state,
-      age: elapsed(rumour.since, now),
-      ...(rumour.member === undefined ? {} : { member: rumour.member }),
+      incarnation: reported.incarnation,
+      state: reported.state,
+      age: elapsed(reported.since, now),
+      ...(reported.member === undefined ? {} : { member: reported.member }),
     }));
-    const fresh = entries.filter(({ age }) =>
+    const recent = entries.filter(({ age }) =>
       age <= this.#timing.digestLifetime
     );
-    fresh.sort((left, right) => left.age - right.age);
-    return fresh.slice(0, MAXIMUM_DIGEST_ENTRIES);
+    recent.sort((left, right) => left.age - right.age);
+    return recent.slice(0, MAXIMUM_DIGEST_ENTRIES);
   }
 
-  #watch(now: Instant, peer: Member): void {
-    const heardAt = this.#heardAt.get(peer.node);
-    if (heardAt === undefined) {
-      this.#heardAt.set(peer.node, now);
+  #checkPeer(now: Instant, peer: Member): void {
+    const lastHeardAt = this.#lastHeardAt.get(peer.node);
+    if (lastHeardAt === undefined) {
+      this.#lastHeardAt.set(peer.node, now);
       return;
     }
-    if (elapsed(heardAt, now) <= this.#timing.suspectAfter) return;
+    if (elapsed(lastHeardAt, now) <= this.#timing.suspectAfter) return;
     if (this.stateOf(peer) === "leaving") return;
-    this.#rumours.set(peer.node, {
+    this.#reportedStates.set(peer.node, {
       incarnation: peer.incarnation,
       state: "suspected",
       since: now,
     });
   }
 
-  #believe(now: Instant, entry: DigestEntry): void {
+  #mergeDigestEntry(now: Instant, entry: DigestEntry): void {
     if (entry.age > this.#timing.digestLifetime) return;
-    const heardAt = this.#heardAt.get(entry.node);
-    const heardLately = heardAt !== undefined &&
-      elapsed(heardAt, now) <= this.#timing.suspectAfter;
-    if (entry.state === "suspected" && heardLately) return;
+    const lastHeardAt = this.#lastHeardAt.get(entry.node);
+    const isHeardRecently = lastHeardAt !== undefined &&
+      elapsed(lastHeardAt, now) <= this.#timing.suspectAfter;
+    if (entry.state === "suspected" && isHeardRecently) return;
     const { node, incarnation, state, member } = entry;
-    this.#note({ node, incarnation }, {
+    this.#recordState({ node, incarnation }, {
       state,
       since: instant(now - entry.age),
       ...(member === undefined ? {} : { member }),
     });
   }
 
-  #note(run: NodeRun, rumour: Omit<Rumour, "incarnation">): void {
-    const known = this.#rumours.get(run.node);
-    const hasLeft = known?.incarnation === run.incarnation &&
-      known.state === "leaving" && rumour.state !== "leaving";
-    if (hasLeft) return;
-    const isNews = known?.incarnation !== run.incarnation ||
-      known.state !== rumour.state || known.since < rumour.since;
-    if (!isNews) return;
-    this.#rumours.set(run.node, { ...rumour, incarnation: run.incarnation });
+  #recordState(
+    run: NodeRun,
+    reported: Omit<ReportedState, "incarnation">,
+  ): void {
+    const known = this.#reportedStates.get(run.node);
+    const isAlreadyLeaving = known?.incarnation === run.incarnation &&
+      known.state === "leaving" && reported.state !== "leaving";
+    if (isAlreadyLeaving) return;
+    const isNew = known?.incarnation !== run.incarnation ||
+      known.state !== reported.state || known.since < reported.since;
+    if (!isNew) return;
+    this.#reportedStates.set(run.node, {
+      ...reported,
+      incarnation: run.incarnation,
+    });
   }
 
-  #forgiveOwnPause(now: Instant): void {
+  #resetAfterOwnPause(now: Instant): void {
     const gap = elapsed(this.#lastTick, now);
     this.#lastTick = now;
-    if (gap <= this.#timing.heartbeatInterval * PAUSE_INTERVALS) return;
-    for (const node of this.#heardAt.keys()) this.#heardAt.set(node, now);
+    if (gap <= this.#timing.heartbeatInterval * PAUSE_THRESHOLD_INTERVALS) {
+      return;
+    }
+    for (const node of this.#lastHeardAt.keys()) {
+      this.#lastHeardAt.set(node, now);
+    }
   }
 }
--- a/packages/core/src/membership/heartbeat.ts
+++ b/packages/core/src/membership/heartbeat.ts
@@ -1,18 +1,18 @@
 import type { IncarnationId, LogOffset, NodeId } from "../shared/mod.ts";
 import type { Member } from "./member.ts";
 
-/** What a node says of another one: a rumour that bounded digests carry. */
+/** A node's state as reported by another node, in a digest of bounded size. */
 export interface DigestEntry {
   readonly node: NodeId;
   readonly incarnation: IncarnationId;
   readonly state: "suspected" | "leaving" | "joining";
-  /** How long ago the state was first noticed, in milliseconds. */
+  /** The time since the state was first detected, in milliseconds. */
   readonly age: number;
-  /** The member that wants to join; only with `joining`. */
+  /** The member that wants to join; set only for `joining`. */
   readonly member?: Member;
 }
 
-/** What a node tells its heartbeat peers. */
+/** The message that a node sends to its heartbeat peers. */
 export interface Heartbeat {
   readonly kind: "heartbeat";
   readonly from: Member;
--- a/packages/core/src/membership/heartbeat_peers.ts
+++ b/packages/core/src/membership/heartbeat_peers.ts
@@ -2,18 +2,18 @@
 import type { FailureDomainId } from "../shared/mod.ts";
 import type { Member } from "./member.ts";
 
-/** Neighbours on each side of a node on its failure domain's ring. */
-const RING_REACH = 2;
-/** Nodes of a failure domain that keep links to the other domains. */
-const LINK_NODES = 2;
+/** The number of neighbours on each side in the failure domain's ring. */
+const RING_NEIGHBOURS_PER_SIDE = 2;
+/** The number of nodes per failure domain that link to other domains. */
+const LINK_NODES_PER_DOMAIN = 2;
 
 /**
- * Chooses whom a node exchanges heartbeats with: neighbours on a ring inside
- * its failure domain and, where it is one of the domain's link nodes, the link
- * nodes of the other domains. The relation is symmetric, and its size does not
- * grow with the number of nodes.
+ * Selects the peers that a node exchanges heartbeats with: its neighbours on
+ * the ring of its failure domain and, if it is one of the domain's link nodes,
+ * the link nodes of the other domains. The relation is symmetric, and the
+ * number of peers does not grow with the number of nodes.
  * @param members The members of the view.
- * @param self The node that asks.
+ * @param self The node whose peers to select.
  * @returns The peers.
  */
 export function heartbeatPeers(
@@ -21,9 +21,11 @@
   self: Member,
 ): readonly Member[] {
   const domains = groupByDomain(members);
-  const home = domains.get(self.failureDomain) ?? [];
-  const peers = new Map(ringPeers(home, self).map((one) => [one.node, one]));
-  const isLink = linkNodes(home).some((one) => one.node === self.node);
+  const ownDomain = domains.get(self.failureDomain) ?? [];
+  const peers = new Map(
+    ringPeers(ownDomain, self).map((peer) => [peer.node, peer]),
+  );
+  const isLink = linkNodes(ownDomain).some((peer) => peer.node === self.node);
   if (isLink) {
     for (const [domain, nodes] of domains) {
       if (domain === self.failureDomain) continue;
@@ -45,14 +47,20 @@
   return domains;
 }
 
-function ringPeers(home: readonly Member[], self: Member): readonly Member[] {
-  const ring = [...home].sort((left, right) => left.node < right.node ? -1 : 1);
-  const position = ring.findIndex((one) => one.node === self.node);
-  if (position < 0) return ring.slice(0, RING_REACH);
+function ringPeers(
+  ownDomain: readonly Member[],
+  self: Member,
+): readonly Member[] {
+  const ring = [...ownDomain].sort((left, right) =>
+    left.node < right.node ? -1 : 1
+  );
+  const position = ring.findIndex((peer) => peer.node === self.node);
+  if (position < 0) return ring.slice(0, RING_NEIGHBOURS_PER_SIDE);
   const peers = new Map<string, Member>();
-  for (let step = 1; step <= RING_REACH; step += 1) {
-    for (const index of [position + step, position - step]) {
-      const peer = ring[(index + ring.length * RING_REACH) % ring.length];
+  for (let distance = 1; distance <= RING_NEIGHBOURS_PER_SIDE; distance += 1) {
+    for (const index of [position + distance, position - distance]) {
+      const peer =
+        ring[(index + ring.length * RING_NEIGHBOURS_PER_SIDE) % ring.length];
       if (peer !== undefined && peer.node !== self.node) {
         peers.set(peer.node, peer);
       }
@@ -62,7 +70,7 @@
 }
 
 function linkNodes(members: readonly Member[]): readonly Member[] {
-  const order = rendezvousOrder("link", members.map((one) => one.node))
-    .slice(0, LINK_NODES);
-  return members.filter((one) => order.includes(one.node));
+  const order = rendezvousOrder("link", members.map((member) => member.node))
+    .slice(0, LINK_NODES_PER_DOMAIN);
+  return members.filter((member) => order.includes(member.node));
 }
--- a/packages/core/src/membership/member.ts
+++ b/packages/core/src/membership/member.ts
@@ -11,13 +11,13 @@
   readonly incarnation: IncarnationId;
 }
 
-/** A node as a view lists it. */
+/** A node as listed in a view. */
 export interface Member extends NodeRun {
-  /** Grows with each run of the node that joins; an older run never returns. */
+  /** Increases with each run that joins; an older run never rejoins. */
   readonly generation: number;
   readonly region: RegionId;
   readonly failureDomain: FailureDomainId;
-  /** Share of the engines relative to other nodes; positive. */
+  /** The node's relative share of the engines; positive. */
   readonly weight: number;
   /** IP literal and port for gRPC between nodes. */
   readonly address: string;
--- a/packages/core/src/membership/membership_agent.ts
+++ b/packages/core/src/membership/membership_agent.ts
@@ -13,38 +13,38 @@
 import { findMember, listsRun, type ViewRecord } from "./view.ts";
 import type { ViewRegister } from "./view_register.ts";
 
-/** How many nodes of the platform's list a joining node greets. */
-const CONTACTS = 3;
+/** How many contacts a joining node sends heartbeats to. */
+const MAXIMUM_CONTACTS = 3;
 
-/** A node that the platform's lagging list names. */
+/** A node from the platform's list, which may be out of date. */
 export interface Contact {
   readonly node: NodeId;
   readonly address: string;
 }
 
-/** A heartbeat that is to be sent. */
+/** A heartbeat to be sent. */
 export interface OutgoingHeartbeat {
   readonly to: Contact;
   readonly heartbeat: Heartbeat;
 }
 
-/** What the membership wants done after a tick. */
+/** The actions that a tick requests. */
 export interface MembershipActions {
   readonly heartbeats: readonly OutgoingHeartbeat[];
-  /** The view that this node proposes now, where it is its turn. */
+  /** The view to propose now, if it is this node's turn. */
   readonly proposal?: ViewRecord;
 }
 
-/** What a membership agent starts with. */
+/** The initial parameters of a membership agent. */
 export interface MembershipAgentOptions {
-  /** This run; its generation is set once the log has been read. */
+  /** This run; its generation is assigned once the log has been read. */
   readonly self: Member;
   readonly timing: MembershipTiming;
   readonly startedAt: Instant;
   readonly register: ViewRegister;
 }
 
-/** One node's part in deciding who is a member. */
+/** One node's part in the membership protocol. */
 export class MembershipAgent {
   readonly #timing: MembershipTiming;
   readonly #register: ViewRegister;
@@ -52,11 +52,11 @@
   #self: Member;
   #contacts: readonly Contact[] = [];
   #leaving = false;
-  #lastHeartbeat: Instant | undefined;
-  #differsSince: Instant | undefined;
-  #differsFrom: LogOffset | undefined;
+  #lastHeartbeatAt: Instant | undefined;
+  #viewDiffersSince: Instant | undefined;
+  #differingViewOffset: LogOffset | undefined;
   #proposedAt: Instant | undefined;
-  #proposals = 0;
+  #proposalCount = 0;
 
   constructor(options: MembershipAgentOptions) {
     this.#timing = options.timing;
@@ -65,7 +65,7 @@
     this.#detector = new FailureDetector(options.timing, options.startedAt);
   }
 
-  /** This run, with the generation it joins by. */
+  /** This run, with the generation that it joins with. */
   get self(): Member {
     return this.#self;
   }
@@ -75,40 +75,43 @@
     return listsRun(this.#register.view, this.#self);
   }
 
-  /** Whether this node has said that it leaves. */
+  /** Whether this node announces that it leaves. */
   get isLeaving(): boolean {
     return this.#leaving;
   }
 
   /**
-   * Takes the entry VMs of the platform's list as a hint whom to greet.
+   * Sets the nodes to contact when joining: the entry VMs of the platform's
+   * list, which serves as a hint only.
    * @param contacts The nodes.
    */
   setContacts(contacts: readonly Contact[]): void {
-    this.#contacts = contacts.filter((one) => one.node !== this.#self.node);
+    this.#contacts = contacts.filter((contact) =>
+      contact.node !== this.#self.node
+    );
   }
 
-  /** Says from now on that this node leaves. */
+  /** Announces from now on that this node leaves. */
   leave(): void {
     this.#leaving = true;
-    this.#lastHeartbeat = undefined;
+    this.#lastHeartbeatAt = undefined;
   }
 
   /**
-   * Takes in a heartbeat.
-   * @param now The present time.
+   * Processes a received heartbeat.
+   * @param now The current time.
    * @param heartbeat The heartbeat.
    */
   heard(now: Instant, heartbeat: Heartbeat): void {
-    this.#detector.heard(now, heartbeat);
+    this.#detector.receiveHeartbeat(now, heartbeat);
     const isKnown = listsRun(this.#register.view, heartbeat.from);
     if (!isKnown && !heartbeat.leaving && heartbeat.from.generation > 0) {
-      this.#detector.wantsToJoin(now, heartbeat.from);
+      this.#detector.recordJoinRequest(now, heartbeat.from);
     }
   }
 
   /**
-   * Tells whether a member takes work, as far as this node knows.
+   * Checks whether a member accepts work, as far as this node knows.
    * @param member The member.
    * @returns Whether it is neither suspected nor leaving.
    */
@@ -119,11 +122,11 @@
   }
 
   /**
-   * Sends heartbeats when they are due and proposes views in its turn.
-   * @param now The present time.
-   * @param options Whether the log's tail is known, so that a view may be
-   * proposed.
-   * @returns What is to be done.
+   * Emits due heartbeats and proposes a view when it is this node's turn.
+   * @param now The current time.
+   * @param options Whether the log has been read to its tail, which is required
+   * to propose a view.
+   * @returns The actions to execute.
    */
   tick(
     now: Instant,
@@ -141,8 +144,8 @@
 
   #chooseGeneration(): void {
     const newest = this.#register.newestRun(this.#self.node);
-    const isOwn = newest !== undefined && sameRun(newest, this.#self);
-    if (isOwn) return;
+    const isOwnRun = newest !== undefined && sameRun(newest, this.#self);
+    if (isOwnRun) return;
     const generation = (newest?.generation ?? 0) + 1;
     this.#self = { ...this.#self, generation };
   }
@@ -151,10 +154,12 @@
     now: Instant,
     peers: readonly Member[],
   ): readonly OutgoingHeartbeat[] {
-    const last = this.#lastHeartbeat;
+    const lastSentAt = this.#lastHeartbeatAt;
     const interval = this.#timing.heartbeatInterval;
-    if (last !== undefined && elapsed(last, now) < interval) return [];
-    this.#lastHeartbeat = now;
+    if (lastSentAt !== undefined && elapsed(lastSentAt, now) < interval) {
+      return [];
+    }
+    this.#lastHeartbeatAt = now;
     const heartbeat: Heartbeat = {
       kind: "heartbeat",
       from: this.#self,
@@ -163,9 +168,11 @@
       digest: this.#detector.digest(now),
     };
     const isSettled = this.isMember && !this.#leaving;
-    const greeted = isSettled ? [] : this.#contacts.slice(0, CONTACTS);
+    const contacted = isSettled
+      ? []
+      : this.#contacts.slice(0, MAXIMUM_CONTACTS);
     const targets = new Map<NodeId, Contact>();
-    for (const { node, address } of [...greeted, ...peers]) {
+    for (const { node, address } of [...contacted, ...peers]) {
       targets.set(node, { node, address });
     }
     return [...targets.values()].map((to) => ({ to, heartbeat }));
@@ -173,74 +180,77 @@
 
   #proposal(now: Instant): ViewRecord | undefined {
     const { view } = this.#register;
-    const wanted = this.#wantedMembers();
-    if (sameMembers(view.members, wanted)) {
-      this.#differsSince = undefined;
+    const wantedMembers = this.#wantedMembers();
+    if (sameMembers(view.members, wantedMembers)) {
+      this.#viewDiffersSince = undefined;
       return undefined;
     }
-    if (this.#differsFrom !== view.offset) {
-      this.#differsFrom = view.offset;
-      this.#differsSince = undefined;
+    if (this.#differingViewOffset !== view.offset) {
+      this.#differingViewOffset = view.offset;
+      this.#viewDiffersSince = undefined;
       this.#proposedAt = undefined;
     }
-    this.#differsSince ??= now;
-    const waited = elapsed(this.#differsSince, now);
-    if (waited < this.#proposalWait(wanted)) return undefined;
+    this.#viewDiffersSince ??= now;
+    const waited = elapsed(this.#viewDiffersSince, now);
+    if (waited < this.#proposalWait(wantedMembers)) return undefined;
     const proposedAt = this.#proposedAt;
     const isPending = proposedAt !== undefined &&
       elapsed(proposedAt, now) < this.#timing.proposalTimeout;
     if (isPending) return undefined;
     this.#proposedAt = now;
-    this.#proposals += 1;
+    this.#proposalCount += 1;
     const id = `${this.#self.node}/${this.#self.incarnation}/view/${
-      String(this.#proposals)
+      String(this.#proposalCount)
     }`;
-    return { kind: "view", id, base: view.offset, members: wanted };
+    return { kind: "view", id, base: view.offset, members: wantedMembers };
   }
 
-  #proposalWait(wanted: readonly Member[]): number {
-    const turn = this.#rank(wanted) * this.#timing.proposalStagger;
+  #proposalWait(wantedMembers: readonly Member[]): number {
+    const staggerDelay = this.#proposerRank(wantedMembers) *
+      this.#timing.proposalStagger;
     const { members } = this.#register.view;
     const peers = heartbeatPeers(members, this.#self);
-    const silent = peers.filter((peer) =>
+    const suspectedPeers = peers.filter((peer) =>
       this.#detector.stateOf(peer) === "suspected"
     );
-    const maybeIsolated = silent.length * 2 > peers.length;
-    return maybeIsolated ? turn + this.#timing.isolationWait : turn;
+    const mayBeIsolated = suspectedPeers.length * 2 > peers.length;
+    return mayBeIsolated
+      ? staggerDelay + this.#timing.isolationWait
+      : staggerDelay;
   }
 
   #wantedMembers(): readonly Member[] {
     const { view } = this.#register;
-    const wanted = new Map(
-      view.members.filter((member) => this.#remains(member))
+    const wantedMembers = new Map(
+      view.members.filter((member) => this.#shouldRemain(member))
         .map((member) => [member.node, member]),
     );
     for (const member of this.#detector.joining) {
       const newest = this.#register.newestRun(member.node)?.generation ?? 0;
-      if (member.generation > newest) wanted.set(member.node, member);
-      const returns = member.generation === newest &&
+      if (member.generation > newest) wantedMembers.set(member.node, member);
+      const isRejoining = member.generation === newest &&
         findMember(view, member.node) === undefined;
-      if (returns) wanted.set(member.node, member);
+      if (isRejoining) wantedMembers.set(member.node, member);
     }
-    if (!this.#leaving) wanted.set(this.#self.node, this.#self);
-    return [...wanted.values()].sort((left, right) =>
+    if (!this.#leaving) wantedMembers.set(this.#self.node, this.#self);
+    return [...wantedMembers.values()].sort((left, right) =>
       left.node < right.node ? -1 : 1
     );
   }
 
-  #remains(member: Member): boolean {
+  #shouldRemain(member: Member): boolean {
     if (member.node === this.#self.node) return !this.#leaving;
     return this.#detector.stateOf(member) !== "suspected" &&
       this.#detector.stateOf(member) !== "leaving";
   }
 
-  #rank(wanted: readonly Member[]): number {
+  #proposerRank(wantedMembers: readonly Member[]): number {
     const { offset } = this.#register.view;
-    const nodes = new Set(wanted.map((one) => one.node));
+    const nodes = new Set(wantedMembers.map((member) => member.node));
     nodes.add(this.#self.node);
     if (!this.isMember) {
-      for (const one of this.#contacts) {
-        nodes.add(one.node);
+      for (const contact of this.#contacts) {
+        nodes.add(contact.node);
       }
     }
     const order = rendezvousOrder(`proposal/${offset}`, [...nodes]);
--- a/packages/core/src/membership/timing.ts
+++ b/packages/core/src/membership/timing.ts
@@ -1,26 +1,26 @@
 import { type Duration, milliseconds } from "../shared/mod.ts";
 
-/** The times of the failure detector. */
+/** The timing parameters of membership and failure detection. */
 export interface MembershipTiming {
   readonly heartbeatInterval: Duration;
-  /** Silence after which a heartbeat peer is suspected. */
+  /** The time without a heartbeat after which a peer is suspected. */
   readonly suspectAfter: Duration;
-  /** How long a rumour is passed on and believed. */
+  /** How long a reported state is forwarded and considered valid. */
   readonly digestLifetime: Duration;
-  /** How long a run that has said that it leaves is taken as leaving. */
+  /** How long a run that announced its departure counts as leaving. */
   readonly leavingLifetime: Duration;
-  /** The wait of each further candidate before it proposes a view. */
+  /** The additional wait of each next candidate before proposing a view. */
   readonly proposalStagger: Duration;
   /**
-   * The further wait of a node that suspects more than half of its heartbeat
-   * peers, since it may itself be the one that is cut off.
+   * The additional wait of a node that suspects more than half of its
+   * heartbeat peers, since the node itself may be isolated.
    */
   readonly isolationWait: Duration;
-  /** How long an unanswered proposal keeps a node from proposing again. */
+  /** How long a node waits for a pending proposal before proposing again. */
   readonly proposalTimeout: Duration;
 }
 
-/** The times in force by default. */
+/** The default timing parameters. */
 export const DEFAULT_MEMBERSHIP_TIMING: MembershipTiming = {
   heartbeatInterval: milliseconds(300),
   suspectAfter: milliseconds(1_200),
--- a/packages/core/src/membership/view_register.ts
+++ b/packages/core/src/membership/view_register.ts
@@ -2,14 +2,14 @@
 import type { Member } from "./member.ts";
 import { EMPTY_VIEW, type View, type ViewRecord } from "./view.ts";
 
-/** What a reader of the log knows about views; kept in snapshots. */
+/** The view state derived from the log; stored in snapshots. */
 export interface ViewRegisterState {
   readonly view: View;
-  /** The newest run of every node that ever was a member. */
+  /** The newest run of every node that has ever been a member. */
   readonly newest: readonly Member[];
 }
 
-/** Decides which view records take effect; all readers decide alike. */
+/** Decides which view records take effect; identical for all readers. */
 export class ViewRegister {
   #view: View = EMPTY_VIEW;
   readonly #newest = new Map<NodeId, Member>();
@@ -27,7 +27,7 @@
   }
 
   /**
-   * Takes the state of a snapshot.
+   * Restores the state from a snapshot.
    * @param state The state.
    */
   restore(state: ViewRegisterState): void {
@@ -37,16 +37,16 @@
   }
 
   /**
-   * Gives the newest run known of a node.
+   * Returns the newest known run of a node.
    * @param node The node.
-   * @returns The run, or nothing where the node never was a member.
+   * @returns The run, or undefined if the node has never been a member.
    */
   newestRun(node: NodeId): Member | undefined {
     return this.#newest.get(node);
   }
 
   /**
-   * Applies a record where its base is the view in force.
+   * Applies a record if its base is the view in force.
    * @param offset The record's offset.
    * @param record The record.
    * @param baseAccepted Whether the base counts as current.
--- a/packages/core/src/mod.ts
+++ b/packages/core/src/mod.ts
@@ -1,5 +1,6 @@
 /**
- * The decisions of foxtailwind: no input or output, no clock, no timers.
+ * The decision logic of foxtailwind. It performs no input or output and uses
+ * no clock and no timers.
  * @module
  */
 export * from "./shared/mod.ts";
--- a/packages/core/src/observation/describe_event.ts
+++ b/packages/core/src/observation/describe_event.ts
@@ -3,7 +3,7 @@
 import type { RequestEvent } from "./request_event.ts";
 
 /**
- * Says in a sentence what happened to a request.
+ * Describes a request event in a sentence.
  * @param event The event.
  * @returns The sentence.
  */
@@ -16,7 +16,7 @@
         `tenant ${event.tenant}.`;
     case "routed":
       return `Attempt ${event.attempt} routed to ${event.engine}, controlled ` +
-        `by ${event.node}: ${words(event.reason)}.`;
+        `by ${event.node}: ${withSpaces(event.reason)}.`;
     case "queued":
       return `Queued at ${event.engine} behind ${event.ahead} others.`;
     case "load_started":
@@ -28,9 +28,9 @@
       }.`;
     case "dispatched":
       return `Dispatched to ${event.engine} after ${
-        rounded(event.loadStall)
+        formatMilliseconds(event.loadStall)
       } ms for its adapter to load and ${
-        rounded(event.queueWait)
+        formatMilliseconds(event.queueWait)
       } ms for a place in the batch.`;
     case "frame":
       return `Received ${event.tokens} tokens.`;
@@ -56,14 +56,16 @@
 }
 
 function describeFailure(failure: Failure): string {
-  return `${words(failure.reason)} at step ${words(failure.step)}, facing ` +
-    `${failure.peer} (${words(failure.outcome)}). ${failure.message}`;
+  return `${withSpaces(failure.reason)} at step ${
+    withSpaces(failure.step)
+  }, facing ` +
+    `${failure.peer} (${withSpaces(failure.outcome)}). ${failure.message}`;
 }
 
-function words(name: string): string {
-  return name.replaceAll("_", " ");
+function withSpaces(identifier: string): string {
+  return identifier.replaceAll("_", " ");
 }
 
-function rounded(time: number): string {
-  return time.toFixed(1);
+function formatMilliseconds(milliseconds: number): string {
+  return milliseconds.toFixed(1);
 }
--- a/packages/core/src/observation/explanation.ts
+++ b/packages/core/src/observation/explanation.ts
@@ -14,23 +14,23 @@
 
 /** A step of an explanation. */
 export interface ExplainedStep {
-  /** Time since the node first saw the request. */
+  /** The time since the node first saw the request. */
   readonly after: Duration;
   readonly kind: RequestEvent["kind"];
   readonly sentence: string;
 }
 
-/** What one node saw of a request. */
+/** The history of a request as seen by one node. */
 export interface Explanation {
   readonly request: RequestId;
   readonly class?: ClassId;
   readonly tenant?: TenantId;
   readonly adapter?: AdapterKey;
   readonly open: boolean;
-  /** How long ago the node first saw it. */
+  /** The time since the node first saw the request. */
   readonly age: Duration;
   readonly steps: readonly ExplainedStep[];
-  /** Steps that were not kept. */
+  /** The number of steps that were not kept. */
   readonly leftOut: number;
   readonly frames: number;
   readonly tokens: number;
@@ -39,9 +39,9 @@
 }
 
 /**
- * Explains a request from its trace.
+ * Builds the explanation of a request from its trace.
  * @param trace The trace.
- * @param now The present time.
+ * @param now The current time.
  * @returns The explanation.
  */
 export function explainTrace(trace: RequestTrace, now: Instant): Explanation {
--- a/packages/core/src/observation/histogram_report.ts
+++ b/packages/core/src/observation/histogram_report.ts
@@ -10,10 +10,10 @@
 
 const COUNT_BITS = 64;
 
-/** A histogram in the text form of HdrHistogram's version 2 encoding. */
+/** A histogram as text, in HdrHistogram's compressed V2 encoding. */
 export type EncodedHistogram = string;
 
-/** One class and tenant of a report. */
+/** The histograms of one class and tenant in a report. */
 export interface ReportedRow {
   readonly class: ClassId;
   readonly tenant: TenantId;
@@ -24,7 +24,7 @@
   }[];
 }
 
-/** One engine of a report. */
+/** The batch fill histogram of one engine in a report. */
 export interface ReportedEngine {
   readonly engine: EngineId;
   /** Batch fill in percent. */
@@ -37,7 +37,7 @@
   readonly engines: readonly ReportedEngine[];
 }
 
-/** A part of a report, small enough to be made or merged at one go. */
+/** A part of a report, small enough to build or merge without a pause. */
 export type ReportPart =
   | { readonly kind: "row"; readonly row: ReportedRow }
   | { readonly kind: "engine"; readonly engine: ReportedEngine };
@@ -46,17 +46,18 @@
  * Reports the histograms of a table part by part, so that the caller can let
  * other work run in between: encoding a whole table takes long.
  * @param table The table.
- * @param window Which window.
- * @returns The parts; rows and histograms without values are left out.
+ * @param window The window.
+ * @returns The parts; rows and histograms without values are omitted.
  */
 export function* reportParts(
   table: HistogramTable,
   window: HistogramWindow,
 ): Generator<ReportPart> {
   for (const row of [...table.rows()]) {
-    const reported = reportRow(row, window);
-    const filled = reported.histograms.length > 0 || hasEnds(reported);
-    if (filled) yield { kind: "row", row: reported };
+    const reportedRow = reportRow(row, window);
+    const hasData = reportedRow.histograms.length > 0 ||
+      hasEndedRequests(reportedRow);
+    if (hasData) yield { kind: "row", row: reportedRow };
   }
   for (const [engine, windowed] of [...table.engines]) {
     const histogram = windowed.read(window);
@@ -77,7 +78,7 @@
 }
 
 /**
- * Puts parts together.
+ * Assembles a report from its parts.
  * @param parts The parts.
  * @returns The report.
  */
@@ -92,9 +93,9 @@
 }
 
 /**
- * Reads an encoded histogram.
- * @param encoded The text.
- * @returns The histogram, or nothing where the text is damaged.
+ * Decodes a histogram.
+ * @param encoded The encoded histogram.
+ * @returns The histogram, or undefined if it cannot be decoded.
  */
 export function decodeHistogram(
   encoded: EncodedHistogram,
@@ -125,6 +126,6 @@
   };
 }
 
-function hasEnds({ ended }: ReportedRow): boolean {
+function hasEndedRequests({ ended }: ReportedRow): boolean {
   return ended.answered + ended.failed + ended.refused > 0;
 }
--- a/packages/core/src/observation/histogram_row.ts
+++ b/packages/core/src/observation/histogram_row.ts
@@ -2,18 +2,18 @@
 import { type Measure, MEASURES } from "./measure.ts";
 import { WindowedHistogram } from "./windowed_histogram.ts";
 
-/** How requests ended, since the start. */
+/** The number of requests by how they ended, since the start. */
 export interface EndedCounts {
   readonly answered: number;
   readonly failed: number;
-  /** Refused as not run. */
+  /** Failed requests that did not run. */
   readonly refused: number;
 }
 
-/** Ways in which a request ends. */
+/** The ways in which a request can end. */
 export type EndKind = keyof EndedCounts;
 
-/** The histograms of one class and tenant, made when first needed. */
+/** The histograms of one class and tenant, created on first use. */
 export class HistogramRow {
   readonly class: ClassId;
   readonly tenant: TenantId;
@@ -29,27 +29,27 @@
     this.tenant = tenant;
   }
 
-  /** How its requests ended. */
+  /** The number of its requests by how they ended. */
   get ended(): EndedCounts {
     return this.#ended;
   }
 
-  /** The histograms made so far. */
+  /** The histograms created so far. */
   get histograms(): ReadonlyMap<Measure, WindowedHistogram> {
     return this.#histograms;
   }
 
   /**
-   * Gives the histogram of a measure.
+   * Returns the histogram of a measure.
    * @param measure The measure.
-   * @returns The histogram; made where there is none yet.
+   * @returns The histogram, created if it does not exist yet.
    */
   histogram(measure: Measure): WindowedHistogram {
-    const known = this.#histograms.get(measure);
-    if (known !== undefined) return known;
-    const made = new WindowedHistogram(measure === "between_tokens");
-    this.#histograms.set(measure, made);
-    return made;
+    const existing = this.#histograms.get(measure);
+    if (existing !== undefined) return existing;
+    const created = new WindowedHistogram(measure === "between_tokens");
+    this.#histograms.set(measure, created);
+    return created;
   }
 
   /**
@@ -66,13 +66,13 @@
   }
 
   /**
-   * Takes over the counts of another row.
-   * @param other The other.
+   * Adds the counts of another row.
+   * @param other The other row.
    */
-  absorb(other: HistogramRow): void {
+  merge(other: HistogramRow): void {
     for (const measure of MEASURES) {
       const histogram = other.#histograms.get(measure);
-      if (histogram !== undefined) this.histogram(measure).absorb(histogram);
+      if (histogram !== undefined) this.histogram(measure).merge(histogram);
     }
     this.#ended.answered += other.#ended.answered;
     this.#ended.failed += other.#ended.failed;
--- a/packages/core/src/observation/histogram_summary.ts
+++ b/packages/core/src/observation/histogram_summary.ts
@@ -3,25 +3,25 @@
 
 const PERCENTILES = [50, 75, 90, 95, 99, 100] as const;
 
-/** Counts of values up to a bound and above the bound before. */
+/** The number of values above the previous bucket's bound, up to this one. */
 export interface HistogramBucket {
   readonly upTo: number;
   readonly count: number;
 }
 
-/** A histogram in figures and in buckets that double in width. */
+/** A histogram's statistics and its counts in exponential buckets. */
 export interface HistogramSummary {
   readonly count: number;
   readonly mean: number;
-  /** Values by percentile, as `p95`; `p100` is the largest. */
+  /** Values by percentile, such as `p95`; `p100` is the maximum. */
   readonly percentiles: Readonly<Record<string, number>>;
   readonly buckets: readonly HistogramBucket[];
 }
 
 /**
- * Sums a histogram up.
+ * Summarises a histogram.
  * @param histogram The histogram.
- * @param ticksPerUnit How many of its steps make one unit of the summary.
+ * @param ticksPerUnit The number of histogram ticks per unit of the summary.
  * @returns The summary, in units.
  */
 export function summariseHistogram(
@@ -36,15 +36,15 @@
     count: histogram.totalCount,
     mean: Number((histogram.mean / ticksPerUnit).toFixed(2)),
     percentiles: Object.fromEntries(percentiles) as Record<string, number>,
-    buckets: doublingBuckets(histogram, ticksPerUnit),
+    buckets: exponentialBuckets(histogram, ticksPerUnit),
   };
 }
 
 /**
- * Tells which share of the values lies within a bound.
+ * Computes the share of the values that lie within a bound.
  * @param histogram The histogram.
- * @param bound The bound, in the histogram's steps.
- * @returns The share, 0 to 1; 1 without values.
+ * @param bound The inclusive bound, in the histogram's ticks.
+ * @returns The share, from 0 to 1; 1 if there are no values.
  */
 export function shareWithin(histogram: Histogram, bound: number): number {
   if (histogram.totalCount === 0) return 1;
@@ -55,7 +55,7 @@
   return within / histogram.totalCount;
 }
 
-function doublingBuckets(
+function exponentialBuckets(
   histogram: Histogram,
   ticksPerUnit: number,
 ): readonly HistogramBucket[] {
@@ -83,7 +83,7 @@
   assertInvariant(
     histogram instanceof JsHistogram,
     "histograms_are_readable",
-    () => "A histogram is of a kind that cannot be read by index.",
+    () => "The histogram's type does not support reading by index.",
   );
   for (let index = 0; index < histogram.countsArrayLength; index += 1) {
     const count = histogram.getCountAtIndex(index);
--- a/packages/core/src/observation/histogram_table.ts
+++ b/packages/core/src/observation/histogram_table.ts
@@ -17,13 +17,13 @@
 } from "./row_choice.ts";
 import { WindowedHistogram } from "./windowed_histogram.ts";
 
-/** How long a period of the recent window lasts. */
+/** The length of a period of the recent window. */
 export const RECENT_PERIOD = seconds(60);
 
-/** Most engines whose batch fill is kept apart. */
+/** The maximum number of engines with their own batch fill histogram. */
 export const ENGINE_LIMIT = 64;
 
-/** Stands for the engines beyond the limit. */
+/** Represents the engines beyond the limit. */
 export const OTHER_ENGINE = "(other)" as EngineId;
 
 const PERCENT = 100;
@@ -35,12 +35,12 @@
   #kept: KeptRows = chooseRows({ classes: [], tenants: [] });
   #rotateAt: Instant;
 
-  /** @param now The present time. */
+  /** @param now The current time. */
   constructor(now: Instant) {
     this.#rotateAt = later(now, RECENT_PERIOD);
   }
 
-  /** An upper estimate of the memory of all histograms. */
+  /** An upper estimate of the memory of all histograms, in bytes. */
   get bytes(): number {
     let bytes = 0;
     for (const row of this.rows()) {
@@ -56,7 +56,7 @@
   }
 
   /**
-   * Lists the rows made so far.
+   * Iterates over the rows created so far.
    * @returns The rows.
    */
   *rows(): Generator<HistogramRow> {
@@ -64,53 +64,53 @@
   }
 
   /**
-   * Learns of the configured classes and tenants. Rows that lose their place
-   * are added to "other" rows.
-   * @param names What is configured.
-   * @returns Whether rows were moved, so that references to rows are void.
+   * Applies the configured classes and tenants. Rows that are no longer kept
+   * are merged into "other" rows.
+   * @param names The configured classes and tenants.
+   * @returns Whether the kept rows changed; references to rows are then stale.
    */
   configure(names: ConfiguredNames): boolean {
     const kept = chooseRows(names);
     if (sameRows(kept, this.#kept)) return false;
     this.#kept = kept;
-    const before = [...this.rows()];
+    const previousRows = [...this.rows()];
     this.#rows.clear();
-    for (const row of before) this.#place(row);
+    for (const row of previousRows) this.#reassignRow(row);
     return true;
   }
 
   /**
-   * Finds the row that counts a class and tenant.
+   * Returns the row that counts a class and tenant.
    * @param className The class.
    * @param tenant The tenant.
    * @returns Their own row, or an "other" row.
    */
   row(className: ClassId, tenant: TenantId): HistogramRow {
-    const ownClass = this.#kept.classes.has(className)
+    const rowClass = this.#kept.classes.has(className)
       ? className
       : OTHER_CLASS;
-    const ownTenant = this.#kept.tenants.has(tenant) ? tenant : OTHER_TENANT;
-    const known = this.#rows.get(ownClass)?.get(ownTenant);
-    if (known !== undefined) return known;
-    const made = new HistogramRow(ownClass, ownTenant);
-    this.#put(made);
-    return made;
+    const rowTenant = this.#kept.tenants.has(tenant) ? tenant : OTHER_TENANT;
+    const existing = this.#rows.get(rowClass)?.get(rowTenant);
+    if (existing !== undefined) return existing;
+    const created = new HistogramRow(rowClass, rowTenant);
+    this.#insertRow(created);
+    return created;
   }
 
   /**
-   * Counts how fully an engine used its batch.
+   * Records how much of its batch an engine used.
    * @param engine The engine.
-   * @param fill The share in use, 0 to 1.
+   * @param fill The share in use, from 0 to 1.
    */
   recordBatchFill(engine: EngineId, fill: number): void {
-    const known = this.#engines.get(engine);
-    const histogram = known ?? this.#makeEngine(engine);
+    const existing = this.#engines.get(engine);
+    const histogram = existing ?? this.#engineHistogram(engine);
     histogram.record(Math.round(Math.max(fill, 0) * PERCENT), 1);
   }
 
   /**
-   * Ends the periods that are over.
-   * @param now The present time.
+   * Rotates the histograms when the current period has ended.
+   * @param now The current time.
    */
   advance(now: Instant): void {
     if (now < this.#rotateAt) return;
@@ -125,27 +125,27 @@
     for (const histogram of this.#engines.values()) histogram.rotate();
   }
 
-  #place(row: HistogramRow): void {
+  #reassignRow(row: HistogramRow): void {
     const target = this.#kept.classes.has(row.class) &&
         this.#kept.tenants.has(row.tenant)
       ? undefined
       : this.row(row.class, row.tenant);
-    if (target === undefined) this.#put(row);
-    else target.absorb(row);
+    if (target === undefined) this.#insertRow(row);
+    else target.merge(row);
   }
 
-  #put(row: HistogramRow): void {
+  #insertRow(row: HistogramRow): void {
     const tenants = this.#rows.get(row.class);
     if (tenants !== undefined) tenants.set(row.tenant, row);
     else this.#rows.set(row.class, new Map([[row.tenant, row]]));
   }
 
-  #makeEngine(engine: EngineId): WindowedHistogram {
+  #engineHistogram(engine: EngineId): WindowedHistogram {
     const name = this.#engines.size < ENGINE_LIMIT ? engine : OTHER_ENGINE;
-    const known = this.#engines.get(name);
-    if (known !== undefined) return known;
-    const made = new WindowedHistogram();
-    this.#engines.set(name, made);
-    return made;
+    const existing = this.#engines.get(name);
+    if (existing !== undefined) return existing;
+    const created = new WindowedHistogram();
+    this.#engines.set(name, created);
+    return created;
   }
 }
--- a/packages/core/src/observation/measure.ts
+++ b/packages/core/src/observation/measure.ts
@@ -1,4 +1,4 @@
-/** What is timed of requests. */
+/** The durations measured for requests. */
 export const MEASURES = [
   "first_token",
   "between_tokens",
@@ -7,10 +7,10 @@
   "load_stall",
 ] as const;
 
-/** One of the times that are kept of requests. */
+/** A duration measured for requests. */
 export type Measure = (typeof MEASURES)[number];
 
-/** The spans of time that histograms are kept for. */
+/** The time windows that histograms are kept for. */
 export const HISTOGRAM_WINDOWS = ["recent", "since_start"] as const;
 
 /** The last one to two minutes, or the time since the process started. */
--- a/packages/core/src/observation/merged_histograms.ts
+++ b/packages/core/src/observation/merged_histograms.ts
@@ -12,7 +12,7 @@
 import type { Measure } from "./measure.ts";
 import { emptyHistogram } from "./windowed_histogram.ts";
 
-/** A class and tenant over all nodes that reported. */
+/** The histograms of a class and tenant, merged over all reporting nodes. */
 export interface MergedRow {
   readonly class: ClassId;
   readonly tenant: TenantId;
@@ -20,23 +20,23 @@
   readonly histograms: ReadonlyMap<Measure, Histogram>;
 }
 
-interface RowInProgress extends MergedRow {
+interface MutableMergedRow extends MergedRow {
   ended: EndedCounts;
   readonly histograms: Map<Measure, Histogram>;
 }
 
-/** Adds up the reports of several nodes. */
+/** Merges the histogram reports of several nodes. */
 export class MergedHistograms {
-  readonly #rows = new Map<string, RowInProgress>();
+  readonly #rows = new Map<string, MutableMergedRow>();
   readonly #engines = new Map<EngineId, Histogram>();
   #damaged = 0;
 
-  /** Histograms that could not be read. */
+  /** The number of histograms that could not be decoded. */
   get damaged(): number {
     return this.#damaged;
   }
 
-  /** The rows, in the order of class and tenant. */
+  /** The rows, ordered by class and tenant. */
   get rows(): readonly MergedRow[] {
     return [...this.#rows]
       .sort(([left], [right]) => left < right ? -1 : 1)
@@ -96,14 +96,14 @@
 }
 
 /**
- * Adds up the rows of each class over its tenants.
+ * Merges the rows of each class over its tenants.
  * @param rows The rows.
- * @returns For each class and measure, one histogram.
+ * @returns One row for each class, with one histogram for each measure.
  */
 export function sumByClass(
   rows: readonly MergedRow[],
 ): ReadonlyMap<ClassId, MergedRow> {
-  const sums = new Map<ClassId, RowInProgress>();
+  const sums = new Map<ClassId, MutableMergedRow>();
   for (const row of rows) {
     const sum = sums.get(row.class) ?? emptyRow(row);
     sums.set(row.class, sum);
@@ -119,7 +119,7 @@
 
 function emptyRow(
   { class: className, tenant }: Pick<MergedRow, "class" | "tenant">,
-): RowInProgress {
+): MutableMergedRow {
   return {
     class: className,
     tenant,
--- a/packages/core/src/observation/relay_sentence.ts
+++ b/packages/core/src/observation/relay_sentence.ts
@@ -1,6 +1,6 @@
 /**
- * The sentences of the relay's log that explanations are made from: those who
- * write lines and those who read them use the same.
+ * The messages of the relay's log that explanations are built from, shared
+ * between the code that writes log lines and the code that parses them.
  */
 export const RELAY_SENTENCE = {
   started: "Started.",
--- a/packages/core/src/observation/request_event.ts
+++ b/packages/core/src/observation/request_event.ts
@@ -10,7 +10,7 @@
   TenantId,
 } from "../shared/mod.ts";
 
-/** A step of one request's life, for histograms and explanations. */
+/** An event in the life of a request, for histograms and explanations. */
 export type RequestEvent =
   | {
     readonly kind: "arrived";
@@ -25,7 +25,7 @@
     readonly attempt: AttemptNumber;
     readonly engine: EngineId;
     readonly node: NodeId;
-    /** Why this engine, in a few words of a fixed set. */
+    /** Why this engine was chosen; one of a fixed set of reasons. */
     readonly reason: string;
   }
   | {
@@ -33,7 +33,7 @@
     readonly request: RequestId;
     readonly engine: EngineId;
     readonly ahead: number;
-    /** Where the request came from another node, what it is counted under. */
+    /** Set if the request arrived at another node; counted under these. */
     readonly class?: ClassId;
     readonly tenant?: TenantId;
   }
@@ -54,9 +54,9 @@
     readonly kind: "dispatched";
     readonly request: RequestId;
     readonly engine: EngineId;
-    /** How long it waited for a place in the batch. */
+    /** The time it waited for a place in the batch. */
     readonly queueWait: Duration;
-    /** How long of its wait was for its adapter to load. */
+    /** The part of the wait spent on loading its adapter. */
     readonly loadStall: Duration;
   }
   | {
--- a/packages/core/src/observation/request_observer.ts
+++ b/packages/core/src/observation/request_observer.ts
@@ -1,29 +1,29 @@
 import type { EngineId, Instant } from "../shared/mod.ts";
 import type { RequestEvent } from "./request_event.ts";
 
-/** Learns what happens to requests; never influences it. */
+/** Observes request events without influencing the requests. */
 export abstract class RequestObserver {
   /**
-   * Takes note of an event.
-   * @param now The present time.
+   * Records an event.
+   * @param now The current time.
    * @param event The event.
    */
   abstract record(now: Instant, event: RequestEvent): void;
 
   /**
-   * Takes note of how fully an engine used its batch. By default, not at all.
-   * @param _now The present time.
-   * @param _sample What the engine did.
+   * Records how much of its batch an engine used. Does nothing by default.
+   * @param _now The current time.
+   * @param _sample The engine's batch usage.
    */
-  // eslint-disable-next-line @typescript-eslint/no-unused-vars -- Named for those who override it.
+  // eslint-disable-next-line @typescript-eslint/no-unused-vars -- Documents the parameters for subclasses.
   recordBatch(_now: Instant, _sample: BatchSample): void {
-    // Kept by observers that count batches.
+    // Overridden by observers that record batch usage.
   }
 }
 
-/** How fully an engine used its batch in a step or a span of steps. */
+/** How much of its batch an engine used in one or several steps. */
 export interface BatchSample {
   readonly engine: EngineId;
-  /** The share of the batch in use, 0 to 1. */
+  /** The share of the batch in use, from 0 to 1. */
   readonly fill: number;
 }
--- a/packages/core/src/observation/request_telemetry.ts
+++ b/packages/core/src/observation/request_telemetry.ts
@@ -27,18 +27,18 @@
 import { TraceStore } from "./trace_store.ts";
 import type { RequestId } from "../shared/mod.ts";
 
-/** Histograms count tenths of milliseconds. */
+/** Histograms record times in tenths of milliseconds. */
 export const TICKS_PER_MILLISECOND = 10;
 
 type FrameEvent = Extract<RequestEvent, { readonly kind: "frame" }>;
 type EndedEvent = Extract<RequestEvent, { readonly kind: "ended" }>;
 
-/** Keeps histograms and traces of the requests that a node sees. */
+/** Maintains histograms and traces of the requests that a node sees. */
 export class RequestTelemetry extends RequestObserver {
   readonly #table: HistogramTable;
   readonly #traces = new TraceStore();
 
-  /** @param now The present time. */
+  /** @param now The current time. */
   constructor(now: Instant) {
     super();
     this.#table = new HistogramTable(now);
@@ -49,7 +49,7 @@
     return this.#table.bytes;
   }
 
-  /** How many traces are kept. */
+  /** The number of traces kept. */
   get traces(): number {
     return this.#traces.size;
   }
@@ -61,7 +61,7 @@
     }
     this.#table.advance(now);
     const trace = this.#traces.findOpen(event.request) ??
-      this.#open(now, event.request);
+      this.#openTrace(now, event.request);
     trace.addStep(now, event);
     this.#recordStep(now, event, trace);
   }
@@ -72,19 +72,19 @@
   }
 
   /**
-   * Learns of the configured classes and tenants.
-   * @param names What is configured.
+   * Applies the configured classes and tenants.
+   * @param names The configured classes and tenants.
    */
   configure(names: ConfiguredNames): void {
     if (!this.#table.configure(names)) return;
-    for (const trace of this.#traces.open()) trace.row = this.#rowOf(trace);
+    for (const trace of this.#traces.open()) trace.row = this.#rowFor(trace);
   }
 
   /**
    * Reports all histograms of a window, part by part.
-   * @param now The present time.
-   * @param window Which.
-   * @returns The parts, to merge with those of other nodes.
+   * @param now The current time.
+   * @param window The window.
+   * @returns The parts, which can be merged with those of other nodes.
    */
   reportParts(now: Instant, window: HistogramWindow): Generator<ReportPart> {
     this.#table.advance(now);
@@ -93,8 +93,8 @@
 
   /**
    * Reads the rows of a window one by one, without encoding them.
-   * @param now The present time.
-   * @param window Which.
+   * @param now The current time.
+   * @param window The window.
    * @returns Copies of the rows.
    */
   *readRows(now: Instant, window: HistogramWindow): Generator<MergedRow> {
@@ -103,9 +103,9 @@
   }
 
   /**
-   * Reports all histograms of a window at one go.
-   * @param now The present time.
-   * @param window Which.
+   * Reports all histograms of a window at once.
+   * @param now The current time.
+   * @param window The window.
    * @returns The report.
    */
   report(now: Instant, window: HistogramWindow): HistogramReport {
@@ -113,17 +113,17 @@
   }
 
   /**
-   * Explains what happened to a request here.
-   * @param now The present time.
+   * Explains what happened to a request at this node.
+   * @param now The current time.
    * @param request The request.
-   * @returns The explanation, or nothing where no trace is kept.
+   * @returns The explanation, or undefined if no trace is kept.
    */
   explain(now: Instant, request: RequestId): Explanation | undefined {
     const trace = this.#traces.find(request);
     return trace === undefined ? undefined : explainTrace(trace, now);
   }
 
-  #open(now: Instant, request: RequestId): RequestTrace {
+  #openTrace(now: Instant, request: RequestId): RequestTrace {
     const row = this.#table.row(OTHER_CLASS, OTHER_TENANT);
     const trace = new RequestTrace(request, now, row);
     this.#traces.add(trace);
@@ -135,7 +135,7 @@
     if (trace === undefined || event.tokens === 0) return;
     if (trace.lastFrameAt === undefined) {
       trace.firstFrameAt = now;
-      this.#countSinceArrival(now, "first_token", trace);
+      this.#recordSinceArrival(now, "first_token", trace);
     } else {
       const gap = elapsed(trace.lastFrameAt, now);
       const ticks = Math.round(gap * TICKS_PER_MILLISECOND / event.tokens);
@@ -153,16 +153,16 @@
         trace.class = event.class;
         trace.tenant = event.tenant;
         trace.adapter = event.adapter;
-        trace.row = this.#rowOf(trace);
+        trace.row = this.#rowFor(trace);
         break;
       case "queued":
         trace.class ??= event.class;
         trace.tenant ??= event.tenant;
-        trace.row = this.#rowOf(trace);
+        trace.row = this.#rowFor(trace);
         break;
       case "dispatched":
-        count(trace.row, "queue_wait", event.queueWait);
-        count(trace.row, "load_stall", event.loadStall);
+        recordDuration(trace.row, "queue_wait", event.queueWait);
+        recordDuration(trace.row, "load_stall", event.loadStall);
         break;
       case "ended":
         this.#recordEnd(now, event, trace);
@@ -179,26 +179,27 @@
 
   #recordEnd(now: Instant, event: EndedEvent, trace: RequestTrace): void {
     trace.ended = true;
-    // The node that the caller faces counts the end; others keep the trace.
+    // Only the node where the request arrived counts its end; other nodes
+    // just keep the trace.
     if (trace.arrivedAt !== undefined) {
-      trace.row.countEnd(endKind(event.failure));
+      trace.row.countEnd(endKindOf(event.failure));
       if (event.failure === undefined) {
-        this.#countSinceArrival(now, "whole_answer", trace);
+        this.#recordSinceArrival(now, "whole_answer", trace);
       }
     }
     this.#traces.close(trace, event.failure !== undefined);
   }
 
-  #countSinceArrival(
+  #recordSinceArrival(
     now: Instant,
     measure: Measure,
     trace: RequestTrace,
   ): void {
     if (trace.arrivedAt === undefined) return;
-    count(trace.row, measure, elapsed(trace.arrivedAt, now));
+    recordDuration(trace.row, measure, elapsed(trace.arrivedAt, now));
   }
 
-  #rowOf(trace: RequestTrace): HistogramRow {
+  #rowFor(trace: RequestTrace): HistogramRow {
     return this.#table.row(
       trace.class ?? OTHER_CLASS,
       trace.tenant ?? OTHER_TENANT,
@@ -218,12 +219,16 @@
   };
 }
 
-function count(row: HistogramRow, measure: Measure, time: Duration): void {
-  const ticks = Math.max(Math.round(time * TICKS_PER_MILLISECOND), 0);
+function recordDuration(
+  row: HistogramRow,
+  measure: Measure,
+  duration: Duration,
+): void {
+  const ticks = Math.max(Math.round(duration * TICKS_PER_MILLISECOND), 0);
   row.histogram(measure).record(ticks, 1);
 }
 
-function endKind(failure: Failure | undefined): EndKind {
+function endKindOf(failure: Failure | undefined): EndKind {
   if (failure === undefined) return "answered";
   return failure.outcome === "not_run" ? "refused" : "failed";
 }
--- a/packages/core/src/observation/request_trace.ts
+++ b/packages/core/src/observation/request_trace.ts
@@ -8,23 +8,23 @@
 import type { HistogramRow } from "./histogram_row.ts";
 import type { RequestEvent } from "./request_event.ts";
 
-/** Most steps kept of one request; the last ones beyond it are counted only. */
+/** The maximum number of steps kept per request; later ones are counted. */
 export const STEP_LIMIT = 24;
 
-/** A step of a request, with the time at which it happened here. */
+/** A step of a request, with the time at which this node recorded it. */
 export interface TracedStep {
   readonly at: Instant;
   readonly event: RequestEvent;
 }
 
-/** What one node saw of one request. Frames are counted, not kept. */
+/** One node's record of a request. Frames are counted but not kept as steps. */
 export class RequestTrace {
   readonly request: RequestId;
   readonly startedAt: Instant;
   class: ClassId | undefined;
   tenant: TenantId | undefined;
   adapter: AdapterReference | undefined;
-  /** Where its times are counted. */
+  /** The row that its durations are recorded in. */
   row: HistogramRow;
   arrivedAt: Instant | undefined;
   firstFrameAt: Instant | undefined;
@@ -37,8 +37,8 @@
 
   /**
    * @param request The request.
-   * @param startedAt When the first event of it was seen.
-   * @param row Where its times are counted until its class is known.
+   * @param startedAt When its first event was seen.
+   * @param row The row to record durations in until its class is known.
    */
   constructor(request: RequestId, startedAt: Instant, row: HistogramRow) {
     this.request = request;
@@ -51,19 +51,19 @@
     return this.#steps;
   }
 
-  /** How many steps were not kept. */
+  /** The number of steps that were not kept. */
   get leftOut(): number {
     return this.#leftOut;
   }
 
   /**
-   * Keeps a step; the end always, others while there is room.
+   * Keeps a step up to the limit; the end of a request is always kept.
    * @param at When it happened.
    * @param event What happened.
    */
   addStep(at: Instant, event: RequestEvent): void {
-    const room = this.#steps.length < STEP_LIMIT;
-    if (room || event.kind === "ended") this.#steps.push({ at, event });
+    const hasRoom = this.#steps.length < STEP_LIMIT;
+    if (hasRoom || event.kind === "ended") this.#steps.push({ at, event });
     else this.#leftOut += 1;
   }
 }
--- a/packages/core/src/observation/row_choice.ts
+++ b/packages/core/src/observation/row_choice.ts
@@ -1,15 +1,15 @@
 import type { ClassId, TenantId } from "../shared/mod.ts";
 
-/** Most rows of histograms that a node keeps, "other" rows included. */
+/** The maximum number of histogram rows of a node, including "other" rows. */
 export const ROW_LIMIT = 96;
 
-/** Most classes with rows of their own. */
+/** The maximum number of classes with rows of their own. */
 export const KEPT_CLASS_LIMIT = 11;
 
-/** Stands for all classes without rows of their own; no id looks like it. */
+/** Represents all classes without rows of their own; not a valid class id. */
 export const OTHER_CLASS = "(other)" as ClassId;
 
-/** Stands for all tenants without rows of their own; no id looks like it. */
+/** Represents all tenants without rows of their own; not a valid tenant id. */
 export const OTHER_TENANT = "(other)" as TenantId;
 
 /** The classes and tenants with rows of their own. */
@@ -18,18 +18,18 @@
   readonly tenants: ReadonlySet<TenantId>;
 }
 
-/** The classes and tenants that are configured. */
+/** The configured classes and tenants. */
 export interface ConfiguredNames {
   readonly classes: Iterable<ClassId>;
   readonly tenants: Iterable<TenantId>;
 }
 
 /**
- * Chooses the classes and tenants with rows of their own: the first ones in
- * the order of their ids. Nodes with the same configuration choose the same,
- * so that their rows can be merged.
- * @param names What is configured.
- * @returns The choice; with the "other" rows it stays within the limit.
+ * Chooses the classes and tenants that get rows of their own: the first ones
+ * in the order of their ids. Nodes with the same configuration make the same
+ * choice, so that their rows can be merged.
+ * @param names The configured classes and tenants.
+ * @returns The choice; together with the "other" rows it is within the limit.
  */
 export function chooseRows(names: ConfiguredNames): KeptRows {
   const classes = [...names.classes].sort().slice(0, KEPT_CLASS_LIMIT);
@@ -39,7 +39,7 @@
 }
 
 /**
- * Compares two choices.
+ * Compares two choices of rows.
  * @param left One choice.
  * @param right The other.
  * @returns Whether both keep the same classes and tenants.
--- a/packages/core/src/observation/trace_store.ts
+++ b/packages/core/src/observation/trace_store.ts
@@ -1,26 +1,29 @@
 import type { RequestId } from "../shared/mod.ts";
 import type { RequestTrace } from "./request_trace.ts";
 
-/** Most requests whose traces are kept while they are open. */
+/** The maximum number of traces of open requests. */
 export const OPEN_TRACE_LIMIT = 8_192;
 
-/** Most requests whose traces are kept after their end. */
+/** The maximum number of traces of ended requests that did not fail. */
 export const ENDED_TRACE_LIMIT = 4_096;
 
-/** Most failed requests whose traces are kept apart, to last longer. */
+/**
+ * The maximum number of traces of failed requests, which are kept apart so
+ * that they last longer.
+ */
 export const FAILED_TRACE_LIMIT = 1_024;
 
 /**
- * Keeps the traces of open requests and of the latest ended ones. Failed
- * requests have a ring of their own, so that a flood of good ones does not
- * push them out.
+ * Stores the traces of open requests and of the latest ended ones. Failed
+ * requests are stored separately, so that a high rate of successful requests
+ * does not evict them.
  */
 export class TraceStore {
   readonly #open = new Map<RequestId, RequestTrace>();
   readonly #ended = new Map<RequestId, RequestTrace>();
   readonly #failed = new Map<RequestId, RequestTrace>();
 
-  /** How many traces are kept. */
+  /** The number of traces kept. */
   get size(): number {
     return this.#open.size + this.#ended.size + this.#failed.size;
   }
@@ -28,7 +31,7 @@
   /**
    * Finds the trace of an open request.
    * @param request The request.
-   * @returns The trace, or nothing.
+   * @returns The trace, or undefined if there is none.
    */
   findOpen(request: RequestId): RequestTrace | undefined {
     return this.#open.get(request);
@@ -37,7 +40,7 @@
   /**
    * Finds a trace.
    * @param request The request.
-   * @returns The trace, or nothing where it is not or no longer kept.
+   * @returns The trace, or undefined if it is not kept.
    */
   find(request: RequestId): RequestTrace | undefined {
     return this.#open.get(request) ?? this.#ended.get(request) ??
@@ -45,7 +48,7 @@
   }
 
   /**
-   * Lists the traces of open requests.
+   * Returns the traces of open requests.
    * @returns The traces.
    */
   open(): Iterable<RequestTrace> {
@@ -53,8 +56,8 @@
   }
 
   /**
-   * Keeps the trace of a new request. Where too many are open, the oldest
-   * counts as ended.
+   * Adds the trace of a new request. Beyond the limit of open requests, the
+   * oldest one is treated as ended.
    * @param trace The trace.
    */
   add(trace: RequestTrace): void {
@@ -65,17 +68,17 @@
   }
 
   /**
-   * Moves a trace to those of ended requests.
+   * Moves a trace from the open to the ended requests.
    * @param trace The trace.
    * @param failed Whether the request failed.
    */
   close(trace: RequestTrace, failed: boolean): void {
     this.#open.delete(trace.request);
-    const ring = failed ? this.#failed : this.#ended;
-    ring.set(trace.request, trace);
+    const endedTraces = failed ? this.#failed : this.#ended;
+    endedTraces.set(trace.request, trace);
     const limit = failed ? FAILED_TRACE_LIMIT : ENDED_TRACE_LIMIT;
-    if (ring.size <= limit) return;
-    const [oldest] = ring.keys();
-    if (oldest !== undefined) ring.delete(oldest);
+    if (endedTraces.size <= limit) return;
+    const [oldest] = endedTraces.keys();
+    if (oldest !== undefined) endedTraces.delete(oldest);
   }
 }
--- a/packages/core/src/observation/windowed_histogram.ts
+++ b/packages/core/src/observation/windowed_histogram.ts
@@ -1,17 +1,17 @@
 import { build, type Histogram } from "hdr-histogram-js";
-import { CountStage } from "./count_stage.ts";
+import { CountBuffer } from "./count_buffer.ts";
 import type { HistogramWindow } from "./measure.ts";
 
 const SIGNIFICANT_DIGITS = 2;
 const SHORT_COUNT_BITS = 32;
 const LONG_COUNT_BITS = 64;
 
-/** The largest value kept; larger ones count as this one. */
+/** The largest recorded value; larger values are clamped to it. */
 export const MAXIMUM_HISTOGRAM_VALUE = 36_000_000;
 
 /**
- * Makes an empty histogram whose counts last for years.
- * @returns The histogram; it grows with the values recorded.
+ * Creates an empty histogram whose counters suffice for years.
+ * @returns The histogram; it grows with the recorded values.
  */
 export function emptyHistogram(): Histogram {
   return build({
@@ -28,45 +28,46 @@
 }
 
 /**
- * Counts values over two windows. A value is recorded once, in the current
- * period; a period that ends is added to the total since start.
+ * Records values over two windows. A value is recorded once, in the current
+ * period. When a period ends, it is added to the total since the start.
  */
 export class WindowedHistogram {
   #current = shortHistogram();
   #previous: Histogram | undefined;
+  /** The sum of all ended periods. */
   #ended: Histogram | undefined;
-  readonly #stage: CountStage | undefined;
+  readonly #buffer: CountBuffer | undefined;
 
-  /** @param frequent Whether values come so often that they are staged. */
-  constructor(frequent = false) {
-    this.#stage = frequent ? new CountStage() : undefined;
+  /** @param isFrequent Whether values arrive often enough to be buffered. */
+  constructor(isFrequent = false) {
+    this.#buffer = isFrequent ? new CountBuffer() : undefined;
   }
 
-  /** An upper estimate of its memory. */
+  /** An upper estimate of its memory in bytes. */
   get bytes(): number {
     return this.#current.estimatedFootprintInBytes +
       (this.#previous?.estimatedFootprintInBytes ?? 0) +
       (this.#ended?.estimatedFootprintInBytes ?? 0) +
-      (this.#stage?.bytes ?? 0);
+      (this.#buffer?.bytes ?? 0);
   }
 
   /**
-   * Counts a value.
-   * @param value A whole number that is not negative.
-   * @param count How many times it occurred.
+   * Records a value.
+   * @param value A non-negative integer.
+   * @param count The number of occurrences.
    */
   record(value: number, count: number): void {
-    if (this.#stage?.add(value, count) === true) return;
-    const kept = value < MAXIMUM_HISTOGRAM_VALUE
+    if (this.#buffer?.add(value, count) === true) return;
+    const clamped = value < MAXIMUM_HISTOGRAM_VALUE
       ? value
       : MAXIMUM_HISTOGRAM_VALUE;
-    if (count === 1) this.#current.recordValue(kept);
-    else this.#current.recordValueWithCount(kept, count);
+    if (count === 1) this.#current.recordValue(clamped);
+    else this.#current.recordValueWithCount(clamped, count);
   }
 
   /** Ends the current period and starts the next. */
   rotate(): void {
-    this.#stage?.drainInto(this.#current);
+    this.#buffer?.flushInto(this.#current);
     if (this.#current.totalCount === 0) {
       this.#previous = undefined;
       return;
@@ -78,10 +79,10 @@
   }
 
   /**
-   * Takes over the counts of another, so that it can be dropped.
-   * @param other The other.
+   * Adds the counts of another histogram, so that it can be discarded.
+   * @param other The other histogram.
    */
-  absorb(other: WindowedHistogram): void {
+  merge(other: WindowedHistogram): void {
     this.#current.add(other.read("recent"));
     this.#ended ??= emptyHistogram();
     if (other.#ended === undefined) return;
@@ -91,15 +92,15 @@
 
   /**
    * Reads a window.
-   * @param window Which.
+   * @param window The window.
    * @returns A copy of its counts.
    */
   read(window: HistogramWindow): Histogram {
-    this.#stage?.drainInto(this.#current);
+    this.#buffer?.flushInto(this.#current);
     const copy = emptyHistogram();
     copy.add(this.#current);
-    const before = window === "recent" ? this.#previous : this.#ended;
-    if (before !== undefined) copy.add(before);
+    const earlier = window === "recent" ? this.#previous : this.#ended;
+    if (earlier !== undefined) copy.add(earlier);
     return copy;
   }
 }
--- a/packages/core/src/shared/adapter_reference.ts
+++ b/packages/core/src/shared/adapter_reference.ts
@@ -1,20 +1,20 @@
 import type { AdapterId, AdapterVersion } from "./ids.ts";
 import type { Brand } from "./brand.ts";
 
-/** An adapter at one version: what an engine loads and a request names. */
+/** One version of an adapter, as engines load it and requests name it. */
 export interface AdapterReference {
   readonly adapter: AdapterId;
   readonly version: AdapterVersion;
 }
 
-/** A reference as one text, for keys of maps. */
+/** An adapter reference as a string, for use as a map key. */
 export type AdapterKey = Brand<string, "AdapterKey">;
 
 const SEPARATOR = "@";
 
 /**
- * Gives a reference as one text, `adapter@version`.
- * @param reference The adapter and version.
+ * Formats an adapter reference as `adapter@version`.
+ * @param reference The adapter and its version.
  * @returns The key.
  */
 export function adapterKey(reference: AdapterReference): AdapterKey {
@@ -25,7 +25,7 @@
  * Compares two references.
  * @param left One reference.
  * @param right The other.
- * @returns Whether both name the same adapter and version.
+ * @returns Whether both refer to the same adapter and version.
  */
 export function sameAdapter(
   left: AdapterReference,
--- a/packages/core/src/shared/failure.ts
+++ b/packages/core/src/shared/failure.ts
@@ -1,4 +1,4 @@
-/** The step of the system's work at which an error arose. */
+/** The processing step at which an error occurred. */
 export type FailureStep =
   | "read_settings"
   | "parse_request"
@@ -25,10 +25,10 @@
   | "exchange_heartbeat"
   | "drain";
 
-/** What is known of whether the work ran. */
+/** Whether the work is known to have run. */
 export type RunOutcome = "not_run" | "unknown" | "ran";
 
-/** Why a step failed, in a form that programs can branch on. */
+/** Machine-readable reason why a step failed. */
 export type FailureReason =
   | "invalid"
   | "not_found"
@@ -43,15 +43,15 @@
   | "corrupt"
   | "refused";
 
-/** A typed error: what failed, at which step, facing which peer. */
+/** A typed error: why an operation failed, at which step, with which peer. */
 export interface Failure {
   readonly reason: FailureReason;
   readonly step: FailureStep;
-  /** The peer faced: a node, engine, service, store or caller; or `self`. */
+  /** The other party: a node, engine, service, store or caller; or `self`. */
   readonly peer: string;
   readonly message: string;
-  /** Whether the work may have run; decides if another attempt is allowed. */
+  /** Whether the work may have run; determines whether a retry is allowed. */
   readonly outcome: RunOutcome;
-  /** When to come back, in milliseconds, where that is known. */
+  /** How long to wait before retrying, in milliseconds, if known. */
   readonly retryAfterMilliseconds?: number;
 }
--- a/packages/core/src/shared/ids.ts
+++ b/packages/core/src/shared/ids.ts
@@ -4,7 +4,7 @@
 export type NodeId = Brand<string, "NodeId">;
 
 /**
- * Brands a checked string as a NodeId.
+ * Brands a validated string as a NodeId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -16,7 +16,7 @@
 export type IncarnationId = Brand<string, "IncarnationId">;
 
 /**
- * Brands a checked string as an IncarnationId.
+ * Brands a validated string as an IncarnationId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -28,7 +28,7 @@
 export type EngineId = Brand<string, "EngineId">;
 
 /**
- * Brands a checked string as an EngineId.
+ * Brands a validated string as an EngineId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -40,7 +40,7 @@
 export type ModelId = Brand<string, "ModelId">;
 
 /**
- * Brands a checked string as a ModelId.
+ * Brands a validated string as a ModelId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -52,7 +52,7 @@
 export type AdapterId = Brand<string, "AdapterId">;
 
 /**
- * Brands a checked string as an AdapterId.
+ * Brands a validated string as an AdapterId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -64,7 +64,7 @@
 export type AdapterVersion = Brand<string, "AdapterVersion">;
 
 /**
- * Brands a checked string as an AdapterVersion.
+ * Brands a validated string as an AdapterVersion.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -72,11 +72,11 @@
   return value as AdapterVersion;
 }
 
-/** Identifies a class of work, which carries a target. */
+/** Identifies a request class, which has a latency target. */
 export type ClassId = Brand<string, "ClassId">;
 
 /**
- * Brands a checked string as a ClassId.
+ * Brands a validated string as a ClassId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -84,11 +84,11 @@
   return value as ClassId;
 }
 
-/** Identifies a tenant, whose requests share fairly inside a class. */
+/** Identifies a tenant; tenants share fairly within a class. */
 export type TenantId = Brand<string, "TenantId">;
 
 /**
- * Brands a checked string as a TenantId.
+ * Brands a validated string as a TenantId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -96,11 +96,11 @@
   return value as TenantId;
 }
 
-/** Identifies a plain service that stands beside the engines. */
+/** Identifies a plain service that runs beside the engines. */
 export type ServiceId = Brand<string, "ServiceId">;
 
 /**
- * Brands a checked string as a ServiceId.
+ * Brands a validated string as a ServiceId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -112,7 +112,7 @@
 export type BackendServerId = Brand<string, "BackendServerId">;
 
 /**
- * Brands a checked string as a BackendServerId.
+ * Brands a validated string as a BackendServerId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -120,11 +120,11 @@
   return value as BackendServerId;
 }
 
-/** Identifies a weight store, the unit of load permits. */
+/** Identifies a weight store; load permits are issued per store. */
 export type WeightStoreId = Brand<string, "WeightStoreId">;
 
 /**
- * Brands a checked string as a WeightStoreId.
+ * Brands a validated string as a WeightStoreId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -136,7 +136,7 @@
 export type RegionId = Brand<string, "RegionId">;
 
 /**
- * Brands a checked string as a RegionId.
+ * Brands a validated string as a RegionId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -148,7 +148,7 @@
 export type FailureDomainId = Brand<string, "FailureDomainId">;
 
 /**
- * Brands a checked string as a FailureDomainId.
+ * Brands a validated string as a FailureDomainId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -160,7 +160,7 @@
 export type RequestId = Brand<string, "RequestId">;
 
 /**
- * Brands a checked string as a RequestId.
+ * Brands a validated string as a RequestId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -168,11 +168,11 @@
   return value as RequestId;
 }
 
-/** Identifies the caller's key of a request that must not run twice. */
+/** The caller's key of a request that must not run twice. */
 export type IdempotencyKey = Brand<string, "IdempotencyKey">;
 
 /**
- * Brands a checked string as an IdempotencyKey.
+ * Brands a validated string as an IdempotencyKey.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -180,11 +180,11 @@
   return value as IdempotencyKey;
 }
 
-/** Identifies an operator's change of configuration, for idempotent appends. */
+/** Identifies an operator's configuration change, for idempotent appends. */
 export type ChangeId = Brand<string, "ChangeId">;
 
 /**
- * Brands a checked string as a ChangeId.
+ * Brands a validated string as a ChangeId.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -196,7 +196,7 @@
 export type LogOffset = Brand<number, "LogOffset">;
 
 /**
- * Brands a checked number as a LogOffset.
+ * Brands a validated number as a LogOffset.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -204,11 +204,14 @@
   return value as LogOffset;
 }
 
-/** The number that fences orders to an engine: the offset of the view that gave the right. */
+/**
+ * The fencing token of commands to an engine: the offset of the view that
+ * granted control of it.
+ */
 export type FencingNumber = Brand<number, "FencingNumber">;
 
 /**
- * Brands a checked number as a FencingNumber.
+ * Brands a validated number as a FencingNumber.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -216,11 +219,11 @@
   return value as FencingNumber;
 }
 
-/** An attempt at a request, counted from 1. */
+/** The number of an attempt at a request, starting at 1. */
 export type AttemptNumber = Brand<number, "AttemptNumber">;
 
 /**
- * Brands a checked number as an AttemptNumber.
+ * Brands a validated number as an AttemptNumber.
  * @param value The raw value.
  * @returns The branded value.
  */
@@ -228,11 +231,11 @@
   return value as AttemptNumber;
 }
 
-/** Identifies the content of a request, whoever sends it. */
+/** Identifies the content of a request, independent of its sender. */
 export type ContentDigest = Brand<string, "ContentDigest">;
 
 /**
- * Brands a checked string as a ContentDigest.
+ * Brands a validated string as a ContentDigest.
  * @param value The raw value.
  * @returns The branded value.
  */
--- a/packages/core/src/shared/invariant.ts
+++ b/packages/core/src/shared/invariant.ts
@@ -1,4 +1,4 @@
-/** An invariant of the product that did not hold: a fault of the program. */
+/** Thrown when an invariant does not hold, which means a program bug. */
 export class InvariantViolation extends Error {
   /** The invariant's name, as docs/FAILURES.md lists it. */
   readonly invariant: string;
@@ -11,10 +11,10 @@
 }
 
 /**
- * Asserts an invariant in the running program.
- * @param condition What must hold.
+ * Asserts an invariant at run time.
+ * @param condition The condition that must hold.
  * @param invariant The invariant's name.
- * @param detail Builds the detail of the message only when it is needed.
+ * @param detail Builds the message's detail; called only on a violation.
  */
 export function assertInvariant(
   condition: boolean,
--- a/packages/core/src/shared/random.ts
+++ b/packages/core/src/shared/random.ts
@@ -1,13 +1,13 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 
-/** A source of random numbers that repeats with its seed. */
+/** A seeded pseudo-random number generator. */
 export type RandomSource = RandomGenerator;
 
 /**
- * Makes a source of random numbers.
- * @param seed The same seed gives the same numbers.
- * @returns The source.
+ * Creates a pseudo-random number generator.
+ * @param seed The seed; equal seeds produce equal sequences.
+ * @returns The generator.
  */
 export function randomSource(seed: number): RandomSource {
   return xoroshiro128plus(seed);
--- a/packages/core/src/shared/rendezvous.ts
+++ b/packages/core/src/shared/rendezvous.ts
@@ -1,16 +1,16 @@
 import xxhash from "xxhash-wasm";
 
 const hasher = await xxhash();
-/** How many hashes there are. */
-const HASHES = 2 ** 32;
+/** The number of distinct 32-bit hash values. */
+const HASH_COUNT = 2 ** 32;
 
 /**
- * Orders candidates for a key by rendezvous hashing: each candidate scores a
- * hash of itself and the key, so that a candidate that comes or goes moves
- * only its own keys.
- * @param key What is placed.
- * @param candidates The ids to choose among.
- * @returns The candidates, best first.
+ * Orders candidates for a key by rendezvous hashing: each candidate's score is
+ * a hash of the candidate and the key, so that adding or removing a candidate
+ * moves only its own keys.
+ * @param key The key to place.
+ * @param candidates The candidate ids.
+ * @returns The candidates, highest score first.
  */
 export function rendezvousOrder<Id extends string>(
   key: string,
@@ -27,20 +27,20 @@
 }
 
 /**
- * Scores a candidate for a key: a draw that stays the same.
- * @param key What is placed.
+ * Computes the deterministic score of a candidate for a key.
+ * @param key The key to place.
  * @param candidate The candidate's id.
- * @returns A number from 0 up to, and without, 1.
+ * @returns A number in [0, 1).
  */
 export function rendezvousScore(key: string, candidate: string): number {
-  return hasher.h32(`${candidate}/${key}`) / HASHES;
+  return hasher.h32(`${candidate}/${key}`) / HASH_COUNT;
 }
 
 /**
- * Chooses the best candidate for a key.
- * @param key What is placed.
- * @param candidates The ids to choose among.
- * @returns The best candidate, or nothing where there is none.
+ * Chooses the candidate with the highest score for a key.
+ * @param key The key to place.
+ * @param candidates The candidate ids.
+ * @returns The chosen candidate, or undefined if there are no candidates.
  */
 export function rendezvousChoice<Id extends string>(
   key: string,
@@ -50,9 +50,9 @@
   let bestScore = -1;
   for (const candidate of candidates) {
     const score = rendezvousScore(key, candidate);
-    const wins = score > bestScore ||
+    const isBetter = score > bestScore ||
       (score === bestScore && best !== undefined && candidate < best);
-    if (!wins) continue;
+    if (!isBetter) continue;
     best = candidate;
     bestScore = score;
   }
--- a/packages/core/src/shared/server_start.ts
+++ b/packages/core/src/shared/server_start.ts
@@ -2,15 +2,15 @@
 
 /**
  * When a backend server's process started, in whole Unix milliseconds of the
- * server's own clock. With the server's id it names one start: a server may
- * start again under its id, and then holds and knows nothing of before.
- * Clocks of servers differ and may step back, so that a newer start may carry
- * a smaller time.
+ * server's own clock. Together with the server's id it identifies one run: a
+ * server may restart under the same id and then has lost all earlier state.
+ * Server clocks differ and may step back, so that a newer start may have a
+ * smaller time.
  */
 export type ServerStart = Brand<number, "ServerStart">;
 
 /**
- * Brands a checked number as a ServerStart.
+ * Brands a validated number as a ServerStart.
  * @param value Whole Unix milliseconds.
  * @returns The branded value.
  */
@@ -19,29 +19,30 @@
 }
 
 /**
- * Tells whether two starts under one id differ. An unknown start can't be
- * told from the one that is known, and counts as it.
- * @param known The start that is known, if any.
- * @param told The start that was told, if any.
- * @returns Whether they are two starts.
+ * Checks whether two starts of one server id differ. An unknown start cannot
+ * be distinguished from a known one and counts as equal to it.
+ * @param known The known start, if any.
+ * @param reported The reported start, if any.
+ * @returns Whether both are known and differ.
  */
 export function isOtherStart(
   known: ServerStart | undefined,
-  told: ServerStart | undefined,
+  reported: ServerStart | undefined,
 ): boolean {
-  return known !== undefined && told !== undefined && known !== told;
+  return known !== undefined && reported !== undefined && known !== reported;
 }
 
 /**
- * Tells whether a start is older than one that another source names, by the
- * servers' clocks. Between records of one log their order decides instead.
- * @param told The start that was told, if any.
- * @param known The start that is known, if any.
- * @returns Whether the told one is older.
+ * Checks by the server's clock whether a start is older than the one that
+ * another source reports. Between records of one log, compare their order
+ * instead.
+ * @param reported The reported start, if any.
+ * @param known The known start, if any.
+ * @returns Whether the reported start is older.
  */
 export function isOlderStart(
-  told: ServerStart | undefined,
+  reported: ServerStart | undefined,
   known: ServerStart | undefined,
 ): boolean {
-  return known !== undefined && told !== undefined && told < known;
+  return known !== undefined && reported !== undefined && reported < known;
 }
--- a/packages/core/src/shared/time.ts
+++ b/packages/core/src/shared/time.ts
@@ -1,19 +1,20 @@
 import type { Brand } from "./brand.ts";
 
 /**
- * A reading of one VM's own steady clock, in milliseconds. Never compared
- * with a reading of another VM: only durations measured on one VM count.
+ * A reading of one VM's monotonic clock, in milliseconds. Readings of
+ * different VMs are not comparable; only durations measured on one VM are
+ * meaningful.
  */
 export type Instant = Brand<number, "Instant">;
 
-/** A length of time in milliseconds. */
+/** A duration in milliseconds. */
 export type Duration = Brand<number, "Duration">;
 
-/** The start of a steady clock. */
+/** The zero of a monotonic clock. */
 export const CLOCK_START = 0 as Instant;
 
 /**
- * Brands a steady clock reading.
+ * Brands a monotonic clock reading.
  * @param value Milliseconds.
  * @returns The instant.
  */
@@ -22,7 +23,7 @@
 }
 
 /**
- * Brands a length of time.
+ * Brands a duration.
  * @param value Milliseconds.
  * @returns The duration.
  */
@@ -31,7 +32,7 @@
 }
 
 /**
- * Makes a length of time from seconds.
+ * Converts seconds to a duration.
  * @param value Seconds.
  * @returns The duration in milliseconds.
  */
@@ -40,20 +41,20 @@
 }
 
 /**
- * Moves an instant forward.
- * @param from The start.
- * @param by The length of time.
+ * Adds a duration to an instant.
+ * @param start The start.
+ * @param duration The duration to add.
  * @returns The later instant.
  */
-export function later(from: Instant, by: Duration): Instant {
-  return (from + by) as Instant;
+export function later(start: Instant, duration: Duration): Instant {
+  return (start + duration) as Instant;
 }
 
 /**
- * Measures the time from one instant to another on the same VM.
+ * Computes the time between two instants of the same VM.
  * @param start The earlier instant.
  * @param end The later instant.
- * @returns The duration, negative where `end` comes first.
+ * @returns The duration; negative if `end` precedes `start`.
  */
 export function elapsed(start: Instant, end: Instant): Duration {
   return (end - start) as Duration;
--- a/packages/core/tests/addresses/address_choice_test.ts
+++ b/packages/core/tests/addresses/address_choice_test.ts
@@ -24,13 +24,13 @@
   };
 }
 
-function firstShares(
+function sharesByFirstNode(
   candidates: readonly AddressCandidate[],
   failureDomain?: string,
 ): ReadonlyMap<string, number> {
   const random = randomSource(1);
   const shares = new Map<string, number>();
-  for (let turn = 0; turn < DRAWS; turn += 1) {
+  for (let draw = 0; draw < DRAWS; draw += 1) {
     const query = failureDomain === undefined ? {} : { failureDomain };
     const options = { longestLifetime: seconds(10), random };
     const [first = ""] = chooseAddresses(candidates, query, options).nodes;
@@ -39,34 +39,34 @@
   return shares;
 }
 
-const NINE = Array.from({ length: 9 }, (_, index) => candidate(index));
+const NINE_NODES = Array.from({ length: 9 }, (_, index) => candidate(index));
 
-test("callers that say nothing are spread evenly over all nodes", (t) => {
-  for (const share of firstShares(NINE).values()) {
+test("callers that state nothing are spread evenly over all nodes", (t) => {
+  for (const share of sharesByFirstNode(NINE_NODES).values()) {
     t.true(Math.abs(share - 1 / 9) < 0.02, `share ${share}`);
   }
 });
 
 test("callers are sent to their own failure domain", (t) => {
-  const shares = firstShares(NINE, "domain-1");
+  const shares = sharesByFirstNode(NINE_NODES, "domain-1");
   t.deepEqual([...shares.keys()].sort(), ["node-1", "node-4", "node-7"]);
 });
 
-test("an overloaded node loses callers, within bounds", (t) => {
-  const loaded = NINE.map((one, index) => ({
-    ...one,
+test("an overloaded node loses a bounded share of its callers", (t) => {
+  const loaded = NINE_NODES.map((node, index) => ({
+    ...node,
     load: index === 1 ? 1_000 : 10,
   }));
-  const share = firstShares(loaded, "domain-1").get("node-1") ?? 0;
+  const share = sharesByFirstNode(loaded, "domain-1").get("node-1") ?? 0;
   t.true(share > 0.05 && share < 0.2, `share ${share}`);
 });
 
 test("an overloaded domain keeps at least half of its callers", (t) => {
-  const loaded = NINE.map((one, index) => ({
-    ...one,
+  const loaded = NINE_NODES.map((node, index) => ({
+    ...node,
     load: index % 3 === 1 ? 1_000 : 10,
   }));
-  const shares = firstShares(loaded, "domain-1");
+  const shares = sharesByFirstNode(loaded, "domain-1");
   const kept = ["node-1", "node-4", "node-7"].reduce(
     (sum, node) => sum + (shares.get(node) ?? 0),
     0,
@@ -74,7 +74,7 @@
   t.true(kept > 0.45 && kept < 0.6, `kept ${kept}`);
 });
 
-test("a leaving node is never named, also as controller", (t) => {
+test("a leaving node is never returned, even if it is the controller", (t) => {
   const answer = chooseAddresses(
     [candidate(0), candidate(1, { leaving: true })],
     { controller: nodeId("node-1"), failureDomain: "domain-1" },
--- a/packages/core/tests/configuration/configuration_reader_test.ts
+++ b/packages/core/tests/configuration/configuration_reader_test.ts
@@ -19,11 +19,11 @@
 
 const DRAFTING = classId("drafting");
 
-function targetOf(reader: ConfigurationReader): number | undefined {
+function firstTokenTargetOf(reader: ConfigurationReader): number | undefined {
   return reader.configuration.classes.get(DRAFTING)?.firstTokenMilliseconds;
 }
 
-test("a repeated id is settled as the first one and never applied again", (t) => {
+test("a repeated id gets the first verdict and is never applied again", (t) => {
   const reader = new ConfigurationReader();
   reader.read(storedRecord(0, { id: "a", changes: [setClass("drafting", 1)] }));
   reader.read(storedRecord(1, { id: "b", changes: [setClass("drafting", 2)] }));
@@ -39,20 +39,20 @@
       same: true,
     },
   });
-  t.is(targetOf(reader), 2);
+  t.is(firstTokenTargetOf(reader), 2);
 });
 
-test("an id that is used for another change is told apart from a repeat", (t) => {
+test("an id reused for another change is distinguished from a repeat", (t) => {
   const reader = new ConfigurationReader();
   reader.read(storedRecord(0, { id: "a", changes: [setClass("drafting", 1)] }));
   const other = reader.read(
     storedRecord(1, { id: "a", changes: [setClass("drafting", 9)] }),
   );
   t.like(other, { verdict: { kind: "repeated", same: false } });
-  t.is(targetOf(reader), 1);
+  t.is(firstTokenTargetOf(reader), 1);
 });
 
-test("a repeat that comes after its id is forgotten is still not applied", (t) => {
+test("a repeat whose id is no longer remembered is still not applied", (t) => {
   const reader = new ConfigurationReader();
   const first = { id: "a", base: -1, changes: [setClass("drafting", 1)] };
   reader.read(storedRecord(0, first));
@@ -62,7 +62,7 @@
   }
   const late = reader.read(storedRecord(REMEMBERED_CHANGES + 3, first));
   t.like(late, { verdict: { kind: "conflict", winner: logOffset(1) } });
-  t.is(targetOf(reader), 2);
+  t.is(firstTokenTargetOf(reader), 2);
 });
 
 test("a conflict names the item, the winner's offset, author and id", (t) => {
@@ -75,7 +75,7 @@
   t.snapshot(lost);
 });
 
-test("a base beyond the window, or not read yet, is refused", (t) => {
+test("a base outside the window, or not read yet, is refused", (t) => {
   const configuration = new Configuration();
   const record = (base: number) =>
     configurationRecordSchema.parse({
@@ -93,7 +93,7 @@
   t.is(future.kind, "base_out_of_range");
 });
 
-test("a late creation cannot bring a removed item back", (t) => {
+test("a late record cannot recreate a removed item", (t) => {
   const reader = new ConfigurationReader();
   reader.read(storedRecord(0, { changes: [setClass("drafting", 1)] }));
   reader.read(storedRecord(1, {
@@ -103,7 +103,7 @@
   t.like(reader.read(late), { verdict: { kind: "conflict" } });
 });
 
-test("corrupt records are passed over and counted, by every reader alike", (t) => {
+test("corrupt records are skipped and counted", (t) => {
   const reader = new ConfigurationReader();
   const texts = ["{", "[]", "7", "null", `{"id":"x"}`, `{"format":0}`];
   for (const [index, data] of texts.entries()) {
@@ -113,13 +113,13 @@
   t.is(reader.next, logOffset(texts.length));
 });
 
-test("a reader stops before a record of a newer format and does not guess", (t) => {
+test("a reader stops before a record of a newer format", (t) => {
   const reader = new ConfigurationReader();
   reader.read(storedRecord(0, { changes: [setClass("drafting", 1)] }));
   reader.read({ offset: logOffset(1), data: `{"format":2,"id":"new"}` });
   const after = storedRecord(2, { changes: [setClass("drafting", 2)] });
   t.is(reader.read(after).kind, "halted");
-  t.is(targetOf(reader), 1);
+  t.is(firstTokenTargetOf(reader), 1);
   t.deepEqual(reader.halt, {
     offset: logOffset(1),
     format: 2,
@@ -127,7 +127,7 @@
   });
 });
 
-test("those who hold the configuration see a snapshot that is taken over", (t) => {
+test("references to the configuration see an adopted snapshot", (t) => {
   const ahead = new ConfigurationReader();
   ahead.read(storedRecord(0, { changes: [setClass("drafting", 1)] }));
   const reader = new ConfigurationReader();
@@ -138,7 +138,7 @@
   t.is(held, reader.configuration);
 });
 
-test("an older snapshot is never taken over", (t) => {
+test("an older snapshot is never adopted", (t) => {
   const reader = new ConfigurationReader();
   reader.read(storedRecord(0, { changes: [setClass("drafting", 1)] }));
   const old = restoreSnapshot(takeSnapshot(reader.configuration).chunks);
@@ -148,7 +148,7 @@
   }, { instanceOf: InvariantViolation });
 });
 
-test("a snapshot that differs from what was read is noticed", (t) => {
+test("a snapshot that differs from the records read is detected", (t) => {
   const reader = new ConfigurationReader();
   reader.read(storedRecord(0, { changes: [setClass("drafting", 1)] }));
   const data = formatSnapshotManifest({
@@ -162,7 +162,7 @@
   t.is(reader.lastManifest, undefined);
 });
 
-const change = fc.record({
+const changeArbitrary = fc.record({
   kind: fc.constantFrom("set", "remove"),
   item: fc.constantFrom("class", "tenant", "adapter", "service"),
   name: fc.constantFrom("a", "b", "c.d"),
@@ -181,43 +181,48 @@
   };
 });
 
-const plan = fc.record({
-  change,
+const recordPlanArbitrary = fc.record({
+  change: changeArbitrary,
   age: fc.integer({ min: 0, max: 4 }),
   id: fc.option(fc.integer({ min: 0, max: 20 }), { nil: undefined }),
   corrupt: fc.integer({ min: 0, max: 9 }).map((value) => value === 0),
 });
 
-test("a reader that starts from a snapshot equals one that read every record", (t) => {
+test("a reader restored from a snapshot equals one that read all records", (t) => {
   fc.assert(
     fc.property(
-      fc.array(plan, { minLength: 1, maxLength: 40 }),
+      fc.array(recordPlanArbitrary, { minLength: 1, maxLength: 40 }),
       fc.nat(),
-      (plans, at) => {
-        const records = plans.map((one, offset): StoredRecord =>
-          one.corrupt ? { offset: logOffset(offset), data: "{" } : storedRecord(
-            offset,
-            {
-              id: `id-${one.id ?? offset + 100}`,
-              base: Math.max(-1, offset - 1 - one.age),
-              changes: [one.change],
-            },
-          )
+      (recordPlans, at) => {
+        const records = recordPlans.map((recordPlan, offset): StoredRecord =>
+          recordPlan.corrupt
+            ? { offset: logOffset(offset), data: "{" }
+            : storedRecord(
+              offset,
+              {
+                id: `id-${recordPlan.id ?? offset + 100}`,
+                base: Math.max(-1, offset - 1 - recordPlan.age),
+                changes: [recordPlan.change],
+              },
+            )
         );
-        const whole = new ConfigurationReader();
-        const late = new ConfigurationReader();
+        const fullReader = new ConfigurationReader();
+        const lateReader = new ConfigurationReader();
         const cut = at % records.length;
-        for (const record of records.slice(0, cut + 1)) whole.read(record);
-        const snapshot = takeSnapshot(whole.configuration);
-        late.adopt(restoreSnapshot(snapshot.chunks)._unsafeUnwrap());
-        t.deepEqual(takeSnapshot(late.configuration), snapshot);
+        for (const record of records.slice(0, cut + 1)) fullReader.read(record);
+        const snapshot = takeSnapshot(fullReader.configuration);
+        lateReader.adopt(restoreSnapshot(snapshot.chunks)._unsafeUnwrap());
+        t.deepEqual(takeSnapshot(lateReader.configuration), snapshot);
         for (const record of records.slice(cut + 1)) {
-          t.deepEqual(late.read(record), whole.read(record));
-          t.is(late.configuration.digest, whole.configuration.digest);
+          t.deepEqual(lateReader.read(record), fullReader.read(record));
+          t.is(
+            lateReader.configuration.digest,
+            fullReader.configuration.digest,
+          );
         }
         t.deepEqual(
-          takeSnapshot(late.configuration),
-          takeSnapshot(whole.configuration),
+          takeSnapshot(lateReader.configuration),
+          takeSnapshot(fullReader.configuration),
         );
       },
     ),
@@ -225,7 +230,7 @@
   );
 });
 
-test("a snapshot with a missing, foreign or altered chunk is refused", (t) => {
+test("a snapshot with missing, reordered or altered chunks is refused", (t) => {
   const reader = new ConfigurationReader();
   for (let offset = 0; offset < 3_000; offset += 1) {
     const id = changeId(`change-${offset}`);
--- a/packages/core/tests/configuration/configuration_test.ts
+++ b/packages/core/tests/configuration/configuration_test.ts
@@ -21,7 +21,7 @@
   });
 }
 
-test("of two changes to the same base, the lower offset wins", (t) => {
+test("of two changes with the same base, the lower offset wins", (t) => {
   const configuration = new Configuration();
   const first = configuration.apply(logOffset(0), setClass(-1, 500));
   const second = configuration.apply(logOffset(1), setClass(-1, 900));
@@ -33,7 +33,7 @@
   );
 });
 
-test("a lower offset is never applied", (t) => {
+test("an offset that was already read is never applied", (t) => {
   const configuration = new Configuration();
   configuration.apply(logOffset(5), setClass(-1, 500));
   t.throws(() => configuration.apply(logOffset(5), setClass(5, 900)), {
--- a/packages/core/tests/configuration/spread_and_schedule_test.ts
+++ b/packages/core/tests/configuration/distribution_and_schedule_test.ts
@@ -8,7 +8,7 @@
   seconds,
   SNAPSHOT_SCHEDULE,
   snapshotDue,
-  type SnapshotView,
+  type SnapshotScheduleInput,
   spreadPlace,
 } from "@foxtailwind/core";
 
@@ -17,7 +17,7 @@
   failureDomain: failureDomainId(`domain-${index % 3}`),
 }));
 
-test("each failure domain has one reader, and every other node a way to it", (t) => {
+test("each failure domain has one reader that all its nodes reach", (t) => {
   const places = new Map(
     NODES.map((node) => [node.id, spreadPlace(node, NODES, 4)]),
   );
@@ -25,14 +25,14 @@
   t.is(readers.length, 3);
   for (const place of places.values()) {
     let hops = 0;
-    let at = place;
-    while (at.parent !== undefined) {
-      const above = places.get(at.parent);
+    let current = place;
+    while (current.parent !== undefined) {
+      const above = places.get(current.parent);
       if (above === undefined) break;
-      at = above;
+      current = above;
       hops += 1;
     }
-    t.true(at.readsLog);
+    t.true(current.readsLog);
     t.is(hops, place.depth);
     t.true(hops <= 3);
   }
@@ -48,7 +48,7 @@
   t.true(Math.max(...children.values()) <= 4);
 });
 
-const VIEW: SnapshotView = {
+const INPUT: SnapshotScheduleInput = {
   now: instant(SNAPSHOT_SCHEDULE.interval),
   lastSeenAt: CLOCK_START,
   recordsSince: 1,
@@ -57,15 +57,15 @@
   rank: 0,
 };
 
-test("the first candidate writes a snapshot; the next ones wait for it", (t) => {
-  t.true(snapshotDue(VIEW));
-  t.false(snapshotDue({ ...VIEW, rank: 1 }));
+test("the first candidate writes a snapshot; the next ones wait", (t) => {
+  t.true(snapshotDue(INPUT));
+  t.false(snapshotDue({ ...INPUT, rank: 1 }));
   const later = instant(SNAPSHOT_SCHEDULE.interval + SNAPSHOT_SCHEDULE.grace);
-  t.true(snapshotDue({ ...VIEW, rank: 1, now: later }));
+  t.true(snapshotDue({ ...INPUT, rank: 1, now: later }));
 });
 
 test("many records, or retention past the last snapshot, make one due", (t) => {
-  const soon = { ...VIEW, now: instant(seconds(1)) };
+  const soon = { ...INPUT, now: instant(seconds(1)) };
   t.false(snapshotDue(soon));
   t.true(snapshotDue({ ...soon, recordsSince: SNAPSHOT_SCHEDULE.records }));
   t.true(snapshotDue({ ...soon, firstKept: logOffset(12) }));
--- a/packages/core/tests/configuration/records.ts
+++ b/packages/core/tests/configuration/records.ts
@@ -5,8 +5,8 @@
   type StoredRecord,
 } from "@foxtailwind/core";
 
-/** What a record of a test says; the rest has defaults. */
-export interface RecordPlan {
+/** The fields of a test record; omitted ones have defaults. */
+export interface RecordFields {
   readonly id?: string;
   readonly author?: string;
   readonly base?: number;
@@ -14,17 +14,20 @@
 }
 
 /**
- * Makes a record as it lies in the log.
+ * Creates a record as stored in the log.
  * @param offset Its offset.
- * @param plan What it says.
+ * @param fields Its fields.
  * @returns The record.
  */
-export function storedRecord(offset: number, plan: RecordPlan): StoredRecord {
+export function storedRecord(
+  offset: number,
+  fields: RecordFields,
+): StoredRecord {
   const record = configurationRecordSchema.parse({
     id: `change-${offset}`,
     author: "operator",
     base: offset - 1,
-    ...plan,
+    ...fields,
   });
   return {
     offset: logOffset(offset),
@@ -33,9 +36,9 @@
 }
 
 /**
- * Makes a change of a class.
+ * Creates a change that sets a class.
  * @param name The class.
- * @param firstTokenMilliseconds Its target.
+ * @param firstTokenMilliseconds Its target for the first token.
  * @returns The change.
  */
 export function setClass(name: string, firstTokenMilliseconds: number): object {
--- a/packages/core/tests/drain/planned_stop_test.ts
+++ b/packages/core/tests/drain/planned_stop_test.ts
@@ -3,14 +3,14 @@
 
 const LIFETIME = seconds(10);
 
-function kinds(orders: readonly { readonly kind: string }[]): string[] {
+function kindsOf(orders: readonly { readonly kind: string }[]): string[] {
   return orders.map((order) => order.kind);
 }
 
-test("a stop announces, hands over, outlasts the answers and ends", (t) => {
+test("a stop announces, hands over, lets answers expire and ends", (t) => {
   const stop = new PlannedStop({ addressLifetime: LIFETIME });
   stop.begin(instant(0));
-  t.deepEqual(kinds(stop.decide(instant(0), 1)), ["announce", "hand_over"]);
+  t.deepEqual(kindsOf(stop.decide(instant(0), 1)), ["announce", "hand_over"]);
   stop.announced(instant(100));
   stop.handedOver();
   t.is(stop.nextWake(), instant(10_100));
@@ -23,7 +23,7 @@
   ]);
 });
 
-test("a second signal does not end the stop sooner", (t) => {
+test("a second signal does not shorten the stop", (t) => {
   const stop = new PlannedStop({ addressLifetime: LIFETIME });
   stop.begin(instant(0));
   stop.decide(instant(0), 1);
@@ -32,17 +32,17 @@
   t.is(stop.nextWake(), instant(12_000));
 });
 
-test("a hand-over that never ends holds the stop up for a bounded time", (t) => {
+test("a hand-over that never ends delays the stop for a bounded time", (t) => {
   const stop = new PlannedStop({ addressLifetime: seconds(1) });
   stop.begin(instant(0));
   stop.announced(instant(0));
   stop.decide(instant(0), 0);
   t.is(stop.nextWake(), instant(10_000));
   t.deepEqual(stop.decide(instant(9_999), 0), []);
-  t.deepEqual(kinds(stop.decide(instant(10_000), 0)), ["stop"]);
+  t.deepEqual(kindsOf(stop.decide(instant(10_000), 0)), ["stop"]);
 });
 
-test("only a bound that the operator set cuts work off", (t) => {
+test("only a time limit set by the operator cuts work off", (t) => {
   const stop = new PlannedStop({
     addressLifetime: LIFETIME,
     longestWait: seconds(3),
--- a/packages/core/tests/membership/failure_detector_test.ts
+++ b/packages/core/tests/membership/failure_detector_test.ts
@@ -30,18 +30,18 @@
   return { kind: "heartbeat", from, leaving, view: NO_OFFSET, digest: [] };
 }
 
-test("a silent peer is suspected, and heard again it is not", (t) => {
+test("a silent peer is suspected until its next heartbeat", (t) => {
   const peer = memberOf("b");
   const detector = new FailureDetector(DEFAULT_MEMBERSHIP_TIMING, START);
   for (let now = 0; now <= 1_500; now += 300) {
     detector.tick(instant(now), [peer]);
   }
   t.is(detector.stateOf(peer), "suspected");
-  detector.heard(instant(1_600), heartbeatOf(peer, false));
+  detector.receiveHeartbeat(instant(1_600), heartbeatOf(peer, false));
   t.is(detector.stateOf(peer), undefined);
 });
 
-test("a node's own pause makes it suspect nobody", (t) => {
+test("a node that was paused itself suspects no peer", (t) => {
   const peer = memberOf("b");
   const detector = new FailureDetector(DEFAULT_MEMBERSHIP_TIMING, START);
   detector.tick(START, [peer]);
@@ -49,11 +49,11 @@
   t.is(detector.stateOf(peer), undefined);
 });
 
-test("a rumour that a leaving run joins does not bring it back", (t) => {
+test("a report that a leaving run joins does not cancel its departure", (t) => {
   const peer = memberOf("b");
   const detector = new FailureDetector(DEFAULT_MEMBERSHIP_TIMING, START);
-  detector.heard(START, heartbeatOf(peer, true));
-  detector.heard(instant(100), {
+  detector.receiveHeartbeat(START, heartbeatOf(peer, true));
+  detector.receiveHeartbeat(instant(100), {
     ...heartbeatOf(memberOf("c"), false),
     digest: [{
       node: peer.node,
--- a/packages/core/tests/membership/heartbeat_peers_test.ts
+++ b/packages/core/tests/membership/heartbeat_peers_test.ts
@@ -20,15 +20,17 @@
   }));
 }
 
-test("a node's peers do not grow with the number of nodes", (t) => {
+test("the number of peers does not grow with the number of nodes", (t) => {
   for (const count of [9, 170, 1_500]) {
     const members = membersOf(count, 17);
-    const counts = members.map((one) => heartbeatPeers(members, one).length);
+    const counts = members.map((member) =>
+      heartbeatPeers(members, member).length
+    );
     t.true(Math.max(...counts) <= 4 + 2 * 16);
   }
 });
 
-test("whom a node sends heartbeats to also sends them to it", (t) => {
+test("heartbeat peers are symmetric", (t) => {
   const members = membersOf(40, 4);
   for (const member of members) {
     for (const peer of heartbeatPeers(members, member)) {
--- a/packages/core/tests/observation/request_telemetry_test.ts
+++ b/packages/core/tests/observation/request_telemetry_test.ts
@@ -39,20 +39,20 @@
   outcome: "not_run",
 };
 
-function configured(): RequestTelemetry {
+function configuredTelemetry(): RequestTelemetry {
   const telemetry = new RequestTelemetry(CLOCK_START);
   telemetry.configure({ classes: [DRAFTING], tenants: [ACME] });
   return telemetry;
 }
 
-function play(
+function recordAll(
   telemetry: RequestTelemetry,
   events: readonly (readonly [at: number, event: RequestEvent])[],
 ): void {
   for (const [at, event] of events) telemetry.record(instant(at), event);
 }
 
-function arrived(id: string, tenant = ACME): RequestEvent {
+function arrivalOf(id: string, tenant = ACME): RequestEvent {
   return {
     kind: "arrived",
     request: requestId(id),
@@ -62,10 +62,10 @@
   };
 }
 
-function wholeLife(id: string, start: number): [number, RequestEvent][] {
+function lifeCycleOf(id: string, start: number): [number, RequestEvent][] {
   const request = requestId(id);
   return [
-    [start, arrived(id)],
+    [start, arrivalOf(id)],
     [start + 1, {
       kind: "routed",
       request,
@@ -113,22 +113,22 @@
 }
 
 test("a request's times land in the row of its class and tenant", (t) => {
-  const telemetry = configured();
-  play(telemetry, wholeLife("r-1", 1_000));
+  const telemetry = configuredTelemetry();
+  recordAll(telemetry, lifeCycleOf("r-1", 1_000));
   t.snapshot(summaries(telemetry, 2_000));
 });
 
 test("an explanation tells each step of a request", (t) => {
-  const telemetry = configured();
-  play(telemetry, wholeLife("r-1", 1_000));
+  const telemetry = configuredTelemetry();
+  recordAll(telemetry, lifeCycleOf("r-1", 1_000));
   t.snapshot(telemetry.explain(instant(5_000), requestId("r-1")));
 });
 
-test("a refused request is counted apart and explained", (t) => {
-  const telemetry = configured();
+test("a refused request is counted separately and explained", (t) => {
+  const telemetry = configuredTelemetry();
   const request = requestId("r-1");
-  play(telemetry, [
-    [0, arrived("r-1")],
+  recordAll(telemetry, [
+    [0, arrivalOf("r-1")],
     [5, { kind: "ended", request, failure: FAILURE, completionTokens: 0 }],
   ]);
   const row = telemetry.report(instant(10), "since_start").rows
@@ -141,10 +141,10 @@
   );
 });
 
-test("a controller counts waits of requests that arrived elsewhere", (t) => {
-  const telemetry = configured();
+test("a controller records waits of requests from other nodes", (t) => {
+  const telemetry = configuredTelemetry();
   const request = requestId("r-1");
-  play(telemetry, [
+  recordAll(telemetry, [
     [0, {
       kind: "queued",
       request,
@@ -171,9 +171,9 @@
   t.deepEqual(row?.ended, { answered: 0, failed: 0, refused: 0 });
 });
 
-test("the recent window forgets and the one since start does not", (t) => {
-  const telemetry = configured();
-  play(telemetry, wholeLife("r-1", 0));
+test("only the recent window drops old values", (t) => {
+  const telemetry = configuredTelemetry();
+  recordAll(telemetry, lifeCycleOf("r-1", 0));
   const later = 2 * RECENT_PERIOD + 1;
   const [row] = summaries(telemetry, later);
   t.false(Object.keys(row ?? {}).includes("first_token"));
@@ -197,7 +197,7 @@
   for (const [index, tenant] of tenants.entries()) {
     const className = classes[index % classes.length] ?? DRAFTING;
     telemetry.record(instant(index), {
-      ...arrived(`r-${index}`, tenant),
+      ...arrivalOf(`r-${index}`, tenant),
       kind: "arrived",
       class: className,
     } as RequestEvent);
@@ -207,11 +207,11 @@
 });
 
 test("a tenant that loses its row is counted in the other row", (t) => {
-  const telemetry = configured();
-  play(telemetry, wholeLife("r-1", 0));
-  play(telemetry, wholeLife("r-2", 0).slice(0, -1));
+  const telemetry = configuredTelemetry();
+  recordAll(telemetry, lifeCycleOf("r-1", 0));
+  recordAll(telemetry, lifeCycleOf("r-2", 0).slice(0, -1));
   telemetry.configure({ classes: [DRAFTING], tenants: [] });
-  play(telemetry, wholeLife("r-2", 0).slice(-1));
+  recordAll(telemetry, lifeCycleOf("r-2", 0).slice(-1));
   for (const window of ["recent", "since_start"] as const) {
     const { rows } = telemetry.report(instant(300), window);
     t.deepEqual(
@@ -222,11 +222,11 @@
   }
 });
 
-test("reports of two nodes add up, and a damaged one is counted", (t) => {
-  const first = configured();
-  const second = configured();
-  play(first, wholeLife("r-1", 0));
-  play(second, wholeLife("r-2", 0));
+test("reports of nodes are merged, and damaged histograms are counted", (t) => {
+  const first = configuredTelemetry();
+  const second = configuredTelemetry();
+  recordAll(first, lifeCycleOf("r-1", 0));
+  recordAll(second, lifeCycleOf("r-2", 0));
   second.recordBatch(instant(5), { engine: ENGINE, fill: 0.5 });
   const merged = new MergedHistograms();
   merged.add(first.report(instant(300), "recent"));
--- a/packages/core/tests/shared/server_start_test.ts
+++ b/packages/core/tests/shared/server_start_test.ts
@@ -4,14 +4,14 @@
 const FIRST = serverStart(1_000);
 const SECOND = serverStart(2_000);
 
-test("two starts differ only where both are known", (t) => {
+test("two starts differ only if both are known", (t) => {
   t.true(isOtherStart(FIRST, SECOND));
   t.false(isOtherStart(FIRST, serverStart(1_000)));
   t.false(isOtherStart(undefined, SECOND));
   t.false(isOtherStart(FIRST, undefined));
 });
 
-test("a start is older only where both are known", (t) => {
+test("a start is older only if both are known", (t) => {
   t.true(isOlderStart(FIRST, SECOND));
   t.false(isOlderStart(SECOND, FIRST));
   t.false(isOlderStart(FIRST, FIRST));
