--- a/packages/core/tests/configuration/configuration_reader_test.ts
+++ b/packages/core/tests/configuration/configuration_reader_test.ts
@@ -65,7 +65,7 @@
   t.is(firstTokenTargetOf(reader), 2);
 });
 
-test("a conflict names the item, the winner's offset, author and id", (t) => {
+test("a conflict reports the item, the winner's offset, author and id", (t) => {
   const reader = new ConfigurationReader();
   const changes = [setClass("drafting", 1)];
   reader.read(storedRecord(0, { id: "a", author: "mere", base: -1, changes }));
--- a/packages/core/tests/observation/request_telemetry_test.ts
+++ b/packages/core/tests/observation/request_telemetry_test.ts
@@ -112,13 +112,13 @@
   }));
 }
 
-test("a request's times land in the row of its class and tenant", (t) => {
+test("a request's durations are recorded under its class and tenant", (t) => {
   const telemetry = configuredTelemetry();
   recordAll(telemetry, lifeCycleOf("r-1", 1_000));
   t.snapshot(summaries(telemetry, 2_000));
 });
 
-test("an explanation tells each step of a request", (t) => {
+test("an explanation lists each step of a request", (t) => {
   const telemetry = configuredTelemetry();
   recordAll(telemetry, lifeCycleOf("r-1", 1_000));
   t.snapshot(telemetry.explain(instant(5_000), requestId("r-1")));
