--- a/packages/core/tests/addresses/address_choice_test.ts
+++ b/packages/core/tests/addresses/address_choice_test.ts
@@ -1,5 +1,6 @@
 import {
   type AddressCandidate,
+  type AddressChoiceOptions,
   chooseAddresses,
   failureDomainId,
   nodeId,
@@ -32,7 +33,10 @@
   const shares = new Map<string, number>();
   for (let draw = 0; draw < DRAWS; draw += 1) {
     const query = failureDomain === undefined ? {} : { failureDomain };
-    const options = { longestLifetime: seconds(10), random };
+    const options: AddressChoiceOptions = {
+      longestLifetime: seconds(10),
+      random,
+    };
     const [first = ""] = chooseAddresses(candidates, query, options).nodes;
     shares.set(first, (shares.get(first) ?? 0) + 1 / DRAWS);
   }
