--- a/packages/bench/src/configuration/spread_counts.ts
+++ b/packages/bench/src/configuration/spread_counts.ts
@@ -1,4 +1,8 @@
-import { failureDomainId, nodeId, spreadPlace } from "@foxtailwind/core";
+import {
+  distributionPosition,
+  failureDomainId,
+  nodeId,
+} from "@foxtailwind/core";
 import { SeededRandom } from "@foxtailwind/standins";
 import Table from "cli-table3";
 
@@ -33,7 +37,7 @@
     failureDomain: failureDomainId(`domain-${index % size.domains}`),
   }));
   const places = new Map(
-    nodes.map((node) => [node.id, spreadPlace(node, nodes, fanout)]),
+    nodes.map((node) => [node.id, distributionPosition(node, nodes, fanout)]),
   );
   const children = new Map<string, number>();
   for (const { parent } of places.values()) {
--- a/packages/bench/src/services/model_node.ts
+++ b/packages/bench/src/services/model_node.ts
@@ -5,6 +5,7 @@
   type Failure,
   type FailureDomainId,
   type Instant,
+  type LatencyTarget,
   type RandomSource,
   type RequestId,
   serviceId,
@@ -12,7 +13,6 @@
   type ServicePolicy,
   ServiceRouter,
   type ServiceServerView,
-  type Target,
 } from "@foxtailwind/core";
 import { failed, type ModelServer } from "./model_server.ts";
 import type { Timeline } from "./timeline.ts";
@@ -28,7 +28,7 @@
   readonly failureDomain: FailureDomainId;
   readonly random: RandomSource;
   readonly policy: ServicePolicy;
-  readonly target: Target;
+  readonly target: LatencyTarget;
   readonly servers: ReadonlyMap<BackendServerId, ModelServer>;
 }
 
--- a/packages/bench/src/services/model_world.ts
+++ b/packages/bench/src/services/model_world.ts
@@ -2,12 +2,12 @@
   type BackendServerId,
   backendServerId,
   failureDomainId,
+  type LatencyTarget,
   type RandomSource,
   randomSource,
   requestId,
   type ServicePolicy,
   type ServiceServerView,
-  type Target,
 } from "@foxtailwind/core";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
@@ -23,7 +23,7 @@
   readonly domains: number;
   readonly workers: number;
   readonly meanMilliseconds: number;
-  readonly target: Target;
+  readonly target: LatencyTarget;
   readonly policy: ServicePolicy;
 }
 
--- a/packages/bench/src/slopes/spread_slope.ts
+++ b/packages/bench/src/slopes/spread_slope.ts
@@ -1,11 +1,11 @@
 import {
+  distributionPosition,
   failureDomainId,
   heartbeatPeers,
   incarnationId,
   type Member,
   nodeId,
   regionId,
-  spreadPlace,
 } from "@foxtailwind/core";
 import type { Measurement } from "./measurement.ts";
 
@@ -59,7 +59,7 @@
     id: node,
     failureDomain,
   }));
-  const places = nodes.map((node) => spreadPlace(node, nodes));
+  const places = nodes.map((node) => distributionPosition(node, nodes));
   const children = new Map<string, number>();
   for (const { parent } of places) {
     if (parent === undefined) continue;
--- a/packages/bench/src/soak/configuration_mutants.ts
+++ b/packages/bench/src/soak/configuration_mutants.ts
@@ -19,13 +19,13 @@
 }
 
 class TrustsEveryBase extends ConfigurationRules {
-  override baseHolds(): boolean {
+  override isBaseCurrent(): boolean {
     return true;
   }
 }
 
 class AllowsBaseOneShort extends ConfigurationRules {
-  override baseHolds(version: LogOffset, base: LogOffset): boolean {
+  override isBaseCurrent(version: LogOffset, base: LogOffset): boolean {
     return version <= base + 1;
   }
 }
@@ -49,13 +49,13 @@
 }
 
 class SkipsNewerFormats extends ConfigurationRules {
-  override atNewerFormat(): "halt" | "skip" {
+  override onNewerFormat(): "halt" | "skip" {
     return "skip";
   }
 }
 
 class ReadsOverGaps extends ConfigurationRules {
-  override joins(): boolean {
+  override isContiguous(): boolean {
     return true;
   }
 }
--- a/packages/bench/src/soak/configuration_node.ts
+++ b/packages/bench/src/soak/configuration_node.ts
@@ -61,7 +61,7 @@
    */
   readLog(limit: number): void {
     if (this.#log.isOut || this.#reader.halt !== undefined) return;
-    const from = Math.max(this.#log.firstKept, this.#reader.next);
+    const from = Math.max(this.#log.firstKept, this.#reader.nextOffset);
     if (!this.#take(logOffset(from), this.#log.read(from, limit))) {
       this.#startFromSnapshot();
     }
@@ -73,9 +73,9 @@
    * @param back How many records before this node's next one come too.
    */
   readPeer(peer: ConfigurationNode, back: number): void {
-    const from = Math.max(0, this.#reader.next - back);
+    const from = Math.max(0, this.#reader.nextOffset - back);
     const [oldest] = peer.#kept;
-    if (oldest !== undefined && oldest.offset <= this.#reader.next) {
+    if (oldest !== undefined && oldest.offset <= this.#reader.nextOffset) {
       const records = peer.#kept.filter(({ offset }) => offset >= from);
       this.#take(logOffset(Math.max(from, oldest.offset)), records);
     } else {
@@ -104,7 +104,7 @@
   }
 
   #take(from: LogOffset, records: readonly StoredRecord[]): boolean {
-    if (!this.#reader.joins(from)) return false;
+    if (!this.#reader.isContiguous(from)) return false;
     for (const record of records) {
       const reading = this.#reader.read(record);
       if (reading.kind === "halted") break;
--- a/packages/bench/src/soak/upgraded_rules.ts
+++ b/packages/bench/src/soak/upgraded_rules.ts
@@ -31,8 +31,8 @@
     return this.#rules.isUnread(offset, next);
   }
 
-  override baseHolds(version: LogOffset, base: LogOffset): boolean {
-    return this.#rules.baseHolds(version, base);
+  override isBaseCurrent(version: LogOffset, base: LogOffset): boolean {
+    return this.#rules.isBaseCurrent(version, base);
   }
 
   override isRepeat(known: boolean): boolean {
@@ -43,11 +43,11 @@
     return this.#rules.snapshotCovers(offset);
   }
 
-  override atNewerFormat(): "halt" | "skip" {
-    return this.#rules.atNewerFormat();
+  override onNewerFormat(): "halt" | "skip" {
+    return this.#rules.onNewerFormat();
   }
 
-  override joins(from: LogOffset, next: LogOffset): boolean {
-    return this.#rules.joins(from, next);
+  override isContiguous(from: LogOffset, next: LogOffset): boolean {
+    return this.#rules.isContiguous(from, next);
   }
 }
--- a/packages/core/src/addresses/address_choice.ts
+++ b/packages/core/src/addresses/address_choice.ts
@@ -36,7 +36,7 @@
 /** The inputs of an address choice besides the nodes and the query. */
 export interface AddressChoiceOptions {
   /** The maximum lifetime of an answer. */
-  readonly longestLifetime: Duration;
+  readonly maximumLifetime: Duration;
   readonly random: RandomSource;
 }
 
@@ -152,7 +152,7 @@
 
 function answerLifetime(
   weighted: readonly WeightedCandidate[],
-  { longestLifetime, random }: AddressChoiceOptions,
+  { maximumLifetime: longestLifetime, random }: AddressChoiceOptions,
 ): Duration {
   const isLoadUneven = weighted.some(({ weight }) =>
     weight < UNEVEN_LOAD_WEIGHT
--- a/packages/core/src/configuration/change.ts
+++ b/packages/core/src/configuration/change.ts
@@ -122,7 +122,7 @@
 });
 
 /** The latency targets of a class or service. */
-export type Target = z.output<typeof targetSchema>;
+export type LatencyTarget = z.output<typeof targetSchema>;
 
 /** A change of one configuration item. */
 export type ConfigurationChange = z.output<typeof changeSchema>;
--- a/packages/core/src/configuration/configuration.ts
+++ b/packages/core/src/configuration/configuration.ts
@@ -9,7 +9,7 @@
 import type {
   ConfigurationChange,
   ConfigurationRecord,
-  Target,
+  LatencyTarget,
 } from "./change.ts";
 import { ConfigurationRules } from "./configuration_rules.ts";
 import {
@@ -61,7 +61,7 @@
   }
 
   /** The latency targets of classes by id. */
-  get classes(): ReadonlyMap<ClassId, Target> {
+  get classes(): ReadonlyMap<ClassId, LatencyTarget> {
     return this.#state.classes;
   }
 
@@ -76,7 +76,7 @@
   }
 
   /** The latency targets of services by id. */
-  get services(): ReadonlyMap<ServiceId, Target> {
+  get services(): ReadonlyMap<ServiceId, LatencyTarget> {
     return this.#state.services;
   }
 
@@ -109,8 +109,8 @@
    * @param item The item.
    * @returns The change; a removal if the item does not exist.
    */
-  changeThatMakes(item: ItemKey): ConfigurationChange {
-    return this.#state.changeThatMakes(item);
+  stateAsChange(item: ItemKey): ConfigurationChange {
+    return this.#state.stateAsChange(item);
   }
 
   /**
@@ -195,7 +195,7 @@
       const item = itemKeyOf(change);
       const origin = this.#state.origins.get(item);
       if (origin === undefined) continue;
-      if (this.#rules.baseHolds(origin.offset, record.base)) continue;
+      if (this.#rules.isBaseCurrent(origin.offset, record.base)) continue;
       const { author, change: winningChange } = origin;
       return {
         kind: "conflict",
@@ -227,7 +227,7 @@
   #toggleItem(item: ItemKey): void {
     const origin = this.#state.origins.get(item);
     if (origin === undefined) return;
-    this.#digest.toggle(itemLine(this.changeThatMakes(item), origin));
+    this.#digest.toggle(itemLine(this.stateAsChange(item), origin));
   }
 
   #expireRemovedItems(): void {
--- a/packages/core/src/configuration/configuration_reader.ts
+++ b/packages/core/src/configuration/configuration_reader.ts
@@ -57,7 +57,7 @@
   }
 
   /** The lowest unread offset. */
-  get next(): LogOffset {
+  get nextOffset(): LogOffset {
     return (this.#configuration.offset + 1) as LogOffset;
   }
 
@@ -91,8 +91,8 @@
    * @param from The offset of the first record.
    * @returns Whether no record is missing before it.
    */
-  joins(from: LogOffset): boolean {
-    return this.#rules.joins(from, this.next);
+  isContiguous(from: LogOffset): boolean {
+    return this.#rules.isContiguous(from, this.nextOffset);
   }
 
   /**
@@ -103,12 +103,12 @@
   read(stored: StoredRecord): RecordReading {
     const { offset, data } = stored;
     if (this.#halt !== undefined) return { kind: "halted" };
-    if (!this.#rules.isUnread(offset, this.next)) {
+    if (!this.#rules.isUnread(offset, this.nextOffset)) {
       return { kind: "already_read" };
     }
     const { newestFormat } = this.#rules;
     const parsed = parseConfigurationRecord(data, newestFormat);
-    if (parsed.kind === "newer" && this.#rules.atNewerFormat() === "halt") {
+    if (parsed.kind === "newer" && this.#rules.onNewerFormat() === "halt") {
       this.#halt = { offset, format: parsed.format, newestFormat };
       return { kind: "halted" };
     }
--- a/packages/core/src/configuration/configuration_rules.ts
+++ b/packages/core/src/configuration/configuration_rules.ts
@@ -28,7 +28,7 @@
    * @param base The offset of the configuration that the author saw.
    * @returns Whether the item has not changed since the base.
    */
-  baseHolds(version: LogOffset, base: LogOffset): boolean {
+  isBaseCurrent(version: LogOffset, base: LogOffset): boolean {
     return version <= base;
   }
 
@@ -54,7 +54,7 @@
    * Determines how to handle a record of a newer format.
    * @returns Whether to stop reading or to skip the record.
    */
-  atNewerFormat(): "halt" | "skip" {
+  onNewerFormat(): "halt" | "skip" {
     return "halt";
   }
 
@@ -64,7 +64,7 @@
    * @param next The lowest unread offset.
    * @returns Whether no record is missing before the page.
    */
-  joins(from: LogOffset, next: LogOffset): boolean {
+  isContiguous(from: LogOffset, next: LogOffset): boolean {
     return from <= next;
   }
 }
--- a/packages/core/src/configuration/configuration_state.ts
+++ b/packages/core/src/configuration/configuration_state.ts
@@ -8,7 +8,7 @@
   ServiceId,
   TenantId,
 } from "../shared/mod.ts";
-import type { ConfigurationChange, Target } from "./change.ts";
+import type { ConfigurationChange, LatencyTarget } from "./change.ts";
 import { type ItemKey, itemKeyOf } from "./item_key.ts";
 
 /** The configuration of an adapter. */
@@ -29,10 +29,10 @@
 
 /** The items of the configuration and the origin of each. */
 export class ConfigurationState {
-  readonly classes = new Map<ClassId, Target>();
+  readonly classes = new Map<ClassId, LatencyTarget>();
   readonly tenants = new Set<TenantId>();
   readonly adapters = new Map<AdapterId, ConfiguredAdapter>();
-  readonly services = new Map<ServiceId, Target>();
+  readonly services = new Map<ServiceId, LatencyTarget>();
   readonly origins = new Map<ItemKey, ItemOrigin>();
 
   /**
@@ -77,7 +77,7 @@
    * @param item The item.
    * @returns The change; a removal if the item does not exist.
    */
-  changeThatMakes(item: ItemKey): ConfigurationChange {
+  stateAsChange(item: ItemKey): ConfigurationChange {
     const separator = item.indexOf("/");
     const kind = item.slice(0, separator);
     const id = item.slice(separator + 1);
--- a/packages/core/src/configuration/difference.ts
+++ b/packages/core/src/configuration/difference.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationChange, Target } from "./change.ts";
+import type { ConfigurationChange, LatencyTarget } from "./change.ts";
 import type { Configuration } from "./configuration.ts";
 import { type ItemKey, itemKeyOf } from "./item_key.ts";
 
@@ -22,7 +22,7 @@
 ): readonly ConfigurationDifference[] {
   return changes.flatMap((change) => {
     const item = itemKeyOf(change);
-    const before = describeChange(configuration.changeThatMakes(item));
+    const before = describeChange(configuration.stateAsChange(item));
     const after = describeChange(change);
     return before === after ? [] : [{ item, before, after, change }];
   });
@@ -51,7 +51,7 @@
   }
 }
 
-function describeTarget(target: Target): string {
+function describeTarget(target: LatencyTarget): string {
   const betweenTokens = target.betweenTokensMilliseconds;
   const wholeAnswer = target.wholeAnswerMilliseconds;
   return [
--- a/packages/core/src/configuration/distribution_tree.ts
+++ b/packages/core/src/configuration/distribution_tree.ts
@@ -8,19 +8,19 @@
 export const DISTRIBUTION_FANOUT = 4;
 
 /** A node that takes part in the distribution of records. */
-export interface SpreadNode {
+export interface DistributionNode {
   readonly id: NodeId;
   readonly failureDomain: FailureDomainId;
 }
 
 /** A node's position in the distribution tree: where it gets its records. */
-export interface SpreadPlace {
+export interface DistributionPosition {
   /** Whether this node reads the log for its failure domain. */
   readonly readsLog: boolean;
   /** The peer to follow; undefined for the domain's reader. */
   readonly parent: NodeId | undefined;
   /** Fallback peers if neither the parent nor the log responds. */
-  readonly others: readonly NodeId[];
+  readonly fallbackPeers: readonly NodeId[];
   /** The number of hops from the domain's reader of the log. */
   readonly depth: number;
 }
@@ -34,11 +34,11 @@
  * @param fanout The maximum number of peers that each node serves.
  * @returns The position.
  */
-export function spreadPlace(
-  self: SpreadNode,
-  nodes: readonly SpreadNode[],
+export function distributionPosition(
+  self: DistributionNode,
+  nodes: readonly DistributionNode[],
   fanout: number = DISTRIBUTION_FANOUT,
-): SpreadPlace {
+): DistributionPosition {
   const inDomain = nodes.filter((node) =>
     node.failureDomain === self.failureDomain && node.id !== self.id
   );
@@ -55,7 +55,7 @@
   return {
     readsLog: index === 0,
     parent,
-    others: index === 0
+    fallbackPeers: index === 0
       ? [...otherReaders, ...sameDomain]
       : [...sameDomain, ...otherReaders],
     depth: depthOf(index, fanout),
@@ -63,8 +63,8 @@
 }
 
 function readersOfOtherDomains(
-  self: SpreadNode,
-  nodes: readonly SpreadNode[],
+  self: DistributionNode,
+  nodes: readonly DistributionNode[],
 ): readonly NodeId[] {
   const domains = new Map<FailureDomainId, NodeId[]>();
   for (const node of nodes) {
--- a/packages/core/src/configuration/snapshot.ts
+++ b/packages/core/src/configuration/snapshot.ts
@@ -65,7 +65,7 @@
     covers: rules.snapshotCovers(configuration.offset),
     digest: configuration.digest,
     items: origins.map(([item, origin]) => [
-      configuration.changeThatMakes(item),
+      configuration.stateAsChange(item),
       origin,
     ]),
     recent: [...configuration.recent.all],
@@ -126,7 +126,7 @@
   }
 
   /** Whether the last chunk was added. */
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this.#previous?.last ?? false;
   }
 
--- a/packages/core/src/configuration/snapshot_schedule.ts
+++ b/packages/core/src/configuration/snapshot_schedule.ts
@@ -38,7 +38,7 @@
  * @param schedule When snapshots are written.
  * @returns Whether to write a snapshot.
  */
-export function snapshotDue(
+export function isSnapshotDue(
   input: SnapshotScheduleInput,
   schedule: {
     readonly interval: number;
--- a/packages/core/src/drain/planned_stop.ts
+++ b/packages/core/src/drain/planned_stop.ts
@@ -11,7 +11,7 @@
 export type StopPhase = "serving" | "leaving" | "finishing" | "stopped";
 
 /** An action that a planned stop requests; the caller executes it. */
-export type StopOrder =
+export type StopAction =
   /** Notify all peers that this node accepts no new work. */
   | { readonly kind: "announce" }
   /** Transfer the engines that this node controls to other nodes. */
@@ -20,11 +20,11 @@
   | { readonly kind: "stop"; readonly cutOff: number };
 
 /** The time limits of a planned stop. */
-export interface PlannedStopTerms {
+export interface PlannedStopOptions {
   /** How long callers may use an address answer that contains this node. */
   readonly addressLifetime: Duration;
   /** The operator's limit, after which work is cut off; none by default. */
-  readonly longestWait?: Duration;
+  readonly maximumWait?: Duration;
 }
 
 /** How long to wait for peers before the announcement counts as done. */
@@ -38,15 +38,15 @@
  * still have its address, finishes all requests and stops.
  */
 export class PlannedStop {
-  readonly #terms: PlannedStopTerms;
+  readonly #terms: PlannedStopOptions;
   #phase: StopPhase = "serving";
   #startedAt: Instant | undefined;
   #announcedAt: Instant | undefined;
   #isHandedOver = false;
-  #pendingActions: StopOrder[] = [];
+  #pendingActions: StopAction[] = [];
 
   /** @param terms The time limits of the stop. */
-  constructor(terms: PlannedStopTerms) {
+  constructor(terms: PlannedStopOptions) {
     this.#terms = terms;
   }
 
@@ -85,7 +85,7 @@
    * @param inProgress The number of callers' and peers' requests in progress.
    * @returns The actions, in the order in which to execute them.
    */
-  decide(now: Instant, inProgress: number): readonly StopOrder[] {
+  decide(now: Instant, inProgress: number): readonly StopAction[] {
     if (this.#phase === "leaving" && this.#canFinish(now)) {
       this.#phase = "finishing";
     }
@@ -106,7 +106,7 @@
     }
     const deadlines: Instant[] = [];
     if (this.#phase === "leaving") deadlines.push(...this.#leavingDeadlines());
-    const { longestWait } = this.#terms;
+    const { maximumWait: longestWait } = this.#terms;
     if (longestWait !== undefined) {
       deadlines.push(later(this.#startedAt, longestWait));
     }
@@ -152,7 +152,7 @@
   }
 
   #isOverdue(now: Instant): boolean {
-    const { longestWait } = this.#terms;
+    const { maximumWait: longestWait } = this.#terms;
     if (longestWait === undefined || this.#startedAt === undefined) {
       return false;
     }
--- a/packages/core/src/membership/membership_agent.ts
+++ b/packages/core/src/membership/membership_agent.ts
@@ -102,7 +102,7 @@
    * @param now The current time.
    * @param heartbeat The heartbeat.
    */
-  heard(now: Instant, heartbeat: Heartbeat): void {
+  receiveHeartbeat(now: Instant, heartbeat: Heartbeat): void {
     this.#detector.receiveHeartbeat(now, heartbeat);
     const isKnown = listsRun(this.#register.view, heartbeat.from);
     if (!isKnown && !heartbeat.leaving && heartbeat.from.generation > 0) {
--- a/packages/core/src/ownership/cluster_agent.ts
+++ b/packages/core/src/ownership/cluster_agent.ts
@@ -158,7 +158,7 @@
   receive(now: Instant, message: ClusterMessage): readonly OutgoingMessage[] {
     switch (message.kind) {
       case "heartbeat":
-        this.#membership.heard(now, message);
+        this.#membership.receiveHeartbeat(now, message);
         return [];
       case "promise":
         this.#ownership.onPromiseResponse(now, message);
--- a/packages/core/src/relay/engine_start.ts
+++ b/packages/core/src/relay/engine_start.ts
@@ -1,4 +1,8 @@
-import { isOlderStart, isOtherStart, type ServerStart } from "../shared/mod.ts";
+import {
+  isDifferentStart,
+  isOlderStart,
+  type ServerStart,
+} from "../shared/mod.ts";
 
 /**
  * How a report's start relates to the start that an engine's owner works with.
@@ -46,9 +50,11 @@
   applyRegistered(start: ServerStart | undefined): boolean {
     const previous = this.#registered;
     this.#registered = start ?? previous;
-    if (previous !== undefined && !isOtherStart(previous, start)) return false;
+    if (previous !== undefined && !isDifferentStart(previous, start)) {
+      return false;
+    }
     const wasRegistered = this.#current === previous;
-    if (!isOtherStart(this.#current, start)) {
+    if (!isDifferentStart(this.#current, start)) {
       this.#current ??= start;
       return false;
     }
@@ -63,7 +69,7 @@
    * @returns How it relates to the current start.
    */
   applyReported(start: ServerStart | undefined): ReportOutcome {
-    if (!isOtherStart(this.#current, start)) {
+    if (!isDifferentStart(this.#current, start)) {
       this.#change(start ?? this.#current);
       return "current";
     }
--- a/packages/core/src/relay/server_registry.ts
+++ b/packages/core/src/relay/server_registry.ts
@@ -2,7 +2,7 @@
   type BackendServerId,
   elapsed,
   type Instant,
-  isOtherStart,
+  isDifferentStart,
   type LogOffset,
   logOffset,
   milliseconds,
@@ -204,7 +204,7 @@
   removeReplaced(id: BackendServerId, start?: ServerStart): void {
     const known = this.#known.get(id);
     if (known === undefined) return;
-    if (isOtherStart(known.server.start, start)) return;
+    if (isDifferentStart(known.server.start, start)) return;
     this.#removeServer(id, known.offset);
   }
 
--- a/packages/core/src/service_routing/call_time_limits.ts
+++ b/packages/core/src/service_routing/call_time_limits.ts
@@ -1,4 +1,4 @@
-import type { Target } from "../configuration/mod.ts";
+import type { LatencyTarget } from "../configuration/mod.ts";
 import { type Duration, milliseconds } from "../shared/mod.ts";
 
 /** The time limits of a service's calls. */
@@ -20,7 +20,9 @@
  * @param target The target, if one is configured.
  * @returns The time limits.
  */
-export function callTimeLimits(target: Target | undefined): CallTimeLimits {
+export function callTimeLimits(
+  target: LatencyTarget | undefined,
+): CallTimeLimits {
   const targetLatency = target?.wholeAnswerMilliseconds ??
     target?.firstTokenMilliseconds ?? DEFAULT_TARGET_MILLISECONDS;
   const timeout = Math.max(
--- a/packages/core/src/service_routing/service_router.ts
+++ b/packages/core/src/service_routing/service_router.ts
@@ -1,4 +1,4 @@
-import type { Target } from "../configuration/mod.ts";
+import type { LatencyTarget } from "../configuration/mod.ts";
 import {
   type AttemptNumber,
   type Duration,
@@ -83,7 +83,7 @@
    * Sets the service's target. Pending calls keep their limits.
    * @param target The current target, if any.
    */
-  setTarget(target: Target | undefined): void {
+  setTarget(target: LatencyTarget | undefined): void {
     this.#timeLimits = callTimeLimits(target);
   }
 
--- a/packages/core/src/shared/server_start.ts
+++ b/packages/core/src/shared/server_start.ts
@@ -25,7 +25,7 @@
  * @param reported The reported start, if any.
  * @returns Whether both are known and differ.
  */
-export function isOtherStart(
+export function isDifferentStart(
   known: ServerStart | undefined,
   reported: ServerStart | undefined,
 ): boolean {
--- a/packages/core/tests/addresses/address_choice_test.ts
+++ b/packages/core/tests/addresses/address_choice_test.ts
@@ -34,7 +34,7 @@
   for (let draw = 0; draw < DRAWS; draw += 1) {
     const query = failureDomain === undefined ? {} : { failureDomain };
     const options: AddressChoiceOptions = {
-      longestLifetime: seconds(10),
+      maximumLifetime: seconds(10),
       random,
     };
     const [first = ""] = chooseAddresses(candidates, query, options).nodes;
@@ -82,7 +82,7 @@
   const answer = chooseAddresses(
     [candidate(0), candidate(1, { leaving: true })],
     { controller: nodeId("node-1"), failureDomain: "domain-1" },
-    { longestLifetime: seconds(10), random: randomSource(1) },
+    { maximumLifetime: seconds(10), random: randomSource(1) },
   );
   t.deepEqual(answer.nodes, [nodeId("node-0")]);
 });
--- a/packages/core/tests/configuration/configuration_reader_test.ts
+++ b/packages/core/tests/configuration/configuration_reader_test.ts
@@ -110,7 +110,7 @@
     t.is(reader.read({ offset: logOffset(index), data }).kind, "corrupt");
   }
   t.is(reader.corruptRecords, texts.length);
-  t.is(reader.next, logOffset(texts.length));
+  t.is(reader.nextOffset, logOffset(texts.length));
 });
 
 test("a reader stops before a record of a newer format", (t) => {
--- a/packages/core/tests/configuration/distribution_and_schedule_test.ts
+++ b/packages/core/tests/configuration/distribution_and_schedule_test.ts
@@ -1,15 +1,15 @@
 import test from "ava";
 import {
   CLOCK_START,
+  distributionPosition,
   failureDomainId,
   instant,
+  isSnapshotDue,
   logOffset,
   nodeId,
   seconds,
   SNAPSHOT_SCHEDULE,
-  snapshotDue,
   type SnapshotScheduleInput,
-  spreadPlace,
 } from "@foxtailwind/core";
 
 const NODES = Array.from({ length: 60 }, (_, index) => ({
@@ -19,7 +19,7 @@
 
 test("each failure domain has one reader that all its nodes reach", (t) => {
   const places = new Map(
-    NODES.map((node) => [node.id, spreadPlace(node, NODES, 4)]),
+    NODES.map((node) => [node.id, distributionPosition(node, NODES, 4)]),
   );
   const readers = [...places.values()].filter((place) => place.readsLog);
   t.is(readers.length, 3);
@@ -41,7 +41,7 @@
 test("no node serves more peers than the fanout", (t) => {
   const children = new Map<string, number>();
   for (const node of NODES) {
-    const { parent } = spreadPlace(node, NODES, 4);
+    const { parent } = distributionPosition(node, NODES, 4);
     if (parent === undefined) continue;
     children.set(parent, (children.get(parent) ?? 0) + 1);
   }
@@ -58,16 +58,16 @@
 };
 
 test("the first candidate writes a snapshot; the next ones wait", (t) => {
-  t.true(snapshotDue(INPUT));
-  t.false(snapshotDue({ ...INPUT, rank: 1 }));
+  t.true(isSnapshotDue(INPUT));
+  t.false(isSnapshotDue({ ...INPUT, rank: 1 }));
   const later = instant(SNAPSHOT_SCHEDULE.interval + SNAPSHOT_SCHEDULE.grace);
-  t.true(snapshotDue({ ...INPUT, rank: 1, now: later }));
+  t.true(isSnapshotDue({ ...INPUT, rank: 1, now: later }));
 });
 
 test("many records, or retention past the last snapshot, make one due", (t) => {
   const soon = { ...INPUT, now: instant(seconds(1)) };
-  t.false(snapshotDue(soon));
-  t.true(snapshotDue({ ...soon, recordsSince: SNAPSHOT_SCHEDULE.records }));
-  t.true(snapshotDue({ ...soon, firstKept: logOffset(12) }));
-  t.false(snapshotDue({ ...soon, firstKept: logOffset(11) }));
+  t.false(isSnapshotDue(soon));
+  t.true(isSnapshotDue({ ...soon, recordsSince: SNAPSHOT_SCHEDULE.records }));
+  t.true(isSnapshotDue({ ...soon, firstKept: logOffset(12) }));
+  t.false(isSnapshotDue({ ...soon, firstKept: logOffset(11) }));
 });
--- a/packages/core/tests/drain/planned_stop_test.ts
+++ b/packages/core/tests/drain/planned_stop_test.ts
@@ -45,7 +45,7 @@
 test("only a time limit set by the operator cuts work off", (t) => {
   const stop = new PlannedStop({
     addressLifetime: LIFETIME,
-    longestWait: seconds(3),
+    maximumWait: seconds(3),
   });
   stop.begin(instant(0));
   stop.decide(instant(0), 2);
--- a/packages/node/src/assembly/make_drain.ts
+++ b/packages/node/src/assembly/make_drain.ts
@@ -25,7 +25,7 @@
   return new Drain({
     terms: {
       addressLifetime: seconds(addresses.lifetime_seconds),
-      ...(longestWait !== undefined && { longestWait: seconds(longestWait) }),
+      ...(longestWait !== undefined && { maximumWait: seconds(longestWait) }),
     },
     work: sources.work,
     handOver: new ClusterHandOver(sources.cluster),
--- a/packages/node/src/configuration/configuration_follower.ts
+++ b/packages/node/src/configuration/configuration_follower.ts
@@ -1,14 +1,14 @@
 import {
   type Configuration,
+  type DistributionNode,
+  type DistributionPosition,
+  distributionPosition,
   elapsed,
   type Instant,
   instant,
   later,
   milliseconds,
   nodeId,
-  type SpreadNode,
-  type SpreadPlace,
-  spreadPlace,
 } from "@foxtailwind/core";
 import type { LogClient } from "@foxtailwind/edges";
 import type { StatusAnswer } from "@foxtailwind/protocol";
@@ -33,7 +33,7 @@
 
 /** What a follower works with. */
 export interface FollowerParts {
-  readonly self: SpreadNode;
+  readonly self: DistributionNode;
   readonly log: LogClient;
   readonly directory: VmDirectory;
   readonly channels: PeerChannels;
@@ -136,24 +136,26 @@
     this.#peers.stop();
   }
 
-  #place(): SpreadPlace {
-    const nodes = this.#parts.directory.live("entry").map((vm): SpreadNode => ({
+  #place(): DistributionPosition {
+    const nodes = this.#parts.directory.live("entry").map((
+      vm,
+    ): DistributionNode => ({
       id: nodeId(vm.id),
       failureDomain: vm.failureDomain,
     }));
-    return spreadPlace(this.#parts.self, nodes);
+    return distributionPosition(this.#parts.self, nodes);
   }
 
-  #choosePeer(place: SpreadPlace): string | undefined {
+  #choosePeer(place: DistributionPosition): string | undefined {
     if (this.#logFailures > 0) return this.#peerDuringOutage(place);
     const paused = this.#parts.clock.now() < this.#parentPausedUntil;
     return paused ? undefined : place.parent;
   }
 
-  #peerDuringOutage(place: SpreadPlace): string | undefined {
+  #peerDuringOutage(place: DistributionPosition): string | undefined {
     const peers = place.parent === undefined
-      ? place.others
-      : [place.parent, ...place.others];
+      ? place.fallbackPeers
+      : [place.parent, ...place.fallbackPeers];
     return peers[(this.#logFailures - 1) % Math.max(1, peers.length)];
   }
 
@@ -180,7 +182,7 @@
     return answered;
   }
 
-  async #followPeer(peer: string, place: SpreadPlace): Promise<void> {
+  async #followPeer(peer: string, place: DistributionPosition): Promise<void> {
     const address = this.#parts.directory.live("entry")
       .find((vm) => vm.id === peer)?.peerAddress;
     if (address !== undefined) {
@@ -190,7 +192,7 @@
     await this.#afterPeer();
   }
 
-  #stays(since: Instant, place: SpreadPlace): boolean {
+  #stays(since: Instant, place: DistributionPosition): boolean {
     const { clock } = this.#parts;
     if (elapsed(since, clock.now()) < TRIAL) return true;
     if (this.store.age() > FRESH) return false;
--- a/packages/node/src/configuration/configuration_publisher.ts
+++ b/packages/node/src/configuration/configuration_publisher.ts
@@ -75,7 +75,8 @@
     const { reader } = this.#parts.follower.store;
     if (reader.halt !== undefined) {
       return publishFailure("unavailable", {
-        message: `This node reads no further than offset ${reader.next}: ` +
+        message:
+          `This node reads no further than offset ${reader.nextOffset}: ` +
           `${this.#parts.follower.status().halted}.`,
         remedy: "Publish through a node of the newer release.",
       });
@@ -99,7 +100,7 @@
   #isMissing(change: ConfigurationChange): boolean {
     if (!change.kind.startsWith("remove_")) return false;
     const { configuration } = this.#parts.follower;
-    const made = configuration.changeThatMakes(itemKeyOf(change));
+    const made = configuration.stateAsChange(itemKeyOf(change));
     return made.kind.startsWith("remove_");
   }
 
@@ -127,7 +128,7 @@
     { offset, until }: { readonly offset: LogOffset; readonly until: number },
   ): Promise<RecentChange | undefined> {
     const { follower, clock } = this.#parts;
-    while (follower.store.reader.next <= offset) {
+    while (follower.store.reader.nextOffset <= offset) {
       if (clock.now() >= until) return undefined;
       if (follower.store.reader.halt !== undefined) return undefined;
       const answered = await follower.readOnce(0);
--- a/packages/node/src/configuration/configuration_store.ts
+++ b/packages/node/src/configuration/configuration_store.ts
@@ -58,11 +58,11 @@
    * @returns Whether it joins what was read before.
    */
   take(range: RecordRange): boolean {
-    if (!this.reader.joins(range.from)) return false;
-    const before = this.reader.next;
+    if (!this.reader.isContiguous(range.from)) return false;
+    const before = this.reader.nextOffset;
     for (const record of range.records) this.#read(record);
     this.confirm(range.age);
-    if (this.reader.next > before) this.#tell();
+    if (this.reader.nextOffset > before) this.#tell();
     return true;
   }
 
@@ -73,7 +73,7 @@
   adopt(configuration: Configuration): void {
     if (configuration.offset <= this.reader.configuration.offset) return;
     this.reader.adopt(configuration);
-    this.#ring.restart(this.reader.next);
+    this.#ring.restart(this.reader.nextOffset);
     this.#logger.info("A snapshot was taken over.", {
       offset: configuration.offset,
     });
--- a/packages/node/src/configuration/log_source.ts
+++ b/packages/node/src/configuration/log_source.ts
@@ -44,7 +44,7 @@
    * @returns Whether the log answered and its answer could be used.
    */
   async readOnce(waitMilliseconds: number): Promise<boolean> {
-    const from = this.#store.reader.next;
+    const from = this.#store.reader.nextOffset;
     const page = await this.#readPage(from, waitMilliseconds);
     if (page === undefined) return false;
     this.#firstKept = page.firstKept;
--- a/packages/node/src/configuration/peer_source.ts
+++ b/packages/node/src/configuration/peer_source.ts
@@ -45,7 +45,7 @@
       credentials.createInsecure(),
       { channelOverride: this.#channels.channel(address) },
     );
-    const call = client.follow({ from: this.#store.reader.next });
+    const call = client.follow({ from: this.#store.reader.nextOffset });
     this.#call = call;
     const since = this.#clock.now();
     let heardAt = since;
@@ -102,7 +102,7 @@
       case "state":
         return this.#receiveChunk(part.value.data);
       case "alive":
-        if (part.value.next <= this.#store.reader.next) {
+        if (part.value.next <= this.#store.reader.nextOffset) {
           this.#store.confirm(milliseconds(part.value.ageMilliseconds));
         }
         return true;
@@ -116,7 +116,7 @@
     if (chunk === undefined) return false;
     this.#restorer ??= new SnapshotRestorer();
     if (this.#restorer.push(chunk).isErr()) return false;
-    if (!this.#restorer.isWhole) return true;
+    if (!this.#restorer.isComplete) return true;
     const restored = this.#restorer.finish();
     this.#restorer = undefined;
     if (restored.isErr()) return false;
--- a/packages/node/src/configuration/snapshot_writer.ts
+++ b/packages/node/src/configuration/snapshot_writer.ts
@@ -3,13 +3,13 @@
   copyForSnapshot,
   formatSnapshotManifest,
   type Instant,
+  isSnapshotDue,
   type LogOffset,
   nodeId,
   rendezvousOrder,
   SNAPSHOT_SCHEDULE,
   SNAPSHOT_STREAM,
   snapshotChunks,
-  snapshotDue,
   type SnapshotManifest,
 } from "@foxtailwind/core";
 import type { LogClient } from "@foxtailwind/edges";
@@ -83,7 +83,7 @@
   #isDue(): boolean {
     const { follower, clock, schedule } = this.#parts;
     const { reader } = follower.store;
-    return snapshotDue({
+    return isSnapshotDue({
       now: clock.now(),
       lastSeenAt: this.#lastSeenAt,
       recordsSince: reader.recordsSinceManifest,
--- a/packages/node/src/configuration/spread_service.ts
+++ b/packages/node/src/configuration/spread_service.ts
@@ -102,7 +102,7 @@
 
   /** Sends what the follower does not have, unless it is slow to take it. */
   send(): void {
-    const { next } = this.#store.reader;
+    const { nextOffset: next } = this.#store.reader;
     if (this.#sendingState || this.#call.writableNeedDrain) return;
     if (this.#next >= next) return;
     const records = this.#store.recordsFrom(this.#next);
@@ -117,7 +117,7 @@
   /** Sends a sign of life after all that is due. */
   sendAlive(): void {
     this.send();
-    const { next } = this.#store.reader;
+    const { nextOffset: next } = this.#store.reader;
     this.#write({
       $case: "alive",
       value: { next, ageMilliseconds: this.#store.age() },
--- a/packages/node/src/drain/drain.ts
+++ b/packages/node/src/drain/drain.ts
@@ -1,7 +1,7 @@
 import {
   PlannedStop,
-  type PlannedStopTerms,
-  type StopOrder,
+  type PlannedStopOptions,
+  type StopAction,
   type StopPhase,
 } from "@foxtailwind/core";
 import type { SteadyClock } from "../clock/steady_clock.ts";
@@ -11,7 +11,7 @@
 
 /** What a drain works with. */
 export interface DrainParts {
-  readonly terms: PlannedStopTerms;
+  readonly terms: PlannedStopOptions;
   readonly work: WorkInProgress;
   readonly handOver: HandOver;
   readonly clock: SteadyClock;
@@ -71,7 +71,7 @@
     }, Math.max(1, Math.ceil(wake - now)));
   }
 
-  #carryOut(order: StopOrder): void {
+  #carryOut(order: StopAction): void {
     switch (order.kind) {
       case "announce":
         void this.#announce();
--- a/packages/node/src/operators/items_controller.ts
+++ b/packages/node/src/operators/items_controller.ts
@@ -3,7 +3,7 @@
   type Configuration,
   type ConfiguredAdapter,
   type ItemKey,
-  type Target,
+  type LatencyTarget,
 } from "@foxtailwind/core";
 import { Controller, Get, Inject, Query } from "@nestjs/common";
 import { DaemonParts } from "../daemon_parts.ts";
@@ -93,7 +93,7 @@
 function targetRows<Id extends string>(
   configuration: Configuration,
   kind: "class" | "service",
-  targets: ReadonlyMap<Id, Target>,
+  targets: ReadonlyMap<Id, LatencyTarget>,
 ) {
   return [...targets]
     .sort(([left], [right]) => left < right ? -1 : 1)
--- a/packages/node/src/relay/backend_pools.ts
+++ b/packages/node/src/relay/backend_pools.ts
@@ -1,6 +1,6 @@
 import {
   type BackendServerId,
-  isOtherStart,
+  isDifferentStart,
   type RegisteredServer,
   type ServerStart,
 } from "@foxtailwind/core";
@@ -46,7 +46,7 @@
    */
   pool(server: RegisteredServer, limit: number, nodes: number): Dispatcher {
     const known = this.#pools.get(server.id);
-    if (known !== undefined && !isOtherStart(known.start, server.start)) {
+    if (known !== undefined && !isDifferentStart(known.start, server.start)) {
       known.start ??= server.start;
       return known.pool;
     }
@@ -73,7 +73,9 @@
    */
   isConnected({ id, start }: RegisteredServer): boolean {
     const known = this.#pools.get(id);
-    if (known === undefined || isOtherStart(known.start, start)) return false;
+    if (known === undefined || isDifferentStart(known.start, start)) {
+      return false;
+    }
     return known.pool.stats.connected > 0;
   }
 
@@ -111,7 +113,8 @@
   retain(servers: readonly RegisteredServer[]): void {
     const starts = new Map(servers.map(({ id, start }) => [id, start]));
     for (const [id, { start }] of this.#pools) {
-      const remains = starts.has(id) && !isOtherStart(start, starts.get(id));
+      const remains = starts.has(id) &&
+        !isDifferentStart(start, starts.get(id));
       if (!remains) this.renew(id);
     }
   }
--- a/packages/node/src/relay/server_loads.ts
+++ b/packages/node/src/relay/server_loads.ts
@@ -3,7 +3,7 @@
   chooseServer,
   type FailureDomainId,
   type Instant,
-  isOtherStart,
+  isDifferentStart,
   type RegisteredServer,
   ServerLoad,
   type ServerStart,
@@ -33,7 +33,7 @@
    */
   of({ id, start }: Pick<RegisteredServer, "id" | "start">): ServerLoad {
     const known = this.#loads.get(id);
-    if (known !== undefined && !isOtherStart(known.start, start)) {
+    if (known !== undefined && !isDifferentStart(known.start, start)) {
       known.start ??= start;
       return known.load;
     }
--- a/packages/node/src/routing/address_directory.ts
+++ b/packages/node/src/routing/address_directory.ts
@@ -84,7 +84,7 @@
       entries.map((vm) => this.#candidate(vm)),
       this.#query(request),
       {
-        longestLifetime: this.#parts.longestLifetime,
+        maximumLifetime: this.#parts.longestLifetime,
         random: this.#random,
       },
     );
--- a/packages/node/src/routing/service_channel.ts
+++ b/packages/node/src/routing/service_channel.ts
@@ -3,12 +3,12 @@
   type AttemptResult,
   type BackendServerId,
   type Failure,
+  type LatencyTarget,
   type RequestId,
   type ServiceOrder,
   ServiceRouter,
   type ServiceRouterOptions,
   type ServiceServerView,
-  type Target,
 } from "@foxtailwind/core";
 import type { ServiceAnswer, ServiceClient } from "@foxtailwind/edges";
 import { err, ok, type Result } from "neverthrow";
@@ -75,7 +75,7 @@
    * Takes the service's target.
    * @param target The target in force.
    */
-  setTarget(target: Target | undefined): void {
+  setTarget(target: LatencyTarget | undefined): void {
     this.#router.setTarget(target);
   }
 
--- a/packages/node/src/telemetry/status_view.ts
+++ b/packages/node/src/telemetry/status_view.ts
@@ -1,9 +1,9 @@
 import {
   type Configuration,
+  type LatencyTarget,
   type MergedRow,
   shareWithin,
   sumByClass,
-  type Target,
   TICKS_PER_MILLISECOND,
 } from "@foxtailwind/core";
 import type { telemetry } from "@foxtailwind/protocol";
@@ -100,7 +100,7 @@
 
 function viewClass(
   name: string,
-  target: Target,
+  target: LatencyTarget,
   row: MergedRow | undefined,
 ): ClassStatus {
   const histogram = row?.histograms.get("first_token");
