--- a/packages/core/src/configuration/snapshot.ts
+++ b/packages/core/src/configuration/snapshot.ts
@@ -137,11 +137,11 @@
    */
   push(text: string): Result<undefined, Failure> {
     const chunk = chunkSchema.safeParse(parseJson(text));
-    if (!chunk.success) return err(unusableSnapshot("has a malformed chunk"));
+    if (!chunk.success) return err(unusableSnapshot("has a broken chunk"));
     if (!this.#isNextChunk(chunk.data)) {
       return err(
         unusableSnapshot(
-          `has an unexpected chunk at index ${chunk.data.index}`,
+          `has a foreign chunk at ${chunk.data.index}`,
         ),
       );
     }
@@ -161,7 +161,7 @@
    */
   finish(): Result<Configuration, Failure> {
     const last = this.#previous;
-    if (!last?.last) return err(unusableSnapshot("is incomplete"));
+    if (!last?.last) return err(unusableSnapshot("is not whole"));
     const configuration = this.#configuration;
     const matches = this.#digest.text === last.digest &&
       configuration.digest === last.digest;
--- a/packages/core/src/delivery/claim_batcher.ts
+++ b/packages/core/src/delivery/claim_batcher.ts
@@ -75,7 +75,7 @@
     if (this.index.size + this.#pending.size >= this.#options.maximumKeys) {
       this.#refuse(claim, {
         reason: "overloaded",
-        message: "Too many keys are claimed at the moment.",
+        message: "Too many keys are claimed at present.",
         outcome: "not_run",
       });
       return;
@@ -196,19 +196,19 @@
 
 const TIMED_OUT: FailureCause = {
   reason: "unavailable",
-  message: "The claim was not read back from the log in time.",
+  message: "The log did not settle the key's claim in time.",
   outcome: "not_run",
 };
 
 const EPOCH_TOO_OLD: FailureCause = {
   reason: "expired",
-  message: "The key is older than the retained claims; it is not run.",
+  message: "The key is older than the claims that are kept; it is not run.",
   outcome: "unknown",
 };
 
 const EPOCH_AHEAD: FailureCause = {
   reason: "invalid",
-  message: "The key's epoch is ahead of the log.",
+  message: "The key's epoch lies ahead of the log.",
   outcome: "not_run",
 };
 
--- a/packages/core/src/delivery/key_failures.ts
+++ b/packages/core/src/delivery/key_failures.ts
@@ -10,7 +10,7 @@
     reason: "expired",
     step: "claim_key",
     peer,
-    message: "It is unknown whether the request ran; it will not be run now.",
+    message: "Whether the request ran is unknown; it will not run.",
     outcome: "unknown",
   };
 }
@@ -29,7 +29,7 @@
     reason,
     step: "claim_key",
     peer,
-    message: "The key's scope is not valid; the request will not be run.",
+    message: "The key's scope is not valid now; the request will not run.",
     outcome: "unknown",
   };
 }
@@ -44,7 +44,7 @@
     reason: "conflict",
     step: "claim_key",
     peer,
-    message: "The key was already used with a different body.",
+    message: "The key was used before with another body.",
     outcome: "not_run",
   };
 }
--- a/packages/core/src/delivery/key_ledger.ts
+++ b/packages/core/src/delivery/key_ledger.ts
@@ -86,7 +86,7 @@
     if (entry === undefined) return ok(undefined);
     if (entry.digest !== use.digest) {
       return err(this.#failure("conflict", {
-        message: "The key was already used with a different body.",
+        message: "The key was used before with another body.",
         outcome: "not_run",
       }));
     }
@@ -108,7 +108,7 @@
     this.#pruneIfDue(now);
     if (this.#entries.size >= this.#limits.maximumKeys) {
       return err(this.#failure("overloaded", {
-        message: "The maximum number of remembered keys is reached.",
+        message: "Too many keys are remembered here.",
         outcome: "not_run",
       }));
     }
@@ -191,7 +191,7 @@
       if (this.#answerBytes <= this.#limits.maximumAnswerBytes) return;
       this.#removeAnswer(entry);
       entry.result = err(this.#failure("expired", {
-        message: "The request ran, but its answer is no longer kept.",
+        message: "The request ran; its answer is not kept.",
         outcome: "ran",
       }));
     }
--- a/packages/core/src/ownership/order_authority.ts
+++ b/packages/core/src/ownership/order_authority.ts
@@ -144,7 +144,7 @@
     }
     if (now < control.activeFrom) {
       return err(
-        fencedFailure(engine, "The previous controller may still send orders."),
+        fencedFailure(engine, "The controller before may still order."),
       );
     }
     const { rules } = this.#options;
@@ -153,7 +153,7 @@
     }
     if (!this.#hasLeaseOrPromises(tenure, now)) {
       return err(
-        fencedFailure(engine, "The lease and the promises have expired."),
+        fencedFailure(engine, "Lease and promises have lapsed."),
       );
     }
     assertInvariant(
--- a/packages/core/src/service_routing/call_failures.ts
+++ b/packages/core/src/service_routing/call_failures.ts
@@ -19,7 +19,7 @@
     reason: "unavailable",
     step: "call_service",
     peer: service,
-    message: `No server of service "${service}" accepts new work.`,
+    message: `No server of service "${service}" takes new work.`,
     outcome: call.outcome,
     retryAfterMilliseconds: NO_SERVER_RETRY_MILLISECONDS,
   };
