--- a/packages/core/tests/relay/engine_claims_test.ts
+++ b/packages/core/tests/relay/engine_claims_test.ts
@@ -54,7 +54,10 @@
 test("a first owner may send orders at once, a later one after the lease", (t) => {
   const first = claims();
   first.apply(claim(FIRST, 7));
-  t.deepEqual(first.orderPermission(ENGINE), { fence: 8, from: 0 } as never);
+  t.deepEqual(
+    first.orderPermission(ENGINE),
+    { fence: 8, validFrom: 0 } as never,
+  );
   const second = claims(SECOND);
   second.apply(claim(SECOND, 9, LEASE, 500));
   t.is(second.orderPermission(ENGINE)?.validFrom, instant(3_500));
