--- a/packages/cli/src/client/differences.ts
+++ b/packages/cli/src/client/differences.ts
@@ -5,7 +5,7 @@
 import type { NodeClient } from "./node_client.ts";
 
 /** How many changes a record carries at most. */
-export const CHANGES_A_RECORD = 500;
+export const MAXIMUM_CHANGES_PER_RECORD = 500;
 
 const differencesSchema = z.object({
   offset: z.number(),
@@ -18,7 +18,7 @@
 });
 
 /** What publishing would change, against the configuration at one offset. */
-export type Differences = z.output<typeof differencesSchema>;
+export type DifferencesResponse = z.output<typeof differencesSchema>;
 
 /**
  * Asks a node what changes would change.
@@ -30,35 +30,41 @@
 export async function readDifferences(
   client: NodeClient,
   changes: readonly object[],
-): Promise<Result<Differences, CommandFailure>> {
-  const differences: Differences["differences"] = [];
+): Promise<Result<DifferencesResponse, CommandFailure>> {
+  const differences: DifferencesResponse["differences"] = [];
   let offset = Number.POSITIVE_INFINITY;
-  for (let from = 0; from < changes.length; from += CHANGES_A_RECORD) {
-    const part = await client.call({
+  for (
+    let start = 0;
+    start < changes.length;
+    start += MAXIMUM_CHANGES_PER_RECORD
+  ) {
+    const response = await client.call({
       method: "POST",
       path: "configuration/diff",
-      body: { changes: changes.slice(from, from + CHANGES_A_RECORD) },
-      answer: differencesSchema,
+      body: {
+        changes: changes.slice(start, start + MAXIMUM_CHANGES_PER_RECORD),
+      },
+      responseSchema: differencesSchema,
     });
-    if (part.isErr()) return part;
-    differences.push(...part.value.differences);
-    offset = Math.min(offset, part.value.offset);
+    if (response.isErr()) return response;
+    differences.push(...response.value.differences);
+    offset = Math.min(offset, response.value.offset);
   }
   return ok({ offset, differences });
 }
 
 /**
  * Writes differences for people.
- * @param found The differences.
+ * @param response The differences.
  * @returns A table, or that there are none.
  */
-export function formatDifferences(found: Differences): string {
-  if (found.differences.length === 0) {
-    return `Nothing differs from offset ${found.offset}.`;
+export function formatDifferences(response: DifferencesResponse): string {
+  if (response.differences.length === 0) {
+    return `Nothing differs from offset ${response.offset}.`;
   }
   const table = formatTable(
     ["item", "in force", "in the file"],
-    found.differences.map((row) => [row.item, row.before, row.after]),
+    response.differences.map((row) => [row.item, row.before, row.after]),
   );
-  return `${table}\n${found.differences.length} differ from offset ${found.offset}.`;
+  return `${table}\n${response.differences.length} differ from offset ${response.offset}.`;
 }
--- a/packages/cli/src/client/node_client.ts
+++ b/packages/cli/src/client/node_client.ts
@@ -3,11 +3,11 @@
 import type { z } from "zod";
 import type { CommandFailure } from "../command_failure.ts";
 import { EXIT_CODE } from "../exit_code.ts";
-import { failureOfProblem } from "./problem.ts";
+import { failureFromProblem } from "./problem.ts";
 
 const TIMEOUT_MILLISECONDS = 15_000;
-const CREATED_CLASS = 2;
-const STATUS_CLASS = 100;
+const SUCCESS_STATUS_CLASS = 2;
+const STATUSES_PER_CLASS = 100;
 
 /** A call to a node's operators' interface. */
 export interface NodeCall<Answer> {
@@ -15,7 +15,7 @@
   /** The path below `/v1/operators/`. */
   readonly path: string;
   readonly body?: unknown;
-  readonly answer: z.ZodType<Answer>;
+  readonly responseSchema: z.ZodType<Answer>;
 }
 
 /** Calls the operators' interface of one node. */
@@ -37,14 +37,14 @@
   /**
    * Reads something.
    * @param path The path below `/v1/operators/`.
-   * @param answer The form of the answer.
+   * @param responseSchema The form of the answer.
    * @returns The checked answer, or why there is none.
    */
   get<Answer>(
     path: string,
-    answer: z.ZodType<Answer>,
+    responseSchema: z.ZodType<Answer>,
   ): Promise<Result<Answer, CommandFailure>> {
-    return this.call({ method: "GET", path, answer });
+    return this.call({ method: "GET", path, responseSchema });
   }
 
   /**
@@ -69,27 +69,31 @@
         },
       );
       const body = parseBody(await response.body.text());
-      if (Math.floor(response.statusCode / STATUS_CLASS) !== CREATED_CLASS) {
-        return err(failureOfProblem(response.statusCode, body));
+      if (
+        Math.floor(response.statusCode / STATUSES_PER_CLASS) !==
+          SUCCESS_STATUS_CLASS
+      ) {
+        return err(failureFromProblem(response.statusCode, body));
       }
-      const answer = call.answer.safeParse(body);
-      if (answer.success) return ok(answer.data);
+      const parsed = call.responseSchema.safeParse(body);
+      if (parsed.success) return ok(parsed.data);
       return err({
         code: EXIT_CODE.failed,
         message: `The answer of ${this.#origin} cannot be read.`,
         remedy: "Use the foxtailwind command of the node's own release.",
       });
     } catch (error) {
-      return err(this.#unreachable(call.method, error));
+      return err(this.#transportFailure(call.method, error));
     }
   }
 
-  #unreachable(method: string, error: unknown): CommandFailure {
+  #transportFailure(method: string, error: unknown): CommandFailure {
     const cause = error instanceof Error ? error.message : String(error);
-    const lost = method !== "GET" && !/ECONNREFUSED|EHOSTUNREACH/.test(cause);
+    const isOutcomeUnknown = method !== "GET" &&
+      !/ECONNREFUSED|EHOSTUNREACH/.test(cause);
     return {
-      code: lost ? EXIT_CODE.unknown : EXIT_CODE.unreachable,
-      message: lost
+      code: isOutcomeUnknown ? EXIT_CODE.unknown : EXIT_CODE.unreachable,
+      message: isOutcomeUnknown
         ? `The answer of ${this.#origin} was lost (${cause}).`
         : `No answer from ${this.#origin} (${cause}).`,
       remedy: "Name another node with --node, or check that the node runs.",
--- a/packages/cli/src/client/problem.ts
+++ b/packages/cli/src/client/problem.ts
@@ -9,7 +9,7 @@
   remedy: z.string().optional(),
 });
 
-const CODE_OF_STATUS: Readonly<Record<number, ExitCode>> = {
+const EXIT_CODE_BY_STATUS: Readonly<Record<number, ExitCode>> = {
   400: EXIT_CODE.usage,
   404: EXIT_CODE.notFound,
   409: EXIT_CODE.conflict,
@@ -24,12 +24,12 @@
  * @param body The body, problem details (RFC 9457) where the node wrote it.
  * @returns The failure, with the exit code that fits.
  */
-export function failureOfProblem(
+export function failureFromProblem(
   status: number,
   body: unknown,
 ): CommandFailure {
   const problem = problemSchema.safeParse(body);
-  const code = CODE_OF_STATUS[status] ?? EXIT_CODE.failed;
+  const code = EXIT_CODE_BY_STATUS[status] ?? EXIT_CODE.failed;
   if (!problem.success) {
     return { code, message: `The node answered with status ${status}.` };
   }
--- a/packages/cli/src/client/publish.ts
+++ b/packages/cli/src/client/publish.ts
@@ -6,22 +6,22 @@
 import { EXIT_CODE } from "../exit_code.ts";
 import type { NodeClient } from "./node_client.ts";
 
-const SETTLE_ATTEMPTS = 4;
-const SETTLE_PAUSE_MILLISECONDS = 500;
+const MAXIMUM_ATTEMPTS = 4;
+const RETRY_DELAY_MILLISECONDS = 500;
 
-const publishAnswerSchema = z.object({
+const publishResponseSchema = z.object({
   id: z.string(),
   offset: z.number(),
   repeated: z.boolean(),
 });
 
-const inForceSchema = z.object({ offset: z.number() });
+const currentOffsetSchema = z.object({ offset: z.number() });
 
 /** An accepted change. */
-export type PublishAnswer = z.output<typeof publishAnswerSchema>;
+export type PublishResponse = z.output<typeof publishResponseSchema>;
 
 /** What to publish as one record. */
-export interface PublishOrder {
+export interface PublishRequest {
   readonly changes: readonly object[];
   readonly author: string;
   /** Chosen by the operator to settle an earlier try, or made here. */
@@ -35,23 +35,23 @@
  * sends the same id again: a repeated id is the same change, so this asks
  * what became of it, and cannot publish twice.
  * @param client The node.
- * @param order What to publish.
+ * @param request What to publish.
  * @returns Where the record was accepted, or why it was not.
  */
-export async function publishSettled(
+export async function publishUntilConfirmed(
   client: NodeClient,
-  order: PublishOrder,
-): Promise<Result<PublishAnswer, CommandFailure>> {
-  const id = order.id ?? randomUUID();
-  const body = { ...order, id };
-  let answer = await postRecord(client, body);
-  for (let attempt = 1; attempt < SETTLE_ATTEMPTS; attempt += 1) {
-    if (answer.isOk() || answer.error.code !== EXIT_CODE.unknown) break;
-    await sleep(SETTLE_PAUSE_MILLISECONDS);
-    answer = await postRecord(client, body);
+  request: PublishRequest,
+): Promise<Result<PublishResponse, CommandFailure>> {
+  const id = request.id ?? randomUUID();
+  const body = { ...request, id };
+  let response = await postRecord(client, body);
+  for (let attempt = 1; attempt < MAXIMUM_ATTEMPTS; attempt += 1) {
+    if (response.isOk() || response.error.code !== EXIT_CODE.unknown) break;
+    await sleep(RETRY_DELAY_MILLISECONDS);
+    response = await postRecord(client, body);
   }
-  return answer.mapErr((failure) =>
-    withSettleRemedy({ ...failure, change: id }, order.base)
+  return response.mapErr((failure) =>
+    withRetryRemedy({ ...failure, change: id }, request.base)
   );
 }
 
@@ -60,26 +60,26 @@
  * @param client The node.
  * @returns The offset.
  */
-export async function readBase(
+export async function readCurrentOffset(
   client: NodeClient,
 ): Promise<Result<number, CommandFailure>> {
-  const answer = await client.get("configuration", inForceSchema);
-  return answer.map(({ offset }) => offset);
+  const response = await client.get("configuration", currentOffsetSchema);
+  return response.map(({ offset }) => offset);
 }
 
 function postRecord(
   client: NodeClient,
   body: object,
-): Promise<Result<PublishAnswer, CommandFailure>> {
+): Promise<Result<PublishResponse, CommandFailure>> {
   return client.call({
     method: "POST",
     path: "configuration",
     body,
-    answer: publishAnswerSchema,
+    responseSchema: publishResponseSchema,
   });
 }
 
-function withSettleRemedy(
+function withRetryRemedy(
   failure: CommandFailure & { readonly change: string },
   base: number,
 ): CommandFailure {
--- a/packages/cli/src/command_line.ts
+++ b/packages/cli/src/command_line.ts
@@ -9,30 +9,30 @@
 } from "./command_failure.ts";
 import type {
   Command,
+  CommandAction,
   CommandResult,
-  CommandWork,
   GlobalOptions,
 } from "./commands/command.ts";
 import { EXIT_CODE, type ExitCode } from "./exit_code.ts";
 import { formatOutput } from "./output/command_output.ts";
 
-const HELP_COLUMNS = 80;
+const HELP_WIDTH_COLUMNS = 80;
 
 /** Where a run of the command line writes, and what it finds around it. */
-export interface CommandLineSurroundings {
+export interface CommandLineContext {
   readonly environment: Readonly<Record<string, string | undefined>>;
   readonly writeOut: (text: string) => void;
   readonly writeError: (text: string) => void;
 }
 
 /** The process's own output and environment. */
-export const PROCESS_SURROUNDINGS: CommandLineSurroundings = {
+export const PROCESS_CONTEXT: CommandLineContext = {
   environment: process.env,
   writeOut: (text) => void process.stdout.write(text),
   writeError: (text) => void process.stderr.write(text),
 };
 
-const NO_NODE: CommandFailure = {
+const MISSING_NODE: CommandFailure = {
   code: EXIT_CODE.usage,
   message: "No node is named.",
   remedy: "Give --node ADDRESS, or set FOXTAILWIND_NODE.",
@@ -40,82 +40,86 @@
 
 /**
  * Runs one command line.
- * @param words What follows the program's name.
- * @param run The commands, and where to write.
+ * @param commandArguments What follows the program's name.
+ * @param options The commands, and where to write.
  * @returns The exit code.
  */
 export async function runCommandLine(
-  words: readonly string[],
-  run: {
+  commandArguments: readonly string[],
+  options: {
     readonly commands: readonly Command[];
-    readonly surroundings?: CommandLineSurroundings;
+    readonly context?: CommandLineContext;
   },
 ): Promise<ExitCode> {
-  const surroundings = run.surroundings ?? PROCESS_SURROUNDINGS;
-  const reported: { code: ExitCode } = { code: EXIT_CODE.ok };
-  const fail = (failure: CommandFailure, json: boolean) => {
-    reported.code = failure.code;
+  const context = options.context ?? PROCESS_CONTEXT;
+  const exit: { code: ExitCode } = { code: EXIT_CODE.ok };
+  const reportFailure = (failure: CommandFailure, json: boolean) => {
+    exit.code = failure.code;
     const text = json
       ? JSON.stringify({ error: failure })
       : formatCommandFailure(failure);
-    surroundings.writeError(`${text}\n`);
+    context.writeError(`${text}\n`);
   };
-  const parser = commandParser(surroundings);
-  for (const command of run.commands) {
-    command.register(parser, async (options, work) => {
-      const address = options.node ??
-        surroundings.environment["FOXTAILWIND_NODE"];
-      const result = await runWork(work, address);
+  const parser = createParser(context);
+  for (const command of options.commands) {
+    command.register(parser, async (parsedOptions, action) => {
+      const address = parsedOptions.node ??
+        context.environment["FOXTAILWIND_NODE"];
+      const result = await runAction(action, address);
       result.match(
         (output) => {
-          surroundings.writeOut(`${formatOutput(output, options.json)}\n`);
+          context.writeOut(`${formatOutput(output, parsedOptions.json)}\n`);
         },
         (failure) => {
-          fail(failure, options.json);
+          reportFailure(failure, parsedOptions.json);
         },
       );
     });
   }
-  await parser.parseAsync([...words], {}, (problem, _given, output) => {
-    if (problem instanceof Error) {
-      fail(
-        usageFailure(problem.message, {
-          word: words[0] ?? "",
-          known: run.commands.map((command) => command.word),
-        }),
-        false,
-      );
-    } else if (output !== "") {
-      surroundings.writeOut(`${output}\n`);
-    }
-  });
-  return reported.code;
+  await parser.parseAsync(
+    [...commandArguments],
+    {},
+    (error, _argv, output) => {
+      if (error instanceof Error) {
+        reportFailure(
+          usageFailure(error.message, {
+            name: commandArguments[0] ?? "",
+            known: options.commands.map((command) => command.name),
+          }),
+          false,
+        );
+      } else if (output !== "") {
+        context.writeOut(`${output}\n`);
+      }
+    },
+  );
+  return exit.code;
 }
 
-function runWork(
-  work: CommandWork,
+function runAction(
+  action: CommandAction,
   address: string | undefined,
 ): Promise<CommandResult> {
-  if (work.kind === "here") return work.run();
-  if (address === undefined) return Promise.resolve(err(NO_NODE));
-  return work.run(new NodeClient(address));
+  if (action.kind === "here") return action.run();
+  if (address === undefined) return Promise.resolve(err(MISSING_NODE));
+  return action.run(new NodeClient(address));
 }
 
 function usageFailure(
   message: string,
-  { word, known }: { readonly word: string; readonly known: string[] },
+  { name, known }: { readonly name: string; readonly known: string[] },
 ): CommandFailure {
   return {
     code: EXIT_CODE.usage,
     message,
-    remedy: known.includes(word) || word.startsWith("-") || word === ""
+    remedy: known.includes(name) || name.startsWith("-") || name === ""
       ? "Run it with --help to see what it takes."
-      : `The nearest command is "${closest(word, known)}".`,
+      : `The nearest command is "${closest(name, known)}".`,
   };
 }
 
-function commandParser(
-  surroundings: CommandLineSurroundings,
+function createParser(
+  context: CommandLineContext,
 ): Argv<GlobalOptions> {
   return yargs()
     .scriptName("foxtailwind")
@@ -132,11 +136,11 @@
     .completion("completion", "Print a shell's completion script")
     .demandCommand(1, "Name a command; --help lists them.")
     .strict()
-    .wrap(HELP_COLUMNS)
+    .wrap(HELP_WIDTH_COLUMNS)
     .version(false)
     .exitProcess(false)
     .epilogue(
-      surroundings.environment["FOXTAILWIND_NODE"] === undefined
+      context.environment["FOXTAILWIND_NODE"] === undefined
         ? "Set FOXTAILWIND_NODE to leave out --node."
         : "FOXTAILWIND_NODE names the node.",
     );
--- a/packages/cli/src/commands/adapters.ts
+++ b/packages/cli/src/commands/adapters.ts
@@ -1,7 +1,7 @@
 import * as z from "zod";
 import { formatTable } from "../output/table.ts";
 import { type Command, defineCommand, defineGroup } from "./command.ts";
-import { publishChanges, writeOptions } from "./write_options.ts";
+import { addWriteOptions, publishChanges } from "./write_options.ts";
 
 const DEFAULT_LIMIT = 100;
 
@@ -18,7 +18,7 @@
   })),
 });
 
-const list = defineCommand({
+const LIST_COMMAND = defineCommand({
   command: "list",
   describe: "List the adapters, their versions and the current one",
   options: (parser) =>
@@ -54,11 +54,11 @@
   },
 });
 
-const set = defineCommand({
+const SET_COMMAND = defineCommand({
   command: "set <adapter>",
   describe: "Make an adapter, or change its versions or the current one",
   options: (parser) =>
-    writeOptions(parser)
+    addWriteOptions(parser)
       .positional("adapter", { type: "string", demandOption: true })
       .option("model", {
         type: "string",
@@ -88,11 +88,11 @@
     }),
 });
 
-const remove = defineCommand({
+const REMOVE_COMMAND = defineCommand({
   command: "remove <adapter>",
   describe: "Remove an adapter; requests in progress are finished",
   options: (parser) =>
-    writeOptions(parser).positional("adapter", {
+    addWriteOptions(parser).positional("adapter", {
       type: "string",
       demandOption: true,
     }),
@@ -106,5 +106,5 @@
 export const ADAPTERS_COMMAND: Command = defineGroup({
   command: "adapters",
   describe: "Adapters and their versions",
-  commands: [list, set, remove],
+  commands: [LIST_COMMAND, SET_COMMAND, REMOVE_COMMAND],
 });
--- a/packages/cli/src/commands/classes.ts
+++ b/packages/cli/src/commands/classes.ts
@@ -1,13 +1,13 @@
 import * as z from "zod";
 import type { Command } from "./command.ts";
-import { targetAnswerSchema } from "./target_options.ts";
+import { latencyTargetSchema } from "./target_options.ts";
 import { defineTargetedGroup } from "./targeted_group.ts";
 
 const listSchema = z.object({
   offset: z.number(),
   classes: z.array(z.object({
     class: z.string(),
-    target: targetAnswerSchema,
+    target: latencyTargetSchema,
     version: z.number(),
     author: z.string(),
   })),
@@ -15,10 +15,10 @@
 
 /** Lists, sets and removes classes. */
 export const CLASSES_COMMAND: Command = defineTargetedGroup({
-  one: "class",
-  many: "classes",
+  singular: "class",
+  plural: "classes",
   describe: "Classes of work and their targets",
-  describeRemove: "Remove a class; requests in progress are finished",
+  removeDescription: "Remove a class; requests in progress are finished",
   list: (client) => client.get("classes", listSchema),
-  rows: ({ classes }) => classes.map((row) => ({ ...row, name: row.class })),
+  toRows: ({ classes }) => classes.map((row) => ({ ...row, name: row.class })),
 });
--- a/packages/cli/src/commands/command.ts
+++ b/packages/cli/src/commands/command.ts
@@ -14,7 +14,7 @@
 export type CommandResult = Result<CommandOutput, CommandFailure>;
 
 /** The work of a command. */
-export type CommandWork =
+export type CommandAction =
   | {
     readonly kind: "at_node";
     readonly run: (client: NodeClient) => Promise<CommandResult>;
@@ -23,18 +23,18 @@
   | { readonly kind: "here"; readonly run: () => Promise<CommandResult> };
 
 /** Runs the work of a command and reports what it came to. */
-export type Execute = (
+export type ExecuteAction = (
   options: GlobalOptions,
-  work: CommandWork,
+  work: CommandAction,
 ) => Promise<void>;
 
 /** A command, ready to be added to the parser. */
 export interface Command {
   /** The word that calls it. */
-  readonly word: string;
+  readonly name: string;
   readonly register: (
     parser: Argv<GlobalOptions>,
-    execute: Execute,
+    execute: ExecuteAction,
   ) => Argv<GlobalOptions>;
 }
 
@@ -49,7 +49,7 @@
     client: NodeClient,
   ) => Promise<CommandResult>;
   /** The work, where these options ask for some that needs no node. */
-  readonly runHere?: (
+  readonly runWithoutNode?: (
     options: ArgumentsCamelCase<Options>,
   ) => Promise<CommandResult> | undefined;
 }
@@ -62,21 +62,21 @@
 export function defineCommand<Options extends GlobalOptions>(
   definition: CommandDefinition<Options>,
 ): Command {
-  const { command, describe, options, run, runHere } = definition;
+  const { command, describe, options, run, runWithoutNode } = definition;
   return {
-    word: command.split(" ")[0] ?? command,
+    name: command.split(" ")[0] ?? command,
     register: (parser, execute) =>
       parser.command(
         command,
         describe,
         (inner) => options(inner),
-        (given) => {
-          const here = runHere?.(given);
+        (parsedOptions) => {
+          const local = runWithoutNode?.(parsedOptions);
           return execute(
-            given,
-            here === undefined
-              ? { kind: "at_node", run: (client) => run(given, client) }
-              : { kind: "here", run: () => here },
+            parsedOptions,
+            local === undefined
+              ? { kind: "at_node", run: (client) => run(parsedOptions, client) }
+              : { kind: "here", run: () => local },
           );
         },
       ),
@@ -94,7 +94,7 @@
   readonly commands: readonly Command[];
 }): Command {
   return {
-    word: group.command,
+    name: group.command,
     register: (parser, execute) =>
       parser.command(group.command, group.describe, (inner) => {
         for (const command of group.commands) command.register(inner, execute);
--- a/packages/cli/src/commands/configuration_publish.ts
+++ b/packages/cli/src/commands/configuration_publish.ts
@@ -1,23 +1,26 @@
 import { err, ok } from "neverthrow";
 import { randomUUID } from "node:crypto";
 import {
-  CHANGES_A_RECORD,
-  type Differences,
+  type DifferencesResponse,
   formatDifferences,
+  MAXIMUM_CHANGES_PER_RECORD,
   readDifferences,
 } from "../client/differences.ts";
 import type { NodeClient } from "../client/node_client.ts";
-import { type PublishAnswer, publishSettled } from "../client/publish.ts";
+import {
+  type PublishResponse,
+  publishUntilConfirmed,
+} from "../client/publish.ts";
 import { loadConfigurationFile } from "../files/load_configuration_file.ts";
 import { type Command, type CommandResult, defineCommand } from "./command.ts";
-import { type WriteOptions, writeOptions } from "./write_options.ts";
+import { addWriteOptions, type WriteOptions } from "./write_options.ts";
 
 /** Publishes what a file says and is not yet in force. */
 export const CONFIGURATION_PUBLISH_COMMAND: Command = defineCommand({
   command: "publish <file>",
   describe: "Publish what an INI file says and is not in force yet",
   options: (parser) =>
-    writeOptions(parser)
+    addWriteOptions(parser)
       .positional("file", { type: "string", demandOption: true })
       .option("dry-run", {
         type: "boolean",
@@ -40,18 +43,22 @@
 async function publishDifferences(
   client: NodeClient,
   options: WriteOptions,
-  { differences }: { readonly differences: Differences },
+  { differences }: { readonly differences: DifferencesResponse },
 ): Promise<CommandResult> {
   const id = options.id ?? randomUUID();
   const base = options.base ?? differences.offset;
   const changes = differences.differences.map((row) => row.change);
-  const accepted: PublishAnswer[] = [];
-  for (let from = 0; from < changes.length; from += CHANGES_A_RECORD) {
-    const answer = await publishSettled(client, {
-      id: from === 0 ? id : `${id}.${from / CHANGES_A_RECORD}`,
+  const accepted: PublishResponse[] = [];
+  for (
+    let from = 0;
+    from < changes.length;
+    from += MAXIMUM_CHANGES_PER_RECORD
+  ) {
+    const answer = await publishUntilConfirmed(client, {
+      id: from === 0 ? id : `${id}.${from / MAXIMUM_CHANGES_PER_RECORD}`,
       author: options.author,
       base,
-      changes: changes.slice(from, from + CHANGES_A_RECORD),
+      changes: changes.slice(from, from + MAXIMUM_CHANGES_PER_RECORD),
     });
     if (answer.isErr()) {
       const { message } = answer.error;
--- a/packages/cli/src/commands/drain.ts
+++ b/packages/cli/src/commands/drain.ts
@@ -17,7 +17,7 @@
     const answer = await client.call({
       method: "POST",
       path: "drain",
-      answer: drainSchema,
+      responseSchema: drainSchema,
     });
     return answer.map((drain) => ({
       json: drain,
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -38,7 +38,7 @@
 });
 
 /** What the nodes saw of a request, as a node answers it. */
-export type ExplanationsAnswer = z.output<typeof explanationsSchema>;
+export type ExplanationsResponse = z.output<typeof explanationsSchema>;
 
 /** Explains what happened to a recent request. */
 export const EXPLAIN_COMMAND: Command = defineCommand({
@@ -55,14 +55,14 @@
         array: true,
         describe: "Read these nodes' logs instead (- for standard input)",
       }),
-  runHere: ({ request, log }) =>
+  runWithoutNode: ({ request, log }) =>
     log === undefined ? undefined : explainFromLogs(log, request),
   async run(options, client) {
-    const answer = await client.get(
+    const response = await client.get(
       `explanations/${encodeURIComponent(options.request)}`,
       explanationsSchema,
     );
-    return answer.map((found) => ({
+    return response.map((found) => ({
       json: found,
       text: formatExplanations(found),
     }));
--- a/packages/cli/src/commands/histograms.ts
+++ b/packages/cli/src/commands/histograms.ts
@@ -35,10 +35,10 @@
 });
 
 /** A histogram in figures and buckets, as a node answers it. */
-export type HistogramSummaryAnswer = z.output<typeof summarySchema>;
+export type HistogramSummary = z.output<typeof summarySchema>;
 
 /** Histograms of all nodes, as a node answers them. */
-export type HistogramsAnswer = z.output<typeof histogramsSchema>;
+export type HistogramsResponse = z.output<typeof histogramsSchema>;
 
 /** Shows the histograms of all nodes, added up. */
 export const HISTOGRAMS_COMMAND: Command = defineCommand({
--- a/packages/cli/src/commands/target_options.ts
+++ b/packages/cli/src/commands/target_options.ts
@@ -1,6 +1,6 @@
 import type { ArgumentsCamelCase, Argv } from "yargs";
 import * as z from "zod";
-import { type WriteOptions, writeOptions } from "./write_options.ts";
+import { addWriteOptions, type WriteOptions } from "./write_options.ts";
 import type { GlobalOptions } from "./command.ts";
 
 /** The options that say a target. */
@@ -11,14 +11,14 @@
 }
 
 /** A target, as a node answers it. */
-export const targetAnswerSchema = z.object({
+export const latencyTargetSchema = z.object({
   firstTokenMilliseconds: z.number(),
   betweenTokensMilliseconds: z.number().optional(),
   wholeAnswerMilliseconds: z.number().optional(),
 });
 
 /** A target, as a node answers it. */
-export type TargetAnswer = z.output<typeof targetAnswerSchema>;
+export type LatencyTarget = z.output<typeof latencyTargetSchema>;
 
 /** The columns that show a target. */
 export const TARGET_COLUMNS = [
@@ -32,10 +32,10 @@
  * @param parser The parser.
  * @returns The parser with them.
  */
-export function targetOptions(
+export function addTargetOptions(
   parser: Argv<GlobalOptions>,
 ): Argv<TargetOptions> {
-  return writeOptions(parser)
+  return addWriteOptions(parser)
     .option("first-token", {
       type: "number",
       demandOption: true,
@@ -56,9 +56,9 @@
  * @param options The options.
  * @returns The target, as records carry it.
  */
-export function targetOf(
+export function toLatencyTarget(
   options: ArgumentsCamelCase<TargetOptions>,
-): TargetAnswer {
+): LatencyTarget {
   return {
     firstTokenMilliseconds: options.firstToken,
     ...(options.betweenTokens !== undefined &&
@@ -73,8 +73,8 @@
  * @param target The target.
  * @returns The cells.
  */
-export function targetCells(
-  target: TargetAnswer,
+export function toTargetCells(
+  target: LatencyTarget,
 ): readonly (number | undefined)[] {
   return [
     target.firstTokenMilliseconds,
--- a/packages/cli/src/commands/targeted_group.ts
+++ b/packages/cli/src/commands/targeted_group.ts
@@ -4,18 +4,18 @@
 import { formatTable } from "../output/table.ts";
 import { type Command, defineCommand, defineGroup } from "./command.ts";
 import {
+  addTargetOptions,
+  type LatencyTarget,
   TARGET_COLUMNS,
-  type TargetAnswer,
-  targetCells,
-  targetOf,
-  targetOptions,
+  toLatencyTarget,
+  toTargetCells,
 } from "./target_options.ts";
-import { publishChanges, writeOptions } from "./write_options.ts";
+import { addWriteOptions, publishChanges } from "./write_options.ts";
 
 /** Something that has a target, as a node lists it. */
 export interface TargetedRow {
   readonly name: string;
-  readonly target: TargetAnswer;
+  readonly target: LatencyTarget;
   /** The offset of its last change. */
   readonly version: number;
   readonly author: string;
@@ -23,15 +23,15 @@
 
 /** The words of things that have targets, and how they are listed. */
 export interface TargetedGroup<Listed extends object> {
-  readonly one: "class" | "service";
-  readonly many: "classes" | "services";
+  readonly singular: "class" | "service";
+  readonly plural: "classes" | "services";
   readonly describe: string;
-  readonly describeRemove: string;
+  readonly removeDescription: string;
   /** Asks a node for all of them. */
   readonly list: (
     client: NodeClient,
   ) => Promise<Result<Listed, CommandFailure>>;
-  readonly rows: (listed: Listed) => readonly TargetedRow[];
+  readonly toRows: (listed: Listed) => readonly TargetedRow[];
 }
 
 /**
@@ -43,28 +43,32 @@
   group: TargetedGroup<Listed>,
 ): Command {
   return defineGroup({
-    command: group.many,
+    command: group.plural,
     describe: group.describe,
-    commands: [listCommand(group), setCommand(group), removeCommand(group)],
+    commands: [
+      defineListCommand(group),
+      defineSetCommand(group),
+      defineRemoveCommand(group),
+    ],
   });
 }
 
-function listCommand<Listed extends object>(
-  { one, many, list, rows }: TargetedGroup<Listed>,
+function defineListCommand<Listed extends object>(
+  { singular, plural, list, toRows }: TargetedGroup<Listed>,
 ): Command {
   return defineCommand({
     command: "list",
-    describe: `List the ${many} and their targets`,
+    describe: `List the ${plural} and their targets`,
     options: (parser) => parser,
     async run(_options, client) {
       const answer = await list(client);
       return answer.map((found) => ({
         json: found,
         text: formatTable(
-          [one, ...TARGET_COLUMNS, "changed at", "by"],
-          rows(found).map((row) => [
+          [singular, ...TARGET_COLUMNS, "changed at", "by"],
+          toRows(found).map((row) => [
             row.name,
-            ...targetCells(row.target),
+            ...toTargetCells(row.target),
             row.version,
             row.author,
           ]),
@@ -74,42 +78,45 @@
   });
 }
 
-function setCommand<Listed extends object>(
-  { one }: TargetedGroup<Listed>,
+function defineSetCommand<Listed extends object>(
+  { singular }: TargetedGroup<Listed>,
 ): Command {
   return defineCommand({
-    command: `set <${one}>`,
-    describe: `Make a ${one}, or change its target`,
+    command: `set <${singular}>`,
+    describe: `Make a ${singular}, or change its target`,
     options: (parser) =>
-      targetOptions(parser).positional(one, {
+      addTargetOptions(parser).positional(singular, {
         type: "string",
         demandOption: true,
       }),
     run: (options, client) =>
       publishChanges(client, options, {
         changes: [{
-          kind: `set_${one}`,
-          [one]: options[one],
-          target: targetOf(options),
+          kind: `set_${singular}`,
+          [singular]: options[singular],
+          target: toLatencyTarget(options),
         }],
       }),
   });
 }
 
-function removeCommand<Listed extends object>(
-  { one, describeRemove }: TargetedGroup<Listed>,
+function defineRemoveCommand<Listed extends object>(
+  { singular, removeDescription }: TargetedGroup<Listed>,
 ): Command {
   return defineCommand({
-    command: `remove <${one}>`,
-    describe: describeRemove,
+    command: `remove <${singular}>`,
+    describe: removeDescription,
     options: (parser) =>
-      writeOptions(parser).positional(one, {
+      addWriteOptions(parser).positional(singular, {
         type: "string",
         demandOption: true,
       }),
     run: (options, client) =>
       publishChanges(client, options, {
-        changes: [{ kind: `remove_${one}`, [one]: options[one] }],
+        changes: [{
+          kind: `remove_${singular}`,
+          [singular]: options[singular],
+        }],
       }),
   });
 }
--- a/packages/cli/src/commands/tenants.ts
+++ b/packages/cli/src/commands/tenants.ts
@@ -1,7 +1,7 @@
 import * as z from "zod";
 import { formatTable } from "../output/table.ts";
 import { type Command, defineCommand, defineGroup } from "./command.ts";
-import { publishChanges, writeOptions } from "./write_options.ts";
+import { addWriteOptions, publishChanges } from "./write_options.ts";
 
 const listSchema = z.object({
   offset: z.number(),
@@ -12,7 +12,7 @@
   })),
 });
 
-const list = defineCommand({
+const LIST_COMMAND = defineCommand({
   command: "list",
   describe: "List the tenants",
   options: (parser) => parser,
@@ -28,11 +28,11 @@
   },
 });
 
-const add = defineCommand({
+const ADD_COMMAND = defineCommand({
   command: "add <tenant>",
   describe: "Add a tenant",
   options: (parser) =>
-    writeOptions(parser).positional("tenant", {
+    addWriteOptions(parser).positional("tenant", {
       type: "string",
       demandOption: true,
     }),
@@ -42,11 +42,11 @@
     }),
 });
 
-const remove = defineCommand({
+const REMOVE_COMMAND = defineCommand({
   command: "remove <tenant>",
   describe: "Remove a tenant",
   options: (parser) =>
-    writeOptions(parser).positional("tenant", {
+    addWriteOptions(parser).positional("tenant", {
       type: "string",
       demandOption: true,
     }),
@@ -60,5 +60,5 @@
 export const TENANTS_COMMAND: Command = defineGroup({
   command: "tenants",
   describe: "Tenants, who share a class fairly",
-  commands: [list, add, remove],
+  commands: [LIST_COMMAND, ADD_COMMAND, REMOVE_COMMAND],
 });
--- a/packages/cli/src/commands/write_options.ts
+++ b/packages/cli/src/commands/write_options.ts
@@ -2,7 +2,7 @@
 import { err, ok } from "neverthrow";
 import type { Argv } from "yargs";
 import type { NodeClient } from "../client/node_client.ts";
-import { publishSettled, readBase } from "../client/publish.ts";
+import { publishUntilConfirmed, readCurrentOffset } from "../client/publish.ts";
 import type { CommandFailure } from "../command_failure.ts";
 import type { CommandResult, GlobalOptions } from "./command.ts";
 
@@ -18,7 +18,7 @@
  * @param parser The parser.
  * @returns The parser with them.
  */
-export function writeOptions(
+export function addWriteOptions(
   parser: Argv<GlobalOptions>,
 ): Argv<WriteOptions> {
   return parser
@@ -53,10 +53,10 @@
 ): Promise<CommandResult> {
   const { author, id } = options;
   const base = options.base === undefined
-    ? await readBase(client)
+    ? await readCurrentOffset(client)
     : ok<number, CommandFailure>(options.base);
   if (base.isErr()) return err(base.error);
-  const answer = await publishSettled(client, {
+  const answer = await publishUntilConfirmed(client, {
     changes,
     author,
     base: base.value,
--- a/packages/cli/src/files/configuration_file.ts
+++ b/packages/cli/src/files/configuration_file_schema.ts
@@ -1,14 +1,14 @@
 import * as z from "zod";
 
-const NAME = /^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$/;
+const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$/;
 const MAXIMUM_MILLISECONDS = 86_400_000;
 
-const name = z.string().regex(
-  NAME,
+const nameSchema = z.string().regex(
+  NAME_PATTERN,
   "a name of letters, digits, '.', '_', ':' and '-'",
 );
 
-const milliseconds = z.string()
+const millisecondsSchema = z.string()
   .regex(/^\d+(\.\d+)?$/, "a number of milliseconds")
   .transform(Number)
   .refine(
@@ -16,26 +16,28 @@
     `above 0 and at most ${MAXIMUM_MILLISECONDS} milliseconds`,
   );
 
-const wholeMilliseconds = milliseconds.refine(
+const wholeMillisecondsSchema = millisecondsSchema.refine(
   Number.isInteger,
   "whole milliseconds",
 );
 
-const target = {
-  first_token_milliseconds: wholeMilliseconds,
-  between_tokens_milliseconds: milliseconds.optional(),
-  whole_answer_milliseconds: wholeMilliseconds.optional(),
+const targetFields = {
+  first_token_milliseconds: wholeMillisecondsSchema,
+  between_tokens_milliseconds: millisecondsSchema.optional(),
+  whole_answer_milliseconds: wholeMillisecondsSchema.optional(),
 };
 
-const removal = z.strictObject({
+const removalSchema = z.strictObject({
   remove: z.literal(true, "true, or no such key"),
 });
 
-const adapter = z.strictObject({
-  model: name,
+const adapterSchema = z.strictObject({
+  model: nameSchema,
   versions: z.string().transform((text) => text.split(/[\s,]+/).filter(Boolean))
-    .pipe(z.array(name).min(1, "one version or more, with spaces between")),
-  current: name,
+    .pipe(
+      z.array(nameSchema).min(1, "one version or more, with spaces between"),
+    ),
+  current: nameSchema,
 }).refine((given) => given.versions.includes(given.current), {
   path: ["current"],
   error: "one of versions",
@@ -43,25 +45,25 @@
 
 /** The kinds of section, and the form of the keys in each. */
 export const SECTION_SCHEMAS = {
-  class: z.strictObject(target),
-  service: z.strictObject(target),
+  class: z.strictObject(targetFields),
+  service: z.strictObject(targetFields),
   tenant: z.strictObject({}),
-  adapter,
+  adapter: adapterSchema,
 } as const;
 
 /** The form of a section that removes what it names. */
-export const REMOVAL_SCHEMA = removal;
+export const REMOVAL_SCHEMA = removalSchema;
 
 /** The form of a section's name. */
-export const SECTION_NAME_SCHEMA = name;
+export const SECTION_NAME_SCHEMA = nameSchema;
 
 /** A kind of section. */
 export type SectionKind = keyof typeof SECTION_SCHEMAS;
 
 /** The keys that each kind of section may have. */
 export const SECTION_KEYS: Readonly<Record<SectionKind, readonly string[]>> = {
-  class: [...Object.keys(target), "remove"],
-  service: [...Object.keys(target), "remove"],
+  class: [...Object.keys(targetFields), "remove"],
+  service: [...Object.keys(targetFields), "remove"],
   tenant: ["remove"],
   adapter: ["model", "versions", "current", "remove"],
 };
--- a/packages/cli/src/files/load_configuration_file.ts
+++ b/packages/cli/src/files/load_configuration_file.ts
@@ -11,9 +11,9 @@
   SECTION_NAME_SCHEMA,
   SECTION_SCHEMAS,
   type SectionKind,
-} from "./configuration_file.ts";
+} from "./configuration_file_schema.ts";
 
-const KINDS = Object.keys(SECTION_SCHEMAS) as readonly SectionKind[];
+const SECTION_KINDS = Object.keys(SECTION_SCHEMAS) as readonly SectionKind[];
 
 /** One thing that is wrong with a configuration file. */
 export interface FileProblem {
@@ -69,11 +69,13 @@
 ): Result<readonly object[], readonly FileProblem[]> {
   const problems: FileProblem[] = [];
   const changes: object[] = [];
-  for (const [title, values] of sectionsOf(parse(text))) {
+  for (const [title, values] of flattenSections(parse(text))) {
     const section = readSection(title, values);
-    const read = section.andThen(changeOf);
-    if (read.isOk()) changes.push(read.value);
-    else problems.push(...read.error.map((problem) => ({ file, ...problem })));
+    const change = section.andThen(toChange);
+    if (change.isOk()) changes.push(change.value);
+    else {problems.push(
+        ...change.error.map((problem) => ({ file, ...problem })),
+      );}
   }
   return problems.length === 0 ? ok(changes) : err(problems);
 }
@@ -89,13 +91,16 @@
 }
 
 /** The ini library nests sections at dots; names here may have dots. */
-function sectionsOf(raw: object, prefix = ""): readonly [string, unknown][] {
+function flattenSections(
+  raw: object,
+  prefix = "",
+): readonly [string, unknown][] {
   return Object.entries(raw).flatMap(([key, value]): [string, unknown][] => {
     const title = `${prefix}${key}`;
     if (!isSection(value)) return prefix === "" ? [[title, value]] : [];
     const nested = Object.values(value).filter(isSection);
     const own = Object.entries(value).filter(([, inner]) => !isSection(inner));
-    const sections = sectionsOf(value, `${title}.`);
+    const sections = flattenSections(value, `${title}.`);
     if (own.length === 0 && nested.length > 0) return [...sections];
     return [[title, Object.fromEntries(own)], ...sections];
   });
@@ -115,20 +120,20 @@
     return err([{
       section: "",
       key: title,
-      seen: textOf(values),
-      allowed: `keys inside a section: ${KINDS.join(", ")}`,
+      seen: formatValue(values),
+      allowed: `keys inside a section: ${SECTION_KINDS.join(", ")}`,
     }]);
   }
-  const [word = "", name = ""] = title.split(/\s+(.*)/);
-  const kind = KINDS.find((known) => known === word);
+  const [kindName = "", name = ""] = title.split(/\s+(.*)/);
+  const kind = SECTION_KINDS.find((known) => known === kindName);
   if (kind === undefined) {
     return err([{
       section: title,
       key: "",
-      seen: word,
-      allowed: `[${closest(word, [...KINDS])} NAME] is the nearest of ${
-        KINDS.join(", ")
-      }`,
+      seen: kindName,
+      allowed: `[${
+        closest(kindName, [...SECTION_KINDS])
+      } NAME] is the nearest of ${SECTION_KINDS.join(", ")}`,
     }]);
   }
   if (!SECTION_NAME_SCHEMA.safeParse(name).success) {
@@ -142,38 +147,38 @@
   return ok({ title, kind, name, values: { ...values } });
 }
 
-function changeOf(section: Section): Result<object, readonly SectionProblem[]> {
+function toChange(section: Section): Result<object, readonly SectionProblem[]> {
   const { kind, name, values } = section;
   if ("remove" in values) {
     const removal = REMOVAL_SCHEMA.safeParse(values);
-    if (!removal.success) return err(problemsOf(section, removal.error));
+    if (!removal.success) return err(toProblems(section, removal.error));
     return ok({ kind: `remove_${kind}`, [kind]: name });
   }
   switch (kind) {
     case "class":
     case "service": {
       const target = SECTION_SCHEMAS[kind].safeParse(values);
-      if (!target.success) return err(problemsOf(section, target.error));
+      if (!target.success) return err(toProblems(section, target.error));
       return ok({
         kind: `set_${kind}`,
         [kind]: name,
-        target: targetOf(target.data),
+        target: toTarget(target.data),
       });
     }
     case "tenant": {
       const tenant = SECTION_SCHEMAS.tenant.safeParse(values);
-      if (!tenant.success) return err(problemsOf(section, tenant.error));
+      if (!tenant.success) return err(toProblems(section, tenant.error));
       return ok({ kind: "set_tenant", tenant: name });
     }
     case "adapter": {
       const adapter = SECTION_SCHEMAS.adapter.safeParse(values);
-      if (!adapter.success) return err(problemsOf(section, adapter.error));
+      if (!adapter.success) return err(toProblems(section, adapter.error));
       return ok({ kind: "set_adapter", adapter: name, ...adapter.data });
     }
   }
 }
 
-function targetOf(
+function toTarget(
   values: z.output<typeof SECTION_SCHEMAS.class>,
 ): object {
   return {
@@ -183,20 +188,20 @@
   };
 }
 
-function problemsOf(
+function toProblems(
   section: Section,
   error: z.ZodError,
 ): readonly SectionProblem[] {
   return error.issues.flatMap((issue) => {
     if (issue.code === "unrecognized_keys") {
-      return issue.keys.map((key) => unknownKey(section, key));
+      return issue.keys.map((key) => unknownKeyProblem(section, key));
     }
     const key = String(issue.path[0] ?? "");
     const value = section.values[key];
     return [{
       section: section.title,
       key,
-      seen: textOf(value),
+      seen: formatValue(value),
       allowed: value === undefined
         ? "a value; the key must be set"
         : issue.message,
@@ -204,17 +209,17 @@
   });
 }
 
-function textOf(value: unknown): string {
+function formatValue(value: unknown): string {
   if (value === undefined) return "nothing";
   return typeof value === "string" ? value : JSON.stringify(value);
 }
 
-function unknownKey(section: Section, key: string): SectionProblem {
+function unknownKeyProblem(section: Section, key: string): SectionProblem {
   const known = SECTION_KEYS[section.kind];
   return {
     section: section.title,
     key,
-    seen: textOf(section.values[key]),
+    seen: formatValue(section.values[key]),
     allowed: `no such key; the nearest is "${closest(key, [...known])}"`,
   };
 }
--- a/packages/cli/src/logs/explain_request.ts
+++ b/packages/cli/src/logs/explain_request.ts
@@ -16,14 +16,14 @@
 }
 
 /** How far before a request's arrival a cause may lie, in milliseconds. */
-const LOOK_BACK = 10_000;
+const LOOK_BACK_MILLISECONDS = 10_000;
 /** Requests that a server lost so near to each other have one cause. */
-const TOGETHER = 2_000;
+const CORRELATION_MILLISECONDS = 2_000;
 
-interface Case {
-  readonly end: LogLine;
+interface EndedRequest {
+  readonly endLine: LogLine;
   /** Lines from a while before the request's arrival to its end. */
-  readonly around: readonly LogLine[];
+  readonly nearbyLines: readonly LogLine[];
   readonly arrivedAt: number;
 }
 
@@ -33,7 +33,7 @@
 }
 
 /** One engine that was asked for a place, as the request's line names it. */
-interface Asked {
+interface PlacementReply {
   readonly engine: string;
   readonly owner: string;
   readonly answer: string;
@@ -49,68 +49,71 @@
   lines: readonly LogLine[],
   request: string,
 ): LogExplanation | undefined {
-  const isOwn = (line: LogLine) => line.fields["request"] === request;
-  const end = lines.find((line) =>
-    line.sentence === RELAY_SENTENCE.requestEnded && isOwn(line)
+  const isOfRequest = (line: LogLine) => line.fields["request"] === request;
+  const endLine = lines.find((line) =>
+    line.sentence === RELAY_SENTENCE.requestEnded && isOfRequest(line)
   );
-  if (end === undefined) return undefined;
-  const took = numberOf(end, "took");
-  const arrivedAt = end.time - took;
-  const around = lines.filter((line) =>
-    line.time >= arrivedAt - LOOK_BACK && line.time <= end.time + TOGETHER
+  if (endLine === undefined) return undefined;
+  const took = readNumber(endLine, "took");
+  const arrivedAt = endLine.time - took;
+  const nearbyLines = lines.filter((line) =>
+    line.time >= arrivedAt - LOOK_BACK_MILLISECONDS &&
+    line.time <= endLine.time + CORRELATION_MILLISECONDS
   );
-  const finding = findCause({ end, around, arrivedAt });
-  const own = around.filter((line) => isOwn(line));
-  const evidence = new Set([...finding.evidence, ...own]);
+  const finding = findCause({ endLine, nearbyLines, arrivedAt });
+  const ownLines = nearbyLines.filter((line) => isOfRequest(line));
+  const evidence = new Set([...finding.evidence, ...ownLines]);
   return {
     request,
-    node: end.source,
-    outcome: textOf(end, "outcome"),
-    status: numberOf(end, "status"),
+    node: endLine.source,
+    outcome: readText(endLine, "outcome"),
+    status: readNumber(endLine, "status"),
     tookMilliseconds: took,
     cause: finding.cause,
     evidence: [...evidence].toSorted((left, right) => left.time - right.time),
   };
 }
 
-function findCause(found: Case): Finding {
-  const { end } = found;
-  const outcome = textOf(end, "outcome");
+function findCause(request: EndedRequest): Finding {
+  const { endLine } = request;
+  const outcome = readText(endLine, "outcome");
   switch (outcome) {
     case "answered":
-      return explainAnswered(found);
+      return explainLatency(request);
     case "lost":
     case "broken_stream":
     case "server_failure":
-      return explainServer(found);
+      return explainServerFailure(request);
     case "quarantined":
-      return explainQuarantine(found);
+      return explainQuarantine(request);
     case "no_engine":
     case "not_run_in_time":
-      return explainPlacing(found);
+      return explainPlacement(request);
     case "no_server":
-      return explainLimits(found) ?? explainNoServer(found);
+      return explainLimits(request) ?? explainNoServer(request);
     default:
-      return numberOf(end, "sends") > 0
-        ? explainServer(found)
-        : explainPlacing(found);
+      return readNumber(endLine, "sends") > 0
+        ? explainServerFailure(request)
+        : explainPlacement(request);
   }
 }
 
-function explainQuarantine({ end, around }: Case): Finding {
-  const content = textOf(end, "content");
+function explainQuarantine(
+  { endLine, nearbyLines }: EndedRequest,
+): Finding {
+  const content = readText(endLine, "content");
   return {
     cause: `Requests of its content, ${content}, have crashed servers, ` +
       "and all nodes refuse them.",
-    evidence: around.filter((line) =>
+    evidence: nearbyLines.filter((line) =>
       line.sentence === RELAY_SENTENCE.quarantined &&
-      textOf(line, "content") === content
+      readText(line, "content") === content
     ),
   };
 }
 
-function explainLimits({ end }: Case): Finding | undefined {
-  const limitedFor = numberOf(end, "limited_for");
+function explainLimits({ endLine }: EndedRequest): Finding | undefined {
+  const limitedFor = readNumber(endLine, "limited_for");
   if (limitedFor === 0) return undefined;
   return {
     cause: "All servers that could run it name limits; its turn was likely " +
@@ -119,79 +122,87 @@
   };
 }
 
-function explainAnswered(found: Case): Finding {
-  const { end } = found;
-  const placed = numberOf(end, "placed_after");
-  const first = numberOf(end, "first_after");
-  if (placed > first) {
-    const { cause, evidence } = explainPlacing(found);
-    return { cause: `It waited ${placed} ms for a place. ${cause}`, evidence };
+function explainLatency(request: EndedRequest): Finding {
+  const { endLine } = request;
+  const placedAfter = readNumber(endLine, "placed_after");
+  const firstByteAfter = readNumber(endLine, "first_after");
+  if (placedAfter > firstByteAfter) {
+    const { cause, evidence } = explainPlacement(request);
+    return {
+      cause: `It waited ${placedAfter} ms for a place. ${cause}`,
+      evidence,
+    };
   }
   return {
-    cause: `Its server ${textOf(end, "server")} sent the first bytes after ` +
-      `${first} ms.`,
+    cause:
+      `Its server ${readText(endLine, "server")} sent the first bytes after ` +
+      `${firstByteAfter} ms.`,
     evidence: [],
   };
 }
 
 /** Why no engine had a place, or had one late. */
-function explainPlacing(found: Case): Finding {
-  const limits = explainLimits(found);
+function explainPlacement(request: EndedRequest): Finding {
+  const limits = explainLimits(request);
   if (limits !== undefined) return limits;
-  const asked = askedOf(found.end);
-  const engines = new Set(asked.map((one) => one.engine));
-  const isOfEngine = (line: LogLine) => engines.has(textOf(line, "engine"));
-  const owners = found.around.filter((line) =>
+  const replies = parsePlacementReplies(request.endLine);
+  const engines = new Set(replies.map((reply) => reply.engine));
+  const isOfEngine = (line: LogLine) => engines.has(readText(line, "engine"));
+  const newOwners = request.nearbyLines.filter((line) =>
     line.sentence === RELAY_SENTENCE.newOwner && isOfEngine(line) &&
-    line.time + numberOf(line, "wait") > found.arrivedAt
+    line.time + readNumber(line, "wait") > request.arrivedAt
   );
-  const [owner] = owners;
-  if (owner !== undefined) {
-    return { cause: describeOwner(owner), evidence: owners };
+  const [firstNewOwner] = newOwners;
+  if (firstNewOwner !== undefined) {
+    return { cause: describeNewOwner(firstNewOwner), evidence: newOwners };
   }
-  const silent = found.around.filter((line) =>
+  const unreachableEngines = request.nearbyLines.filter((line) =>
     line.sentence === RELAY_SENTENCE.outOfReach && isOfEngine(line)
   );
-  const [engine] = silent;
+  const [engine] = unreachableEngines;
   if (engine !== undefined) {
     return {
-      cause: `Engine ${textOf(engine, "engine")} did not answer its owner.`,
-      evidence: silent,
+      cause: `Engine ${readText(engine, "engine")} did not answer its owner.`,
+      evidence: unreachableEngines,
     };
   }
-  return explainAnswers(found, asked);
+  return explainPlacementReplies(request, replies);
 }
 
-function explainAnswers(found: Case, asked: readonly Asked[]): Finding {
-  const refused = asked.filter((one) => one.answer !== "granted");
-  const [granted] = asked;
+function explainPlacementReplies(
+  request: EndedRequest,
+  replies: readonly PlacementReply[],
+): Finding {
+  const refused = replies.filter((reply) => reply.answer !== "granted");
+  const [granted] = replies;
   if (refused.length === 0 && granted !== undefined) {
     return {
       cause: `Engine ${granted.engine} had to bring its adapter first.`,
       evidence: [],
     };
   }
-  const failures = found.around.filter((line) =>
+  const logFailures = request.nearbyLines.filter((line) =>
     line.sentence === RELAY_SENTENCE.logFailed
   );
-  const unowned = refused.find((one) =>
-    one.answer === "no_owner" || one.answer === "not_owner"
+  const unowned = refused.find((reply) =>
+    reply.answer === "no_owner" || reply.answer === "not_owner"
   );
   if (unowned !== undefined) {
     return {
-      cause: failures.length > 0
+      cause: logFailures.length > 0
         ? `Engine ${unowned.engine} had no owner that could be found while ` +
           "the platform's log failed."
         : `Engine ${unowned.engine} had no owner that could be found.`,
-      evidence: failures,
+      evidence: logFailures,
     };
   }
-  const unheard = refused.find((one) => one.answer === "unreachable");
-  if (unheard !== undefined) {
+  const unreachable = refused.find((reply) => reply.answer === "unreachable");
+  if (unreachable !== undefined) {
     return {
-      cause: `Node ${unheard.owner}, the owner of engine ${unheard.engine}, ` +
+      cause:
+        `Node ${unreachable.owner}, the owner of engine ${unreachable.engine}, ` +
         "gave no answer in time.",
-      evidence: failures,
+      evidence: logFailures,
     };
   }
   return {
@@ -202,39 +213,40 @@
   };
 }
 
-function describeOwner(line: LogLine): string {
-  const wait = numberOf(line, "wait");
-  const head = `Engine ${textOf(line, "engine")} had a new owner, node ` +
-    textOf(line, "owner");
+function describeNewOwner(line: LogLine): string {
+  const wait = readNumber(line, "wait");
+  const head = `Engine ${readText(line, "engine")} had a new owner, node ` +
+    readText(line, "owner");
   return wait > 0
     ? `${head}, which may not order it for ${wait} ms.`
     : `${head}.`;
 }
 
 /** Why a server's answer did not come whole, or came as a failure. */
-function explainServer(found: Case): Finding {
-  const { end, around } = found;
-  const server = textOf(end, "server");
-  if (textOf(end, "outcome") === "server_failure") {
+function explainServerFailure(request: EndedRequest): Finding {
+  const { endLine, nearbyLines } = request;
+  const server = readText(endLine, "server");
+  if (readText(endLine, "outcome") === "server_failure") {
     return { cause: `Server ${server} answered with a failure.`, evidence: [] };
   }
-  const gone = around.filter((line) =>
+  const departures = nearbyLines.filter((line) =>
     (line.sentence === RELAY_SENTENCE.serverLeft ||
         line.sentence === RELAY_SENTENCE.serverLeaves) &&
-      textOf(line, "server") === server ||
+      readText(line, "server") === server ||
     line.sentence === RELAY_SENTENCE.outOfReach &&
-      textOf(line, "engine") === server
+      readText(line, "engine") === server
   );
-  const lost = around.filter((line) =>
-    line.sentence === RELAY_SENTENCE.requestEnded && line !== end &&
-    textOf(line, "server") === server &&
-    Math.abs(line.time - end.time) <= TOGETHER
+  const otherLosses = nearbyLines.filter((line) =>
+    line.sentence === RELAY_SENTENCE.requestEnded && line !== endLine &&
+    readText(line, "server") === server &&
+    Math.abs(line.time - endLine.time) <= CORRELATION_MILLISECONDS
   );
-  if (gone.length > 0 || lost.length > 0) {
+  if (departures.length > 0 || otherLosses.length > 0) {
     return {
-      cause: `Server ${server} ended or fell silent: ${lost.length} more ` +
+      cause:
+        `Server ${server} ended or fell silent: ${otherLosses.length} more ` +
         "requests were lost there at that time.",
-      evidence: [...gone, ...lost],
+      evidence: [...departures, ...otherLosses],
     };
   }
   return {
@@ -243,19 +255,23 @@
   };
 }
 
-function explainNoServer({ end, around }: Case): Finding {
-  const left = around.filter((line) =>
+function explainNoServer(
+  { endLine, nearbyLines }: EndedRequest,
+): Finding {
+  const departures = nearbyLines.filter((line) =>
     line.sentence === RELAY_SENTENCE.serverLeft ||
     line.sentence === RELAY_SENTENCE.serverLeaves
   );
   return {
-    cause: `No server of service ${textOf(end, "service")} could be chosen.`,
-    evidence: left,
+    cause: `No server of service ${
+      readText(endLine, "service")
+    } could be chosen.`,
+    evidence: departures,
   };
 }
 
-function askedOf(end: LogLine): readonly Asked[] {
-  return textOf(end, "asked").split(" ").flatMap((text) => {
+function parsePlacementReplies(endLine: LogLine): readonly PlacementReply[] {
+  return readText(endLine, "asked").split(" ").flatMap((text) => {
     const [, engine, owner, answer] = /^(.+)@(.+):(.+)$/.exec(text) ?? [];
     return engine === undefined || owner === undefined || answer === undefined
       ? []
@@ -263,10 +279,10 @@
   });
 }
 
-function textOf(line: LogLine, field: string): string {
+function readText(line: LogLine, field: string): string {
   return String(line.fields[field] ?? "");
 }
 
-function numberOf(line: LogLine, field: string): number {
+function readNumber(line: LogLine, field: string): number {
   return Number(line.fields[field] ?? 0);
 }
--- a/packages/cli/src/logs/log_line.ts
+++ b/packages/cli/src/logs/log_line.ts
@@ -15,7 +15,7 @@
   time: z.iso.datetime(),
   message: z.string(),
 });
-const PART = /^[a-z]+: /;
+const COMPONENT_PREFIX = /^[a-z]+: /;
 
 /**
  * Reads one line of a log.
@@ -36,8 +36,8 @@
   return {
     source,
     time: Date.parse(time),
-    sentence: message.replace(PART, ""),
-    fields: Object.fromEntries(Object.entries(fields).filter(isField)),
+    sentence: message.replace(COMPONENT_PREFIX, ""),
+    fields: Object.fromEntries(Object.entries(fields).filter(isScalarField)),
   };
 }
 
@@ -50,7 +50,7 @@
   }
 }
 
-function isField(
+function isScalarField(
   entry: [string, unknown],
 ): entry is [string, string | number | boolean] {
   return ["string", "number", "boolean"].includes(typeof entry[1]);
--- a/packages/cli/src/logs/read_logs.ts
+++ b/packages/cli/src/logs/read_logs.ts
@@ -10,7 +10,7 @@
 /** The name that stands for standard input. */
 const STANDARD_INPUT = "-";
 /** Outcomes of other requests that may tell something of a server. */
-const TELLING = new Set(["lost", "broken_stream", "time_limit"]);
+const RELEVANT_OUTCOMES = new Set(["lost", "broken_stream", "time_limit"]);
 
 /**
  * Reads what may matter for a request from nodes' logs.
@@ -35,19 +35,19 @@
   file: string,
   request: string,
 ): Promise<Result<readonly LogLine[], CommandFailure>> {
-  const kept: LogLine[] = [];
-  const nodes = new Set<string>();
+  const relevantLines: LogLine[] = [];
+  const startedNodes = new Set<string>();
   const name = file === STANDARD_INPUT ? "standard input" : file;
-  let count = 0;
+  let lineCount = 0;
   try {
     for await (const text of openLog(file)) {
       const line = parseLogLine(text, name);
       if (line === undefined) continue;
-      count += 1;
+      lineCount += 1;
       const { node } = line.fields;
-      const isNaming = line.sentence === RELAY_SENTENCE.started;
-      if (isNaming && typeof node === "string") nodes.add(node);
-      if (mayMatter(line, request)) kept.push(line);
+      const isNodeStart = line.sentence === RELAY_SENTENCE.started;
+      if (isNodeStart && typeof node === "string") startedNodes.add(node);
+      if (isRelevant(line, request)) relevantLines.push(line);
     }
   } catch (error) {
     const cause = error instanceof Error ? error.message : String(error);
@@ -58,9 +58,11 @@
     });
   }
   // A file with the lines of several nodes doesn't tell whose each one is.
-  const [node] = nodes;
-  const source = nodes.size === 1 && node !== undefined ? node : name;
-  if (count > 0) return ok(kept.map((line) => ({ ...line, source })));
+  const [node] = startedNodes;
+  const source = startedNodes.size === 1 && node !== undefined ? node : name;
+  if (lineCount > 0) {
+    return ok(relevantLines.map((line) => ({ ...line, source })));
+  }
   return err({
     code: EXIT_CODE.usage,
     message: `${file} has no line of a node's log.`,
@@ -76,10 +78,10 @@
 }
 
 /** The ends of other requests are most of a log, and mostly tell nothing. */
-function mayMatter({ sentence, fields }: LogLine, request: string): boolean {
-  const isOther = fields["request"] !== undefined &&
+function isRelevant({ sentence, fields }: LogLine, request: string): boolean {
+  const belongsToOtherRequest = fields["request"] !== undefined &&
     fields["request"] !== request;
-  if (!isOther) return true;
+  if (!belongsToOtherRequest) return true;
   return sentence === RELAY_SENTENCE.requestEnded &&
-    TELLING.has(String(fields["outcome"]));
+    RELEVANT_OUTCOMES.has(String(fields["outcome"]));
 }
--- a/packages/cli/src/mod.ts
+++ b/packages/cli/src/mod.ts
@@ -7,10 +7,10 @@
 export * from "./command_line.ts";
 export * from "./commands/command.ts";
 export * from "./commands/mod.ts";
-export type { ExplanationsAnswer } from "./commands/explain.ts";
+export type { ExplanationsResponse } from "./commands/explain.ts";
 export type {
-  HistogramsAnswer,
-  HistogramSummaryAnswer,
+  HistogramsResponse,
+  HistogramSummary,
 } from "./commands/histograms.ts";
 export * from "./exit_code.ts";
 export * from "./output/command_output.ts";
--- a/packages/cli/src/output/explanation_text.ts
+++ b/packages/cli/src/output/explanation_text.ts
@@ -1,28 +1,30 @@
-import type { ExplanationsAnswer } from "../commands/explain.ts";
+import type { ExplanationsResponse } from "../commands/explain.ts";
 
-type FoundExplanation = ExplanationsAnswer["found"][number];
+type NodeExplanation = ExplanationsResponse["found"][number];
 
-const TIME_COLUMNS = 10;
+const TIME_WIDTH_COLUMNS = 10;
 
 /**
  * Writes what the nodes saw of a request.
- * @param answer What each node saw.
+ * @param response What each node saw.
  * @returns The text, a paragraph for each node.
  */
-export function formatExplanations(answer: ExplanationsAnswer): string {
-  const paragraphs = answer.found.map(formatNode);
-  const silent = answer.nodes.filter((node) => !node.answered)
+export function formatExplanations(response: ExplanationsResponse): string {
+  const paragraphs = response.found.map(formatNode);
+  const unansweredNodes = response.nodes.filter((node) => !node.answered)
     .map((node) => `${node.node} (${node.reason ?? ""})`);
-  if (silent.length > 0) paragraphs.push(`No answer: ${silent.join(", ")}.`);
+  if (unansweredNodes.length > 0) {
+    paragraphs.push(`No answer: ${unansweredNodes.join(", ")}.`);
+  }
   return paragraphs.join("\n\n");
 }
 
-function formatNode({ node, explanation }: FoundExplanation): string {
+function formatNode({ node, explanation }: NodeExplanation): string {
   const lines = [
     `At ${node}, first seen ${formatTime(explanation.ageMilliseconds)} ago` +
     `${formatState(explanation)}:`,
     ...explanation.steps.map((step) =>
-      formatLine(step.afterMilliseconds, step.sentence)
+      formatStep(step.afterMilliseconds, step.sentence)
     ),
     ...formatFrames(explanation),
   ];
@@ -33,14 +35,14 @@
 }
 
 /** Only the node that the caller faces learns of the end. */
-function formatState(explanation: FoundExplanation["explanation"]): string {
-  const faces = explanation.steps.some((step) => step.kind === "arrived");
-  if (!faces) return "";
+function formatState(explanation: NodeExplanation["explanation"]): string {
+  const facesCaller = explanation.steps.some((step) => step.kind === "arrived");
+  if (!facesCaller) return "";
   return explanation.open ? ", still open" : ", ended";
 }
 
 function formatFrames(
-  explanation: FoundExplanation["explanation"],
+  explanation: NodeExplanation["explanation"],
 ): readonly string[] {
   const first = explanation.firstFrameAfterMilliseconds;
   const last = explanation.lastFrameAfterMilliseconds;
@@ -51,8 +53,8 @@
   ];
 }
 
-function formatLine(after: number, sentence: string): string {
-  return `${`+${formatTime(after)}`.padStart(TIME_COLUMNS)}  ${sentence}`;
+function formatStep(after: number, sentence: string): string {
+  return `${`+${formatTime(after)}`.padStart(TIME_WIDTH_COLUMNS)}  ${sentence}`;
 }
 
 function formatTime(time: number): string {
--- a/packages/cli/src/output/histogram_page.ts
+++ b/packages/cli/src/output/histogram_page.ts
@@ -1,10 +1,10 @@
 import type {
-  HistogramsAnswer,
-  HistogramSummaryAnswer,
+  HistogramsResponse,
+  HistogramSummary,
 } from "../commands/histograms.ts";
 import {
   formatMilliseconds,
-  formatNodes,
+  formatNodeCoverage,
   formatPercent,
 } from "./histogram_text.ts";
 
@@ -28,21 +28,23 @@
 
 /**
  * Writes histograms as a page that needs nothing else.
- * @param answer The histograms.
+ * @param response The histograms.
  * @returns HTML.
  */
-export function formatHistogramPage(answer: HistogramsAnswer): string {
-  const rows = answer.rows.map((row) => {
+export function formatHistogramPage(response: HistogramsResponse): string {
+  const sections = response.rows.map((row) => {
     const title = `${row.class}, tenant ${row.tenant}`;
     const figures = Object.entries(row.measures).map(([measure, summary]) =>
       formatFigure(measure.replaceAll("_", " "), summary, formatMilliseconds)
     );
     return formatSection(title, figures);
   });
-  const fills = answer.batch_fill.map(({ engine, percent }) =>
+  const batchFills = response.batch_fill.map(({ engine, percent }) =>
     formatFigure(engine, percent, formatPercent)
   );
-  if (fills.length > 0) rows.push(formatSection("Batch fill", fills));
+  if (batchFills.length > 0) {
+    sections.push(formatSection("Batch fill", batchFills));
+  }
   return `<!doctype html>
 <html lang="en">
 <head>
@@ -53,8 +55,8 @@
 </head>
 <body>
 <h1>foxtailwind histograms</h1>
-<p>${escapeHtml(formatNodes(answer))}</p>
-${rows.join("\n")}
+<p>${escapeHtml(formatNodeCoverage(response))}</p>
+${sections.join("\n")}
 </body>
 </html>`;
 }
@@ -67,19 +69,21 @@
 
 function formatFigure(
   name: string,
-  summary: HistogramSummaryAnswer,
-  format: (value: number) => string,
+  summary: HistogramSummary,
+  formatValue: (value: number) => string,
 ): string {
-  const half = format(summary.percentiles["p50"] ?? 0);
-  const most = format(summary.percentiles["p95"] ?? 0);
-  const largest = Math.max(...summary.buckets.map((bucket) => bucket.count));
+  const median = formatValue(summary.percentiles["p50"] ?? 0);
+  const percentile95 = formatValue(summary.percentiles["p95"] ?? 0);
+  const largestCount = Math.max(
+    ...summary.buckets.map((bucket) => bucket.count),
+  );
   const bars = summary.buckets.map((bucket) => {
-    const width = (bucket.count / largest * PERCENT).toFixed(1);
-    return `<div class="row"><span>≤ ${format(bucket.upTo)}</span>` +
+    const width = (bucket.count / largestCount * PERCENT).toFixed(1);
+    return `<div class="row"><span>≤ ${formatValue(bucket.upTo)}</span>` +
       `<i style="width:${width}%"></i><span>${bucket.count}</span></div>`;
   });
   return `<figure><figcaption><b>${escapeHtml(name)}</b><br>` +
-    `p50 ${half}, p95 ${most}, ${summary.count} values</figcaption>` +
+    `p50 ${median}, p95 ${percentile95}, ${summary.count} values</figcaption>` +
     `${bars.join("")}</figure>`;
 }
 
--- a/packages/cli/src/output/histogram_text.ts
+++ b/packages/cli/src/output/histogram_text.ts
@@ -1,21 +1,21 @@
 import type {
-  HistogramsAnswer,
-  HistogramSummaryAnswer,
+  HistogramsResponse,
+  HistogramSummary,
 } from "../commands/histograms.ts";
 
-const BAR_COLUMNS = 40;
+const BAR_WIDTH_COLUMNS = 40;
 const PARTIAL_BLOCKS = ["", "▏", "▎", "▍", "▌", "▋", "▊", "▉"];
 const FULL_BLOCK = "█";
-const BOUND_COLUMNS = 9;
+const BOUND_WIDTH_COLUMNS = 9;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
  * Writes histograms as bars for a terminal.
- * @param answer The histograms.
+ * @param response The histograms.
  * @returns The text.
  */
-export function formatHistogramText(answer: HistogramsAnswer): string {
-  const rows = answer.rows.flatMap((row) => [
+export function formatHistogramText(response: HistogramsResponse): string {
+  const rows = response.rows.flatMap((row) => [
     `${row.class}, tenant ${row.tenant}: since start ` +
     `${row.ended.answered} answered, ${row.ended.refused} refused, ` +
     `${row.ended.failed} failed`,
@@ -23,28 +23,30 @@
       formatSummary(measure.replaceAll("_", " "), summary, formatMilliseconds)
     ),
   ]);
-  const fills = answer.batch_fill.map(({ engine, percent }) =>
+  const batchFills = response.batch_fill.map(({ engine, percent }) =>
     formatSummary(`batch fill of ${engine}`, percent, formatPercent)
   );
-  const body = [...rows, ...fills];
+  const body = [...rows, ...batchFills];
   if (body.length === 0) body.push("Nothing was recorded in this window.");
-  return [...body, formatNodes(answer)].join("\n\n");
+  return [...body, formatNodeCoverage(response)].join("\n\n");
 }
 
 /**
  * Says which nodes are in the figures.
- * @param answer The histograms.
+ * @param response The histograms.
  * @returns One or two sentences.
  */
-export function formatNodes(answer: HistogramsAnswer): string {
-  const silent = answer.nodes.filter((node) => !node.answered);
-  const answered = answer.nodes.length - silent.length;
-  const window = answer.window.replaceAll("_", " ");
+export function formatNodeCoverage(response: HistogramsResponse): string {
+  const unansweredNodes = response.nodes.filter((node) => !node.answered);
+  const answeredCount = response.nodes.length - unansweredNodes.length;
+  const window = response.window.replaceAll("_", " ");
   const sentence = `Window: ${window}. ` +
-    `${answered} of ${answer.nodes.length} nodes answered.`;
-  if (silent.length === 0) return sentence;
-  const named = silent.map((node) => `${node.node} (${node.reason ?? ""})`);
-  return `${sentence} No answer: ${named.join(", ")}.`;
+    `${answeredCount} of ${response.nodes.length} nodes answered.`;
+  if (unansweredNodes.length === 0) return sentence;
+  const reasons = unansweredNodes.map((node) =>
+    `${node.node} (${node.reason ?? ""})`
+  );
+  return `${sentence} No answer: ${reasons.join(", ")}.`;
 }
 
 /**
@@ -68,26 +70,30 @@
 
 function formatSummary(
   name: string,
-  summary: HistogramSummaryAnswer,
-  format: (value: number) => string,
+  summary: HistogramSummary,
+  formatValue: (value: number) => string,
 ): string {
-  const figures = ["p50", "p90", "p95", "p99"].map((percentile) =>
-    `${percentile} ${format(summary.percentiles[percentile] ?? 0)}`
+  const percentiles = ["p50", "p90", "p95", "p99"].map((percentile) =>
+    `${percentile} ${formatValue(summary.percentiles[percentile] ?? 0)}`
   );
-  const largest = format(summary.percentiles["p100"] ?? 0);
-  const head = `  ${name}: ${figures.join("  ")}  max ${largest}  ` +
+  const maximum = formatValue(summary.percentiles["p100"] ?? 0);
+  const heading = `  ${name}: ${percentiles.join("  ")}  max ${maximum}  ` +
     `(${summary.count})`;
-  const most = Math.max(...summary.buckets.map((bucket) => bucket.count));
+  const largestCount = Math.max(
+    ...summary.buckets.map((bucket) => bucket.count),
+  );
   const bars = summary.buckets.map((bucket) =>
-    `    ≤ ${format(bucket.upTo).padStart(BOUND_COLUMNS)} ` +
-    `${formatBar(bucket.count / most)} ${bucket.count}`
+    `    ≤ ${formatValue(bucket.upTo).padStart(BOUND_WIDTH_COLUMNS)} ` +
+    `${formatBar(bucket.count / largestCount)} ${bucket.count}`
   );
-  return [head, ...bars].join("\n");
+  return [heading, ...bars].join("\n");
 }
 
 function formatBar(share: number): string {
-  const steps = Math.round(share * BAR_COLUMNS * PARTIAL_BLOCKS.length);
-  const whole = Math.floor(steps / PARTIAL_BLOCKS.length);
-  const rest = PARTIAL_BLOCKS[steps % PARTIAL_BLOCKS.length] ?? "";
-  return (FULL_BLOCK.repeat(whole) + rest).padEnd(BAR_COLUMNS);
+  const eighths = Math.round(share * BAR_WIDTH_COLUMNS * PARTIAL_BLOCKS.length);
+  const fullBlocks = Math.floor(eighths / PARTIAL_BLOCKS.length);
+  const partialBlock = PARTIAL_BLOCKS[eighths % PARTIAL_BLOCKS.length] ?? "";
+  return (FULL_BLOCK.repeat(fullBlocks) + partialBlock).padEnd(
+    BAR_WIDTH_COLUMNS,
+  );
 }
--- a/packages/cli/src/output/table.ts
+++ b/packages/cli/src/output/table.ts
@@ -1,6 +1,6 @@
 import Table from "cli-table3";
 
-const PLAIN_BORDERS = {
+const NO_BORDERS = {
   "top": "",
   "top-mid": "",
   "top-left": "",
@@ -23,18 +23,18 @@
 
 /**
  * Writes a table without borders, so that it also suits line-based tools.
- * @param head The columns' names.
+ * @param columnNames The columns' names.
  * @param rows The rows; an undefined cell shows as `-`.
  * @returns The table's text.
  */
 export function formatTable(
-  head: readonly string[],
+  columnNames: readonly string[],
   rows: readonly (readonly Cell[])[],
 ): string {
-  if (rows.length === 0) return `No ${head[0] ?? "rows"}.`;
+  if (rows.length === 0) return `No ${columnNames[0] ?? "rows"}.`;
   const table = new Table({
-    head: [...head],
-    chars: PLAIN_BORDERS,
+    head: [...columnNames],
+    chars: NO_BORDERS,
     style: { "head": [], "border": [], "padding-left": 0, "padding-right": 0 },
   });
   for (const row of rows) table.push(row.map((cell) => String(cell ?? "-")));
--- a/packages/cli/tests/command_line_test.ts
+++ b/packages/cli/tests/command_line_test.ts
@@ -7,22 +7,22 @@
 import type { AddressInfo } from "node:net";
 import { tmpdir } from "node:os";
 import path from "node:path";
-import { normalise } from "./shell_page.ts";
+import { normalise } from "./console_page.ts";
 
 async function run(words: readonly string[], node?: string) {
-  const said = { out: "", error: "" };
+  const written = { out: "", error: "" };
   const code = await runCommandLine(words, {
     commands: COMMANDS,
-    surroundings: {
+    context: {
       environment: { FOXTAILWIND_NODE: node },
-      writeOut: (text) => void (said.out += text),
-      writeError: (text) => void (said.error += text),
+      writeOut: (text) => void (written.out += text),
+      writeError: (text) => void (written.error += text),
     },
   });
   return {
     code,
-    out: normalise(said.out),
-    error: normalise(said.error),
+    out: normalise(written.out),
+    error: normalise(written.error),
   };
 }
 
@@ -33,7 +33,9 @@
 }
 
 /** How many records the stream of the configuration has had. */
-async function appended(cluster: InProcessCluster): Promise<number> {
+async function countAppendedRecords(
+  cluster: InProcessCluster,
+): Promise<number> {
   const page = await cluster.nodes[0]?.daemon.log.read(CONFIGURATION_STREAM, {
     from: logOffset(0),
     limit: 1,
@@ -42,7 +44,7 @@
   return page?._unsafeUnwrap().tail ?? -1;
 }
 
-function write(t: ExecutionContext, text: string): string {
+function writeConfigurationFile(t: ExecutionContext, text: string): string {
   const folder = mkdtempSync(path.join(tmpdir(), "foxtailwind-cli-"));
   t.teardown(() => {
     rmSync(folder, { recursive: true });
@@ -84,7 +86,7 @@
 
 test("every problem of a configuration file is told at once", async (t) => {
   const { cluster, node } = await startNode(t);
-  const file = write(
+  const file = writeConfigurationFile(
     t,
     `loose = 1
 [class drafting]
@@ -105,20 +107,20 @@
   const result = await run(["config", "publish", file], node);
   t.is(result.code, EXIT_CODE.usage);
   t.snapshot(result.error.replaceAll(file, "changes.ini"));
-  t.is(await appended(cluster), 0);
+  t.is(await countAppendedRecords(cluster), 0);
 });
 
 test("a dry run publishes nothing, and a second publish changes nothing", async (t) => {
   const { cluster, node } = await startNode(t);
-  const file = write(
+  const file = writeConfigurationFile(
     t,
     "[class drafting]\nfirst_token_milliseconds = 800\n[tenant kauri.fresh]\n",
   );
   const dry = await run(["config", "publish", file, "--dry-run"], node);
-  t.is(await appended(cluster), 0);
+  t.is(await countAppendedRecords(cluster), 0);
   const published = await run(["config", "publish", file], node);
   const again = await run(["config", "publish", file], node);
-  t.is(await appended(cluster), 1);
+  t.is(await countAppendedRecords(cluster), 1);
   t.snapshot([dry, published, again]);
 });
 
@@ -156,7 +158,7 @@
     error: "",
   });
   t.is(posts, 2);
-  t.is(await appended(cluster), 1);
+  t.is(await countAppendedRecords(cluster), 1);
 });
 
 test("completion prints a shell script", async (t) => {
--- a/packages/cli/tests/shell_page.ts
+++ b/packages/cli/tests/console_page.ts
@@ -8,23 +8,23 @@
 const PROMPT = "$ ";
 
 /** What a run of a page needs. */
-export interface PageSurroundings {
+export interface PageContext {
   /** The node that the commands ask. */
   readonly node: string;
   /** Waits until what the commands before changed is in force everywhere. */
-  readonly settled: () => Promise<void>;
+  readonly waitUntilInForce: () => Promise<void>;
 }
 
 /**
  * Runs every command of a page's `console` blocks and gives the page with the
  * outputs that came.
  * @param page The page's text.
- * @param surroundings What the commands need.
+ * @param context What the commands need.
  * @returns The page, with the outputs of this run.
  */
 export async function runPage(
   page: string,
-  surroundings: PageSurroundings,
+  context: PageContext,
 ): Promise<string> {
   const folder = mkdtempSync(path.join(tmpdir(), "foxtailwind-page-"));
   const files = new Map<string, string>();
@@ -32,14 +32,14 @@
     files.set(name, path.join(folder, name));
     writeFileSync(path.join(folder, name), text);
   }
-  const shell = new Shell(surroundings, files);
-  let filled = page;
+  const shell = new ConsoleSession(context, files);
+  let rendered = page;
   for (const [block, session = ""] of page.matchAll(SESSION_BLOCK)) {
-    const ran = await shell.run(session);
-    filled = filled.replace(block, () => `\`\`\`console\n${ran}\`\`\``);
+    const output = await shell.run(session);
+    rendered = rendered.replace(block, () => `\`\`\`console\n${output}\`\`\``);
   }
   rmSync(folder, { recursive: true });
-  return filled;
+  return rendered;
 }
 
 /**
@@ -56,16 +56,16 @@
     .replace(/127\.0\.0\.1:\d{5}/g, "127.0.0.1:40000");
 }
 
-class Shell {
-  readonly #surroundings: PageSurroundings;
+class ConsoleSession {
+  readonly #context: PageContext;
   readonly #files: ReadonlyMap<string, string>;
-  #lastCode = 0;
+  #lastExitCode = 0;
 
   constructor(
-    surroundings: PageSurroundings,
+    context: PageContext,
     files: ReadonlyMap<string, string>,
   ) {
-    this.#surroundings = surroundings;
+    this.#context = context;
     this.#files = files;
   }
 
@@ -73,25 +73,25 @@
     let text = "";
     for (const line of session.split("\n")) {
       if (!line.startsWith(PROMPT)) continue;
-      text += `${line}\n${await this.#command(line.slice(PROMPT.length))}`;
+      text += `${line}\n${await this.#runLine(line.slice(PROMPT.length))}`;
     }
     return text;
   }
 
-  async #command(line: string): Promise<string> {
-    if (line === "echo $?") return `${this.#lastCode}\n`;
-    await this.#surroundings.settled();
+  async #runLine(line: string): Promise<string> {
+    if (line === "echo $?") return `${this.#lastExitCode}\n`;
+    await this.#context.waitUntilInForce();
     const [, ...words] = line.trim().split(/\s+/);
     let written = "";
     const write = (text: string) => {
       written += text;
     };
-    this.#lastCode = await runCommandLine(
+    this.#lastExitCode = await runCommandLine(
       words.map((word) => this.#files.get(word) ?? word),
       {
         commands: COMMANDS,
-        surroundings: {
-          environment: { FOXTAILWIND_NODE: this.#surroundings.node },
+        context: {
+          environment: { FOXTAILWIND_NODE: this.#context.node },
           writeOut: write,
           writeError: write,
         },
--- a/packages/cli/tests/explain_logs_test.ts
+++ b/packages/cli/tests/explain_logs_test.ts
@@ -25,19 +25,19 @@
 }
 
 async function run(words: readonly string[]) {
-  const said = { out: "", error: "" };
+  const written = { out: "", error: "" };
   const code = await runCommandLine(words, {
     commands: COMMANDS,
-    surroundings: {
+    context: {
       environment: {},
-      writeOut: (text) => void (said.out += text),
-      writeError: (text) => void (said.error += text),
+      writeOut: (text) => void (written.out += text),
+      writeError: (text) => void (written.error += text),
     },
   });
-  return { code, ...said };
+  return { code, ...written };
 }
 
-function makeWorld() {
+function createWorld() {
   const lines: string[] = [];
   const world = new RelayWorld((line) => {
     lines.push(line);
@@ -47,7 +47,7 @@
 }
 
 test("refused while its adapter was to be brought: the owner may not order yet", async (t) => {
-  const { world, lines } = makeWorld();
+  const { world, lines } = createWorld();
   await world.start(t);
   await world.addEngine("engine-1", milliseconds(30_000), (_, response) => {
     response.end();
@@ -66,7 +66,7 @@
 });
 
 test("failed by a server that does not answer: others were lost there too", async (t) => {
-  const { world, lines } = makeWorld();
+  const { world, lines } = createWorld();
   await world.addServer("s1", (request) => {
     request.socket.destroy();
   });
@@ -84,7 +84,7 @@
 });
 
 test("late through a change of owners: the wait is told", async (t) => {
-  const { world, lines } = makeWorld();
+  const { world, lines } = createWorld();
   await world.start(t);
   await world.addEngine("engine-1", milliseconds(400), (request, response) => {
     succeed(request, response, "late");
@@ -119,7 +119,7 @@
 });
 
 test("refused since its content crashes servers", async (t) => {
-  const { world, lines } = makeWorld();
+  const { world, lines } = createWorld();
   for (const id of ["s1", "s2", "s3"]) {
     await world.addServer(id, (_, response) => {
       response.destroy();
@@ -139,7 +139,7 @@
 });
 
 test("refused since all servers name limits", async (t) => {
-  const { world, lines } = makeWorld();
+  const { world, lines } = createWorld();
   await world.addServer("s1", (request, response) => {
     response.setHeader("x-limit", "0.5");
     succeed(request, response, "served");
--- a/packages/cli/tests/operators_page_test.ts
+++ b/packages/cli/tests/operators_page_test.ts
@@ -4,11 +4,11 @@
 import { FakeEngine } from "@foxtailwind/standins";
 import { readFileSync } from "node:fs";
 import { setTimeout as sleep } from "node:timers/promises";
-import { normalise, runPage } from "./shell_page.ts";
+import { normalise, runPage } from "./console_page.ts";
 
 const PAGE = new URL("../../../docs/OPERATORS.md", import.meta.url);
 
-async function inForceEverywhere(cluster: InProcessCluster): Promise<void> {
+async function waitUntilInForce(cluster: InProcessCluster): Promise<void> {
   const offsets = () =>
     new Set(
       cluster.nodes.map(({ daemon }) => daemon.follower.configuration.offset),
@@ -36,7 +36,7 @@
   const page = readFileSync(PAGE, "utf8");
   const ran = await runPage(page, {
     node: node?.addresses.http ?? "",
-    settled: () => inForceEverywhere(cluster),
+    waitUntilInForce: () => waitUntilInForce(cluster),
   });
   t.is(normalise(ran), normalise(page));
 });
--- a/packages/cli/tests/telemetry_output_test.ts
+++ b/packages/cli/tests/telemetry_output_test.ts
@@ -2,7 +2,7 @@
   formatExplanations,
   formatHistogramPage,
   formatHistogramText,
-  type HistogramsAnswer,
+  type HistogramsResponse,
 } from "@foxtailwind/cli";
 import test from "ava";
 
@@ -17,7 +17,7 @@
   ],
 };
 
-const HISTOGRAMS: HistogramsAnswer = {
+const HISTOGRAMS: HistogramsResponse = {
   window: "recent",
   nodes: [
     { node: "node-1", answered: true },
--- a/packages/edges/src/http/after_pending_input.ts
+++ b/packages/edges/src/http/after_pending_input.ts
@@ -10,15 +10,15 @@
 
 /**
  * Gives a signal that ends a call at its limit, once what came in time is read.
- * @param limit The time from now, in milliseconds.
+ * @param limitMilliseconds The time from now, in milliseconds.
  * @returns The signal, which does not keep the process.
  */
-export function inputTimeout(limit: number): AbortSignal {
-  const over = new AbortController();
+export function inputTimeout(limitMilliseconds: number): AbortSignal {
+  const controller = new AbortController();
   setTimeout(() => {
     afterPendingInput(() => {
-      over.abort(new Error("No answer came in time."));
+      controller.abort(new Error("No answer came in time."));
     });
-  }, limit).unref();
-  return over.signal;
+  }, limitMilliseconds).unref();
+  return controller.signal;
 }
--- a/packages/edges/src/http/bounded_signal.ts
+++ b/packages/edges/src/http/bounded_signal.ts
@@ -6,32 +6,32 @@
  * is collected as garbage before its time, the signal never ends.
  */
 export class BoundedSignal {
-  readonly #over = new AbortController();
+  readonly #controller = new AbortController();
   readonly #parent: AbortSignal;
   readonly #timer: NodeJS.Timeout;
-  readonly #end = (): void => {
-    this.#over.abort();
+  readonly #abort = (): void => {
+    this.#controller.abort();
   };
 
   /**
    * @param parent The signal that it ends with.
-   * @param limit The time from now, in milliseconds.
+   * @param limitMilliseconds The time from now, in milliseconds.
    */
-  constructor(parent: AbortSignal, limit: number) {
+  constructor(parent: AbortSignal, limitMilliseconds: number) {
     this.#parent = parent;
-    this.#timer = setTimeout(afterPendingInput, limit, this.#end);
-    if (parent.aborted) this.#end();
-    else parent.addEventListener("abort", this.#end);
+    this.#timer = setTimeout(afterPendingInput, limitMilliseconds, this.#abort);
+    if (parent.aborted) this.#abort();
+    else parent.addEventListener("abort", this.#abort);
   }
 
   /** The signal. */
   get signal(): AbortSignal {
-    return this.#over.signal;
+    return this.#controller.signal;
   }
 
   /** Lets go of the limit and of the other signal; nothing is ended by that. */
   release(): void {
     clearTimeout(this.#timer);
-    this.#parent.removeEventListener("abort", this.#end);
+    this.#parent.removeEventListener("abort", this.#abort);
   }
 }
--- a/packages/edges/src/http/json_call.ts
+++ b/packages/edges/src/http/call_json.ts
@@ -6,7 +6,7 @@
   type HttpClientOptions,
 } from "./client_options.ts";
 import { exchange } from "./exchange.ts";
-import { parseJson, refusalFailure } from "./stated_failure.ts";
+import { failureFromResponse, parseJson } from "./stated_failure.ts";
 
 /** A call that sends and receives JSON. */
 export interface JsonCall<Answer> {
@@ -14,7 +14,7 @@
   readonly method: "GET" | "POST";
   readonly path: string;
   readonly body?: unknown;
-  readonly answer: z.ZodType<Answer>;
+  readonly responseSchema: z.ZodType<Answer>;
   /** Time asked for beyond the client's usual limit. */
   readonly extraMilliseconds?: number;
 }
@@ -22,7 +22,7 @@
 const JSON_HEADERS = { "content-type": "application/json" } as const;
 
 /** The answer of a call that gives nothing back. */
-export const emptyAnswerSchema: z.ZodType<void> = z.unknown().transform(
+export const emptyResponseSchema: z.ZodType<void> = z.unknown().transform(
   () => undefined,
 );
 
@@ -39,7 +39,7 @@
   const { step } = call;
   const { peer } = client;
   const timeout = client.timeoutMilliseconds ?? DEFAULT_TIMEOUT_MILLISECONDS;
-  const exchanged = await exchange(client.dispatcher, {
+  const response = await exchange(client.dispatcher, {
     step,
     peer,
     origin: client.baseAddress,
@@ -50,13 +50,13 @@
       : { headers: JSON_HEADERS, body: JSON.stringify(call.body) }),
     timeoutMilliseconds: timeout + (call.extraMilliseconds ?? 0),
   });
-  if (exchanged.isErr()) return err(exchanged.error);
-  const { status } = exchanged.value;
-  const body = exchanged.value.body.toString();
+  if (response.isErr()) return err(response.error);
+  const { status } = response.value;
+  const body = response.value.body.toString();
   if (status < 200 || status > 299) {
-    return err(refusalFailure({ status, body }, { step, peer }));
+    return err(failureFromResponse({ status, body }, { step, peer }));
   }
-  const answer = call.answer.safeParse(parseJson(body));
+  const answer = call.responseSchema.safeParse(parseJson(body));
   if (answer.success) return ok(answer.data);
   return err({
     reason: "corrupt",
--- a/packages/edges/src/http/connection_ends.ts
+++ b/packages/edges/src/http/connection_ends.ts
@@ -3,18 +3,18 @@
 import type { buildConnector } from "undici";
 
 /** Set while a connection's end is being told to its listeners. */
-let endingNow: Promise<boolean> | undefined;
+let currentEndFailure: Promise<boolean> | undefined;
 
 /** The connection whose bytes are being read at this moment. */
-let readingNow: Socket | undefined;
+let lastReadSocket: Socket | undefined;
 
 /** Connections that brought more than the answers that were asked for. */
-const outOfStep = new WeakSet<Socket>();
+const socketsWithExtraResponse = new WeakSet<Socket>();
 
 /** undici's code for an answer on a connection that owes none. */
-const UNASKED_ANSWER = "UND_ERR_SOCKET";
+const UNEXPECTED_RESPONSE_CODE = "UND_ERR_SOCKET";
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY_BUFFER = Buffer.alloc(0);
 
 /**
  * Tells how the connection ends whose end is being told at this moment.
@@ -24,7 +24,7 @@
  * @returns Whether the connection failed, or nothing where none ends now.
  */
 export function failureOfEnd(): Promise<boolean> | undefined {
-  return endingNow;
+  return currentEndFailure;
 }
 
 /**
@@ -33,11 +33,11 @@
  * answer, and neither is known to be the one that was asked for.
  * @returns Resolves before the connection is used again.
  */
-export function hasFurtherAnswer(): Promise<boolean> {
-  const socket = readingNow;
+export function hasExtraResponse(): Promise<boolean> {
+  const socket = lastReadSocket;
   return new Promise((resolve) => {
     setImmediate(() => {
-      resolve(socket !== undefined && outOfStep.has(socket));
+      resolve(socket !== undefined && socketsWithExtraResponse.has(socket));
     });
   });
 }
@@ -56,14 +56,16 @@
       const [error, socket] = result;
       if (error === null) {
         socket.prependListener("error", (failure: NodeJS.ErrnoException) => {
-          if (failure.code === UNASKED_ANSWER) outOfStep.add(socket);
-          tellNow(Promise.resolve(true));
+          if (failure.code === UNEXPECTED_RESPONSE_CODE) {
+            socketsWithExtraResponse.add(socket);
+          }
+          setCurrentEndFailure(Promise.resolve(true));
         });
         socket.prependListener("readable", () => {
-          readingNow = socket;
+          lastReadSocket = socket;
         });
         socket.prependListener("end", () => {
-          tellNow(refusesWrites(socket));
+          setCurrentEndFailure(rejectsWrites(socket));
         });
       }
       callback(...result);
@@ -78,16 +80,16 @@
  * @param socket The connection.
  */
 export function resetConnection(socket: Socket): void {
-  const isEnding = socket.writableEnded && !socket.writableFinished;
-  if (isEnding) socket.destroy();
+  const isFinishing = socket.writableEnded && !socket.writableFinished;
+  if (isFinishing) socket.destroy();
   else socket.resetAndDestroy();
 }
 
 /** Listeners of one event run one after the other, before the next tick. */
-function tellNow(hasFailed: Promise<boolean>): void {
-  endingNow = hasFailed;
+function setCurrentEndFailure(hasFailed: Promise<boolean>): void {
+  currentEndFailure = hasFailed;
   process.nextTick(() => {
-    if (endingNow === hasFailed) endingNow = undefined;
+    if (currentEndFailure === hasFailed) currentEndFailure = undefined;
   });
 }
 
@@ -95,9 +97,9 @@
  * A connection that its peer has closed in order still takes writes, one that
  * was reset does not. No bytes are written, so that the peer sees nothing.
  */
-function refusesWrites(socket: Socket): Promise<boolean> {
+function rejectsWrites(socket: Socket): Promise<boolean> {
   return new Promise((resolve) => {
-    socket.write(NOTHING, (error) => {
+    socket.write(EMPTY_BUFFER, (error) => {
       resolve(error !== null && error !== undefined);
     });
   });
--- a/packages/edges/src/http/dispatcher.ts
+++ b/packages/edges/src/http/dispatcher.ts
@@ -7,8 +7,8 @@
   readonly keepAliveMilliseconds?: number;
 }
 
-const CONNECT_TIMEOUT_MILLISECONDS = 1_000;
-const KEEP_ALIVE_MILLISECONDS = 30_000;
+const DEFAULT_CONNECT_TIMEOUT_MILLISECONDS = 1_000;
+const DEFAULT_KEEP_ALIVE_MILLISECONDS = 30_000;
 
 /**
  * Makes a dispatcher that never queues a request behind another, so that a
@@ -22,9 +22,10 @@
     connections: null,
     connect: noteConnectionEnds(buildConnector({
       timeout: options.connectTimeoutMilliseconds ??
-        CONNECT_TIMEOUT_MILLISECONDS,
+        DEFAULT_CONNECT_TIMEOUT_MILLISECONDS,
       noDelay: true,
     })),
-    keepAliveTimeout: options.keepAliveMilliseconds ?? KEEP_ALIVE_MILLISECONDS,
+    keepAliveTimeout: options.keepAliveMilliseconds ??
+      DEFAULT_KEEP_ALIVE_MILLISECONDS,
   });
 }
--- a/packages/edges/src/http/engine_schemas.ts
+++ b/packages/edges/src/http/engine_schemas.ts
@@ -9,7 +9,7 @@
 } from "@foxtailwind/core";
 import * as z from "zod";
 
-const count = z.number().int().nonnegative();
+const countSchema = z.number().int().nonnegative();
 const attemptSchema = z.number().int().positive().transform(attemptNumber);
 const requestSchema = z.string().min(1).transform(requestId);
 const modelSchema = z.string().min(1).transform(modelId);
@@ -35,7 +35,7 @@
   })),
   maximumTokens: z.number().int().positive(),
   priority: z.number(),
-  fromSequence: count,
+  fromSequence: countSchema,
 });
 
 /** The body of a cancellation. */
@@ -45,19 +45,19 @@
 });
 
 /** The answer to a cancellation. */
-export const cancelAnswerSchema = z.object({ cancelled: z.boolean() });
+export const cancelResponseSchema = z.object({ cancelled: z.boolean() });
 
 /** The end of a generation. */
 export const generationEndSchema = z.object({
   request: requestSchema,
   attempt: attemptSchema,
   finishReason: z.enum(["stop", "length", "cancelled"]),
-  promptTokens: count,
-  completionTokens: count,
-  cachedPromptTokens: count,
+  promptTokens: countSchema,
+  completionTokens: countSchema,
+  cachedPromptTokens: countSchema,
 });
 
-const orderBase = {
+const orderBaseFields = {
   fencing: z.number().transform(fencingNumber),
   expiresInMilliseconds: z.number().nonnegative(),
 };
@@ -65,18 +65,22 @@
 /** The body of an order. */
 export const engineOrderSchema = z.discriminatedUnion("kind", [
   z.object({
-    ...orderBase,
+    ...orderBaseFields,
     kind: z.literal("load_adapter"),
     adapter: adapterReferenceSchema,
   }),
   z.object({
-    ...orderBase,
+    ...orderBaseFields,
     kind: z.literal("evict_adapter"),
     adapter: adapterReferenceSchema,
   }),
-  z.object({ ...orderBase, kind: z.literal("load_model"), model: modelSchema }),
   z.object({
-    ...orderBase,
+    ...orderBaseFields,
+    kind: z.literal("load_model"),
+    model: modelSchema,
+  }),
+  z.object({
+    ...orderBaseFields,
     kind: z.literal("change_role"),
     role: engineRoleSchema,
   }),
@@ -88,15 +92,15 @@
   bootId: z.string(),
   model: modelSchema,
   role: engineRoleSchema,
-  adapterSlots: count,
-  batchCapacity: count,
+  adapterSlots: countSchema,
+  batchCapacity: countSchema,
   resident: z.array(adapterReferenceSchema),
   loading: z.array(adapterReferenceSchema),
   running: z.array(z.object({
     request: requestSchema,
     attempt: attemptSchema,
     adapter: adapterReferenceSchema,
-    generated: count,
+    generated: countSchema,
   })),
   highestFencing: z.number().transform(fencingNumber).exactOptional(),
   leaving: z.boolean(),
@@ -106,8 +110,8 @@
 export const engineLoadReportSchema = z.object({
   engine: z.string().transform(engineId),
   bootId: z.string(),
-  running: count,
-  waiting: count,
+  running: countSchema,
+  waiting: countSchema,
   stepMilliseconds: z.number().nonnegative(),
   batchFill: z.number().min(0).max(1),
   prefixCacheUsed: z.number().nonnegative(),
@@ -117,7 +121,7 @@
 /** A page of cache events. */
 export const cacheEventsSchema = z.object({
   events: z.array(z.object({
-    sequence: count,
+    sequence: countSchema,
     kind: z.enum(["stored", "evicted"]),
     adapter: adapterReferenceSchema,
     prefixHash: z.string(),
--- a/packages/edges/src/http/exchange.ts
+++ b/packages/edges/src/http/exchange.ts
@@ -3,8 +3,8 @@
 import { err, ok, type Result } from "neverthrow";
 import type { Dispatcher } from "undici";
 import { afterPendingInput } from "./after_pending_input.ts";
-import { failureOfEnd, hasFurtherAnswer } from "./connection_ends.ts";
-import { transportFailure } from "./transport_failure.ts";
+import { failureOfEnd, hasExtraResponse } from "./connection_ends.ts";
+import { failureFromTransportError } from "./transport_error.ts";
 
 /** One HTTP request and what bounds it. */
 export interface ExchangeOptions {
@@ -28,7 +28,7 @@
   readonly body: Buffer;
 }
 
-const MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024;
+const DEFAULT_MAXIMUM_RESPONSE_BYTES = 16 * 1024 * 1024;
 
 /**
  * Sends one request, without any retry, and gathers its whole answer.
@@ -51,14 +51,14 @@
   readonly #resolve: (result: Result<ExchangeAnswer, Failure>) => void;
   readonly #chunks: Buffer[] = [];
   readonly #onAbort = (): void => {
-    this.#giveUp(errorWithCode("The call was cancelled", "UND_ERR_ABORTED"));
+    this.#abandon(errorWithCode("The call was cancelled", "UND_ERR_ABORTED"));
   };
   #timer: NodeJS.Timeout | undefined;
   #controller: Dispatcher.DispatchController | undefined;
   /** Whether the whole answer has come, and is being judged. */
-  #hasEnded = false;
+  #hasReceivedEnd = false;
   #settled = false;
-  #bytes = 0;
+  #receivedBytes = 0;
   #status = 0;
   #headers: IncomingHttpHeaders = {};
 
@@ -79,8 +79,8 @@
     signal?.addEventListener("abort", this.#onAbort, { once: true });
     this.#timer = setTimeout(() => {
       afterPendingInput(() => {
-        if (this.#hasEnded) return;
-        this.#giveUp(
+        if (this.#hasReceivedEnd) return;
+        this.#abandon(
           errorWithCode("The answer took too long", "UND_ERR_HEADERS_TIMEOUT"),
         );
       });
@@ -117,9 +117,10 @@
     controller: Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
-    this.#bytes += chunk.length;
-    const { maximumAnswerBytes = MAXIMUM_ANSWER_BYTES } = this.#options;
-    if (this.#bytes > maximumAnswerBytes) {
+    this.#receivedBytes += chunk.length;
+    const { maximumAnswerBytes = DEFAULT_MAXIMUM_RESPONSE_BYTES } =
+      this.#options;
+    if (this.#receivedBytes > maximumAnswerBytes) {
       controller.abort(errorWithCode("The answer is too large", "TOO_LARGE"));
       return;
     }
@@ -127,22 +128,22 @@
   }
 
   onResponseEnd(): void {
-    this.#hasEnded = true;
-    void this.#judgeEnd(failureOfEnd(), hasFurtherAnswer());
+    this.#hasReceivedEnd = true;
+    void this.#checkEnd(failureOfEnd(), hasExtraResponse());
   }
 
   onResponseError(_controller: unknown, error: Error): void {
-    this.#hasEnded = true;
+    this.#hasReceivedEnd = true;
     this.#fail(error);
   }
 
-  async #judgeEnd(
-    brokeOff: Promise<boolean> | undefined,
-    isRepeated: Promise<boolean>,
+  async #checkEnd(
+    connectionFailed: Promise<boolean> | undefined,
+    isFollowedByResponse: Promise<boolean>,
   ): Promise<void> {
-    if (await brokeOff === true) {
+    if (await connectionFailed === true) {
       this.#fail(errorWithCode("The answer broke off", "RESET"));
-    } else if (await isRepeated) {
+    } else if (await isFollowedByResponse) {
       this.#fail(errorWithCode("Two answers came", "OUT_OF_STEP"));
     } else {
       this.#succeed();
@@ -157,7 +158,7 @@
     }));
   }
 
-  #giveUp(error: Error): void {
+  #abandon(error: Error): void {
     this.#fail(error);
     this.#controller?.abort(error);
   }
@@ -165,7 +166,9 @@
   #fail(error: Error): void {
     const { step, peer } = this.#options;
     const started = this.#controller !== undefined;
-    this.#settle(err(transportFailure(error, { step, peer, started })));
+    this.#settle(
+      err(failureFromTransportError(error, { step, peer, started })),
+    );
   }
 
   #settle(result: Result<ExchangeAnswer, Failure>): void {
--- a/packages/edges/src/http/frame_reader.ts
+++ b/packages/edges/src/http/frame_reader.ts
@@ -2,7 +2,7 @@
 import { isGenerationFrame } from "./generation_line.ts";
 import { parseJson } from "./stated_failure.ts";
 
-type FrameHead = Pick<GenerationFrame, "request" | "attempt" | "adapter">;
+type FramePrefix = Pick<GenerationFrame, "request" | "attempt" | "adapter">;
 
 const SEQUENCE_KEY = ',"sequence":';
 const TOKENS_KEY = ',"tokens":';
@@ -15,8 +15,8 @@
  * parsing each whole line would give.
  */
 export class FrameReader {
-  #headText: string | undefined;
-  #head: FrameHead | undefined;
+  #prefixText: string | undefined;
+  #prefix: FramePrefix | undefined;
 
   /**
    * Parses a line.
@@ -24,67 +24,74 @@
    * @returns The value, a frame or not; `undefined` where it is not JSON.
    */
   read(line: string): unknown {
-    const frame = this.#readAfterHead(line);
+    const frame = this.#readWithCachedPrefix(line);
     if (frame !== undefined) return frame;
     const value = parseJson(line);
-    if (isGenerationFrame(value)) this.#learnHead(line);
+    if (isGenerationFrame(value)) this.#cachePrefix(line);
     return value;
   }
 
-  #readAfterHead(line: string): GenerationFrame | undefined {
-    const head = this.#head;
-    if (head === undefined || this.#headText === undefined) return undefined;
-    if (!line.startsWith(this.#headText)) return undefined;
-    const numberStart = this.#headText.length;
-    const numberEnd = line.indexOf(TOKENS_KEY, numberStart);
-    if (numberEnd < 0 || !line.endsWith(LINE_END)) return undefined;
-    const sequence = readDigits(line, numberStart, numberEnd);
-    const tokens = parseJson(line.slice(numberEnd + TOKENS_KEY.length, -1));
-    if (sequence === undefined || !isStrings(tokens)) return undefined;
-    const { request, attempt, adapter } = head;
+  #readWithCachedPrefix(line: string): GenerationFrame | undefined {
+    const prefix = this.#prefix;
+    if (prefix === undefined || this.#prefixText === undefined) {
+      return undefined;
+    }
+    if (!line.startsWith(this.#prefixText)) return undefined;
+    const sequenceStart = this.#prefixText.length;
+    const sequenceEnd = line.indexOf(TOKENS_KEY, sequenceStart);
+    if (sequenceEnd < 0 || !line.endsWith(LINE_END)) return undefined;
+    const sequence = parseSequence(line, sequenceStart, sequenceEnd);
+    const tokens = parseJson(line.slice(sequenceEnd + TOKENS_KEY.length, -1));
+    if (sequence === undefined || !isStringArray(tokens)) return undefined;
+    const { request, attempt, adapter } = prefix;
     return { request, attempt, sequence, tokens, adapter };
   }
 
   /** Keeps the head only where it is whole: all that precedes the sequence. */
-  #learnHead(line: string): void {
-    const headEnd = line.indexOf(SEQUENCE_KEY);
-    const head = headEnd < 0
+  #cachePrefix(line: string): void {
+    const prefixEnd = line.indexOf(SEQUENCE_KEY);
+    const prefix = prefixEnd < 0
       ? undefined
-      : parseJson(`${line.slice(0, headEnd)}${SEQUENCE_KEY}0,"tokens":[]}`);
-    if (!isGenerationFrame(head) || Object.keys(head).length !== FRAME_KEYS) {
+      : parseJson(`${line.slice(0, prefixEnd)}${SEQUENCE_KEY}0,"tokens":[]}`);
+    if (
+      !isGenerationFrame(prefix) ||
+      Object.keys(prefix).length !== FRAME_KEY_COUNT
+    ) {
       return;
     }
-    const { request, attempt, adapter } = head;
-    this.#head = { request, attempt, adapter };
-    this.#headText = line.slice(0, headEnd + SEQUENCE_KEY.length);
+    const { request, attempt, adapter } = prefix;
+    this.#prefix = { request, attempt, adapter };
+    this.#prefixText = line.slice(0, prefixEnd + SEQUENCE_KEY.length);
   }
 }
 
 /** Request, attempt, adapter, sequence and tokens. */
-const FRAME_KEYS = 5;
+const FRAME_KEY_COUNT = 5;
 
-const DIGIT_ZERO = 48;
-const DIGIT_NINE = 57;
-const MOST_DIGITS = 9;
+const CHARACTER_CODE_ZERO = 48;
+const CHARACTER_CODE_NINE = 57;
+const MAXIMUM_SEQUENCE_DIGITS = 9;
 
-function readDigits(
+function parseSequence(
   text: string,
   start: number,
   end: number,
 ): number | undefined {
-  if (end <= start || end - start > MOST_DIGITS) return undefined;
+  if (end <= start || end - start > MAXIMUM_SEQUENCE_DIGITS) return undefined;
   const first = text.charCodeAt(start);
-  if (first === DIGIT_ZERO && end - start > 1) return undefined;
+  if (first === CHARACTER_CODE_ZERO && end - start > 1) return undefined;
   let value = 0;
-  for (let place = start; place < end; place += 1) {
-    const digit = text.charCodeAt(place);
-    if (digit < DIGIT_ZERO || digit > DIGIT_NINE) return undefined;
-    value = value * 10 + digit - DIGIT_ZERO;
+  for (let index = start; index < end; index += 1) {
+    const digit = text.charCodeAt(index);
+    if (digit < CHARACTER_CODE_ZERO || digit > CHARACTER_CODE_NINE) {
+      return undefined;
+    }
+    value = value * 10 + digit - CHARACTER_CODE_ZERO;
   }
   return value;
 }
 
-function isStrings(value: unknown): value is readonly string[] {
+function isStringArray(value: unknown): value is readonly string[] {
   if (!Array.isArray(value)) return false;
   for (const item of value) {
     if (typeof item !== "string") return false;
--- a/packages/edges/src/http/generation_exchange.ts
+++ b/packages/edges/src/http/generation_exchange.ts
@@ -17,8 +17,8 @@
 import { FrameReader } from "./frame_reader.ts";
 import { isGenerationFrame, parseEndLine } from "./generation_line.ts";
 import { LineSplitter, LineTooLongError } from "./line_splitter.ts";
-import { refusalFailure } from "./stated_failure.ts";
-import { transportFailure } from "./transport_failure.ts";
+import { failureFromResponse } from "./stated_failure.ts";
+import { failureFromTransportError } from "./transport_error.ts";
 
 /** What one generation over HTTP needs. */
 export interface GenerationExchangeOptions {
@@ -32,8 +32,8 @@
 }
 
 const MAXIMUM_LINE_BYTES = 4 * 1024 * 1024;
-const MAXIMUM_REFUSAL_BYTES = 64 * 1024;
-const SUCCESS_STATUS = 200;
+const MAXIMUM_ERROR_BODY_LENGTH = 64 * 1024;
+const STATUS_OK = 200;
 const JSON_HEADERS = { "content-type": "application/json" } as const;
 
 /** One generation: reads its lines as they come, without promises. */
@@ -42,13 +42,13 @@
   readonly #call: GenerateCall;
   readonly #sink: GenerationSink;
   readonly #options: GenerationExchangeOptions;
-  readonly #reader = new FrameReader();
-  readonly #lines = new LineSplitter((line) => {
+  readonly #frameReader = new FrameReader();
+  readonly #lineSplitter = new LineSplitter((line) => {
     this.#onLine(line);
   }, MAXIMUM_LINE_BYTES);
   #controller: Dispatcher.DispatchController | undefined;
   #status = 0;
-  #refusal = "";
+  #errorBody = "";
   #paused = false;
   #cancelled = false;
   #ended = false;
@@ -102,7 +102,7 @@
     this.unpause();
     void this.#options.askToCancel().then(() => {
       setTimeout(() => {
-        this.#endCancelled();
+        this.#abortAfterCancel();
       }, this.#options.cancelGraceMilliseconds).unref();
     });
   }
@@ -127,29 +127,29 @@
     controller: Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
-    if (this.#status === SUCCESS_STATUS) {
-      this.#lines.push(chunk);
+    if (this.#status === STATUS_OK) {
+      this.#lineSplitter.push(chunk);
       return;
     }
-    this.#refusal += chunk.toString();
-    if (this.#refusal.length > MAXIMUM_REFUSAL_BYTES) {
+    this.#errorBody += chunk.toString();
+    if (this.#errorBody.length > MAXIMUM_ERROR_BODY_LENGTH) {
       controller.abort(new Error("The refusal is too large"));
     }
   }
 
   onResponseEnd(): void {
     if (this.#ended) return;
-    if (this.#status === SUCCESS_STATUS) {
+    if (this.#status === STATUS_OK) {
       this.#fail("unavailable", "unknown", "The stream stopped before its end");
       return;
     }
-    const answer = { status: this.#status, body: this.#refusal };
+    const response = { status: this.#status, body: this.#errorBody };
     const { peer } = this.#options.client;
-    this.#end(err(refusalFailure(answer, { step: this.#step(), peer })));
+    this.#end(err(failureFromResponse(response, { step: this.#step(), peer })));
   }
 
   onResponseError(_controller: unknown, error: Error): void {
-    if (error instanceof InvariantViolation) rethrowOnLoop(error);
+    if (error instanceof InvariantViolation) rethrowInMicrotask(error);
     if (this.#ended) return;
     if (error instanceof LineTooLongError) {
       this.#fail("corrupt", "unknown", error.message);
@@ -158,32 +158,34 @@
     const { peer } = this.#options.client;
     const started = this.#controller !== undefined;
     this.#end(
-      err(transportFailure(error, { step: this.#step(), peer, started })),
+      err(
+        failureFromTransportError(error, { step: this.#step(), peer, started }),
+      ),
     );
   }
 
   #onLine(line: string): void {
     if (this.#ended) return;
-    const value = this.#reader.read(line);
+    const value = this.#frameReader.read(line);
     if (isGenerationFrame(value)) {
       this.#sink.onFrame(value);
       return;
     }
-    const ending = parseEndLine(value);
-    if (ending === undefined) {
+    const endLine = parseEndLine(value);
+    if (endLine === undefined) {
       this.#fail("corrupt", "unknown", "Cannot read a line of the stream");
       this.#controller?.abort(new Error("The stream is corrupt"));
       return;
     }
-    if (ending.kind === "end") {
-      this.#end(ok(ending.end));
+    if (endLine.kind === "end") {
+      this.#end(ok(endLine.end));
       return;
     }
     const { peer } = this.#options.client;
-    this.#end(err({ ...ending.failure, step: this.#step(), peer }));
+    this.#end(err({ ...endLine.failure, step: this.#step(), peer }));
   }
 
-  #endCancelled(): void {
+  #abortAfterCancel(): void {
     if (this.#ended) return;
     this.#fail("cancelled", "unknown", "The stream went on after its cancel");
     this.#controller?.abort(new Error("The generation was cancelled"));
@@ -206,7 +208,7 @@
 }
 
 /** The transport catches what a sink throws; a broken invariant must show. */
-function rethrowOnLoop(error: InvariantViolation): void {
+function rethrowInMicrotask(error: InvariantViolation): void {
   queueMicrotask(() => {
     throw error;
   });
--- a/packages/edges/src/http/http_engine_client.ts
+++ b/packages/edges/src/http/http_engine_client.ts
@@ -19,13 +19,13 @@
 import type { HttpClientOptions } from "./client_options.ts";
 import {
   cacheEventsSchema,
-  cancelAnswerSchema,
+  cancelResponseSchema,
   engineLoadReportSchema,
   engineStateSchema,
   exportedKvCacheSchema,
 } from "./engine_schemas.ts";
 import { GenerationExchange } from "./generation_exchange.ts";
-import { callJson, emptyAnswerSchema } from "./json_call.ts";
+import { callJson, emptyResponseSchema } from "./call_json.ts";
 
 /** What the client of one engine needs. */
 export interface HttpEngineClientOptions extends HttpClientOptions {
@@ -37,9 +37,9 @@
   readonly orderTimeoutMilliseconds?: number;
 }
 
-const IDLE_TIMEOUT_MILLISECONDS = 30_000;
-const CANCEL_GRACE_MILLISECONDS = 2_000;
-const ORDER_TIMEOUT_MILLISECONDS = 60_000;
+const DEFAULT_IDLE_TIMEOUT_MILLISECONDS = 30_000;
+const DEFAULT_CANCEL_GRACE_MILLISECONDS = 2_000;
+const DEFAULT_ORDER_TIMEOUT_MILLISECONDS = 60_000;
 
 /** The edge to one model engine over HTTP. */
 export class HttpEngineClient extends EngineClient {
@@ -58,9 +58,9 @@
     const generation = new GenerationExchange(call, sink, {
       client: this.#options,
       idleTimeoutMilliseconds: this.#options.idleTimeoutMilliseconds ??
-        IDLE_TIMEOUT_MILLISECONDS,
+        DEFAULT_IDLE_TIMEOUT_MILLISECONDS,
       cancelGraceMilliseconds: this.#options.cancelGraceMilliseconds ??
-        CANCEL_GRACE_MILLISECONDS,
+        DEFAULT_CANCEL_GRACE_MILLISECONDS,
       askToCancel: () => this.cancel(call.request, call.attempt),
     });
     generation.start();
@@ -71,27 +71,27 @@
     request: RequestId,
     attempt: AttemptNumber,
   ): Promise<Result<boolean, Failure>> {
-    const answer = await callJson(this.#options, {
+    const response = await callJson(this.#options, {
       step: "cancel",
       method: "POST",
       path: "/v1/cancel",
       body: { request, attempt },
-      answer: cancelAnswerSchema,
+      responseSchema: cancelResponseSchema,
     });
-    return answer.map(({ cancelled }) => cancelled);
+    return response.map(({ cancelled }) => cancelled);
   }
 
   override order(order: EngineOrder): Promise<Result<void, Failure>> {
     return callJson({
       ...this.#options,
       timeoutMilliseconds: this.#options.orderTimeoutMilliseconds ??
-        ORDER_TIMEOUT_MILLISECONDS,
+        DEFAULT_ORDER_TIMEOUT_MILLISECONDS,
     }, {
-      step: stepOfOrder(order),
+      step: stepForOrder(order),
       method: "POST",
       path: "/v1/orders",
       body: order,
-      answer: emptyAnswerSchema,
+      responseSchema: emptyResponseSchema,
     });
   }
 
@@ -100,7 +100,7 @@
       step: "read_engine",
       method: "GET",
       path: "/v1/state",
-      answer: engineStateSchema,
+      responseSchema: engineStateSchema,
     });
   }
 
@@ -109,20 +109,20 @@
       step: "read_engine",
       method: "GET",
       path: "/v1/load",
-      answer: engineLoadReportSchema,
+      responseSchema: engineLoadReportSchema,
     });
   }
 
   override async readCacheEvents(
     after: number,
   ): Promise<Result<readonly CacheEvent[], Failure>> {
-    const answer = await callJson(this.#options, {
+    const response = await callJson(this.#options, {
       step: "read_engine",
       method: "GET",
       path: `/v1/cache-events?after=${after}`,
-      answer: cacheEventsSchema,
+      responseSchema: cacheEventsSchema,
     });
-    return answer.map(({ events }) => events);
+    return response.map(({ events }) => events);
   }
 
   override exportKvCache(
@@ -132,7 +132,7 @@
       step: "hand_over",
       method: "GET",
       path: `/v1/kv-cache?request=${encodeURIComponent(request)}`,
-      answer: exportedKvCacheSchema,
+      responseSchema: exportedKvCacheSchema,
     });
   }
 
@@ -144,12 +144,12 @@
       method: "POST",
       path: "/v1/kv-cache",
       body: cache,
-      answer: emptyAnswerSchema,
+      responseSchema: emptyResponseSchema,
     });
   }
 }
 
-function stepOfOrder(order: EngineOrder): FailureStep {
+function stepForOrder(order: EngineOrder): FailureStep {
   switch (order.kind) {
     case "load_adapter":
       return "load_adapter";
--- a/packages/edges/src/http/http_log_client.ts
+++ b/packages/edges/src/http/http_log_client.ts
@@ -3,10 +3,10 @@
 import * as z from "zod";
 import { LogClient, type LogPage } from "../log_client.ts";
 import type { HttpClientOptions } from "./client_options.ts";
-import { callJson } from "./json_call.ts";
+import { callJson } from "./call_json.ts";
 
 const offsetSchema = z.number().int().nonnegative().transform(logOffset);
-const appendAnswerSchema = z.object({ offset: offsetSchema });
+const appendResponseSchema = z.object({ offset: offsetSchema });
 const pageSchema = z.object({
   records: z.array(z.object({ offset: offsetSchema, data: z.string() })),
   tail: offsetSchema,
@@ -27,14 +27,14 @@
     stream: string,
     data: readonly string[],
   ): Promise<Result<LogOffset, Failure>> {
-    const answer = await callJson(this.#options, {
+    const response = await callJson(this.#options, {
       step: "append_log",
       method: "POST",
       path: recordsPath(stream),
       body: { records: data },
-      answer: appendAnswerSchema,
+      responseSchema: appendResponseSchema,
     });
-    return answer.map(({ offset }) => offset);
+    return response.map(({ offset }) => offset);
   }
 
   override read(
@@ -51,7 +51,7 @@
       step: "read_log",
       method: "GET",
       path: `${recordsPath(stream)}?${query}`,
-      answer: pageSchema,
+      responseSchema: pageSchema,
       extraMilliseconds: waitMilliseconds,
     });
   }
--- a/packages/edges/src/http/http_service_client.ts
+++ b/packages/edges/src/http/http_service_client.ts
@@ -22,7 +22,7 @@
 /** A server may state by this header whether the call ran. */
 export const OUTCOME_HEADER = "foxtailwind-outcome";
 
-const HOP_HEADERS: ReadonlySet<string> = new Set([
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "content-length",
   "expect",
@@ -49,7 +49,7 @@
     call: ServiceCall,
     signal: AbortSignal,
   ): Promise<Result<ServiceAnswer, Failure>> {
-    const answer = await exchange(this.#options.dispatcher, {
+    const response = await exchange(this.#options.dispatcher, {
       step: "call_service",
       peer: call.server,
       origin: `http://${call.address}`,
@@ -60,22 +60,22 @@
       timeoutMilliseconds: call.timeoutMilliseconds,
       signal,
     });
-    return answer.map(toServiceAnswer);
+    return response.map(toServiceResponse);
   }
 }
 
-function toServiceAnswer(answer: ExchangeAnswer): ServiceAnswer {
-  const statedOutcome = readOutcome(answer.headers[OUTCOME_HEADER]);
+function toServiceResponse(response: ExchangeAnswer): ServiceAnswer {
+  const statedOutcome = parseOutcome(response.headers[OUTCOME_HEADER]);
   return {
-    status: answer.status,
-    headers: toHeaderList(answer.headers),
-    body: answer.body,
-    leaving: answer.headers[LEAVING_HEADER] !== undefined,
+    status: response.status,
+    headers: toHeaderList(response.headers),
+    body: response.body,
+    leaving: response.headers[LEAVING_HEADER] !== undefined,
     ...(statedOutcome === undefined ? {} : { statedOutcome }),
   };
 }
 
-function readOutcome(
+function parseOutcome(
   value: string | string[] | undefined,
 ): RunOutcome | undefined {
   return value === "not_run" || value === "unknown" || value === "ran"
@@ -90,24 +90,24 @@
   const record: Record<string, string[]> = {};
   for (const { name, value } of headers) {
     const key = name.toLowerCase();
-    if (HOP_HEADERS.has(key)) continue;
+    if (HOP_BY_HOP_HEADERS.has(key)) continue;
     (record[key] ??= []).push(value);
   }
   return record;
 }
 
 function toHeaderList(headers: IncomingHttpHeaders): readonly Header[] {
-  const named = namedByConnection(headers.connection);
+  const connectionHeaders = parseConnectionHeader(headers.connection);
   return Object.entries(headers).flatMap(([name, value]) => {
-    if (HOP_HEADERS.has(name) && name !== "content-length") return [];
-    if (named.has(name)) return [];
+    if (HOP_BY_HOP_HEADERS.has(name) && name !== "content-length") return [];
+    if (connectionHeaders.has(name)) return [];
     const values = Array.isArray(value) ? value : [value ?? ""];
-    return values.map((one) => ({ name, value: one }));
+    return values.map((headerValue) => ({ name, value: headerValue }));
   });
 }
 
 /** `Connection` names further headers that concern one connection only. */
-function namedByConnection(value: string | undefined): ReadonlySet<string> {
+function parseConnectionHeader(value: string | undefined): ReadonlySet<string> {
   const tokens = (value ?? "").split(",");
   return new Set(tokens.map((token) => token.trim().toLowerCase()));
 }
--- a/packages/edges/src/http/http_vm_list_client.ts
+++ b/packages/edges/src/http/http_vm_list_client.ts
@@ -2,7 +2,7 @@
 import type { Result } from "neverthrow";
 import { type Vm, VmListClient } from "../vm_list_client.ts";
 import type { HttpClientOptions } from "./client_options.ts";
-import { callJson } from "./json_call.ts";
+import { callJson } from "./call_json.ts";
 import { vmListSchema } from "./vm_schema.ts";
 
 /** The edge to the platform's list of VMs over HTTP. */
@@ -16,12 +16,12 @@
   }
 
   override async read(): Promise<Result<readonly Vm[], Failure>> {
-    const answer = await callJson(this.#options, {
+    const response = await callJson(this.#options, {
       step: "read_vm_list",
       method: "GET",
       path: "/v1/vms",
-      answer: vmListSchema,
+      responseSchema: vmListSchema,
     });
-    return answer.map(({ vms }) => vms);
+    return response.map(({ vms }) => vms);
   }
 }
--- a/packages/edges/src/http/http_weight_store_client.ts
+++ b/packages/edges/src/http/http_weight_store_client.ts
@@ -9,7 +9,7 @@
 } from "../weight_store_client.ts";
 import type { HttpClientOptions } from "./client_options.ts";
 import { adapterReferenceSchema } from "./engine_schemas.ts";
-import { callJson } from "./json_call.ts";
+import { callJson } from "./call_json.ts";
 
 const weightsSchema = z.object({
   adapter: adapterReferenceSchema,
@@ -37,7 +37,7 @@
       step: "read_weight_store",
       method: "GET",
       path: adapterWeightsPath(adapter),
-      answer: weightsSchema,
+      responseSchema: weightsSchema,
     });
   }
 
@@ -46,7 +46,7 @@
       step: "read_weight_store",
       method: "GET",
       path: "/v1/limits",
-      answer: limitsSchema,
+      responseSchema: limitsSchema,
     });
   }
 }
--- a/packages/edges/src/http/line_splitter.ts
+++ b/packages/edges/src/http/line_splitter.ts
@@ -1,4 +1,4 @@
-const LINE_FEED = 10;
+const LINE_FEED_BYTE = 10;
 
 /** A line grew past the limit; the stream cannot be read on. */
 export class LineTooLongError extends Error {
@@ -15,8 +15,8 @@
 export class LineSplitter {
   readonly #onLine: (line: string) => void;
   readonly #maximumBytes: number;
-  #held: Buffer[] = [];
-  #heldBytes = 0;
+  #pendingChunks: Buffer[] = [];
+  #pendingBytes = 0;
 
   /**
    * @param onLine Receives each line that is not empty, without its end.
@@ -32,34 +32,39 @@
    * @param chunk The bytes; they are held on to, not copied.
    */
   push(chunk: Buffer): void {
-    const lastEnd = chunk.lastIndexOf(LINE_FEED);
-    if (lastEnd < 0) {
-      this.#hold(chunk);
+    const lastLineFeed = chunk.lastIndexOf(LINE_FEED_BYTE);
+    if (lastLineFeed < 0) {
+      this.#keepPending(chunk);
       return;
     }
-    const text = this.#takeHeldWith(chunk, lastEnd);
-    if (lastEnd + 1 < chunk.length) this.#hold(chunk.subarray(lastEnd + 1));
+    const text = this.#takePendingText(chunk, lastLineFeed);
+    if (lastLineFeed + 1 < chunk.length) {
+      this.#keepPending(chunk.subarray(lastLineFeed + 1));
+    }
     this.#emitLines(text);
   }
 
   /** Bytes of the line that is not yet complete. */
   get pendingBytes(): number {
-    return this.#heldBytes;
+    return this.#pendingBytes;
   }
 
-  #hold(rest: Buffer): void {
-    this.#heldBytes += rest.length;
-    if (this.#heldBytes > this.#maximumBytes) {
+  #keepPending(chunk: Buffer): void {
+    this.#pendingBytes += chunk.length;
+    if (this.#pendingBytes > this.#maximumBytes) {
       throw new LineTooLongError(this.#maximumBytes);
     }
-    this.#held.push(rest);
+    this.#pendingChunks.push(chunk);
   }
 
-  #takeHeldWith(chunk: Buffer, end: number): string {
-    if (this.#heldBytes === 0) return chunk.toString("utf8", 0, end);
-    const bytes = Buffer.concat([...this.#held, chunk.subarray(0, end)]);
-    this.#held = [];
-    this.#heldBytes = 0;
+  #takePendingText(chunk: Buffer, end: number): string {
+    if (this.#pendingBytes === 0) return chunk.toString("utf8", 0, end);
+    const bytes = Buffer.concat([
+      ...this.#pendingChunks,
+      chunk.subarray(0, end),
+    ]);
+    this.#pendingChunks = [];
+    this.#pendingBytes = 0;
     return bytes.toString("utf8");
   }
 
--- a/packages/edges/src/http/stated_failure.ts
+++ b/packages/edges/src/http/stated_failure.ts
@@ -26,7 +26,7 @@
 export type StatedFailure = Readonly<z.infer<typeof statedFailureSchema>>;
 
 /** The step and the peer of a refused call. */
-export interface RefusedCall {
+export interface FailedCall {
   readonly step: FailureStep;
   readonly peer: string;
 }
@@ -34,20 +34,20 @@
 /**
  * Reads the failure out of an answer whose status is not a success. An
  * outcome counts only where the peer states it.
- * @param answer The status and the body.
+ * @param response The status and the body.
  * @param call The step and the peer.
  * @returns The failure.
  */
-export function refusalFailure(
-  answer: { readonly status: number; readonly body: string },
-  call: RefusedCall,
+export function failureFromResponse(
+  response: { readonly status: number; readonly body: string },
+  call: FailedCall,
 ): Failure {
-  const stated = statedFailureSchema.safeParse(parseJson(answer.body));
+  const stated = statedFailureSchema.safeParse(parseJson(response.body));
   if (stated.success) return { ...stated.data, ...call };
   return {
     ...call,
-    reason: reasonOfStatus(answer.status),
-    message: `Cannot use the answer with status ${answer.status}`,
+    reason: reasonForStatus(response.status),
+    message: `Cannot use the answer with status ${response.status}`,
     outcome: "unknown",
   };
 }
@@ -65,7 +65,7 @@
   }
 }
 
-function reasonOfStatus(status: number): FailureReason {
+function reasonForStatus(status: number): FailureReason {
   switch (status) {
     case 400:
       return "invalid";
--- a/packages/edges/src/http/transport_failure.ts
+++ b/packages/edges/src/http/transport_error.ts
@@ -1,7 +1,7 @@
 import type { Failure, FailureReason, FailureStep } from "@foxtailwind/core";
 
 /** Where an exchange stood when its transport failed. */
-export interface TransportFailureOptions {
+export interface TransportErrorContext {
   readonly step: FailureStep;
   readonly peer: string;
   /** Whether any byte of the request may have been written. */
@@ -21,23 +21,23 @@
  * first byte was never handed to a connection has certainly not run; of any
  * other nothing is known.
  * @param error What the transport reported.
- * @param options Where the exchange stood.
+ * @param context Where the exchange stood.
  * @returns The failure.
  */
-export function transportFailure(
+export function failureFromTransportError(
   error: Error,
-  options: TransportFailureOptions,
+  context: TransportErrorContext,
 ): Failure {
   return {
-    reason: reasonOf(error),
-    step: options.step,
-    peer: options.peer,
+    reason: reasonForError(error),
+    step: context.step,
+    peer: context.peer,
     message: `Cannot complete the exchange: ${error.message}`,
-    outcome: options.started ? "unknown" : "not_run",
+    outcome: context.started ? "unknown" : "not_run",
   };
 }
 
-function reasonOf(error: Error): FailureReason {
+function reasonForError(error: Error): FailureReason {
   if (error.name === "AbortError") return "cancelled";
   if (!("code" in error) || typeof error.code !== "string") {
     return "unavailable";
--- a/packages/edges/src/prompt_prefix.ts
+++ b/packages/edges/src/prompt_prefix.ts
@@ -8,8 +8,8 @@
   readonly tokens: number;
 }
 
-const CHARACTERS_PER_TOKEN = 4;
-const HASH_LENGTH = 16;
+const ESTIMATED_CHARACTERS_PER_TOKEN = 4;
+const HASH_HEX_DIGITS = 16;
 
 /**
  * Names each prefix of a prompt as cache events do.
@@ -25,8 +25,8 @@
     hash.update(`${role}:${content.length}:${content}`);
     characters += content.length;
     return {
-      hash: hash.copy().digest("hex").slice(0, HASH_LENGTH),
-      tokens: Math.ceil(characters / CHARACTERS_PER_TOKEN),
+      hash: hash.copy().digest("hex").slice(0, HASH_HEX_DIGITS),
+      tokens: Math.ceil(characters / ESTIMATED_CHARACTERS_PER_TOKEN),
     };
   });
 }
--- a/packages/edges/tests/after_pending_input_test.ts
+++ b/packages/edges/tests/after_pending_input_test.ts
@@ -4,28 +4,28 @@
 import { type AddressInfo, createServer, type Socket } from "node:net";
 import { Pool } from "undici";
 
-const ANSWER = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nwell";
-const LIMIT = 150;
-const STALL = 400;
+const RESPONSE = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nwell";
+const LIMIT_MILLISECONDS = 150;
+const STALL_MILLISECONDS = 400;
 
 /** Connections to a server that answers, and then keeps the process busy. */
-function stallBehindAnswer(t: ExecutionContext): Promise<Pool> {
-  return connectTo(t, (socket) => {
+function connectToStallingServer(t: ExecutionContext): Promise<Pool> {
+  return connectToServer(t, (socket) => {
     socket.on("error", () => undefined);
     socket.once("data", () => {
-      socket.write(ANSWER);
-      const until = performance.now() + STALL;
+      socket.write(RESPONSE);
+      const until = performance.now() + STALL_MILLISECONDS;
       while (performance.now() < until);
     });
   });
 }
 
 /** Connections to a server that takes them as a test says. */
-async function connectTo(
+async function connectToServer(
   t: ExecutionContext,
-  take: (socket: Socket) => void,
+  onConnection: (socket: Socket) => void,
 ): Promise<Pool> {
-  const server = createServer(take);
+  const server = createServer(onConnection);
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as AddressInfo;
   const pool = new Pool(`http://127.0.0.1:${port}`);
@@ -38,34 +38,34 @@
 
 // Guards against calls given up as unanswered whose answer was not read yet.
 test.serial("an answer that came before a call's limit counts after a stall", async (t) => {
-  const pool = await stallBehindAnswer(t);
+  const pool = await connectToStallingServer(t);
   const answer = await exchange(pool, {
     step: "read_engine",
     peer: "engine",
     origin: "http://127.0.0.1",
     method: "GET",
     path: "/",
-    timeoutMilliseconds: LIMIT,
+    timeoutMilliseconds: LIMIT_MILLISECONDS,
   });
   t.is(answer._unsafeUnwrap().body.toString(), "well");
 });
 
 test.serial("a signal at a limit ends no call whose answer has come", async (t) => {
-  const pool = await stallBehindAnswer(t);
+  const pool = await connectToStallingServer(t);
   const answer = await pool.request({
     method: "GET",
     path: "/",
-    signal: inputTimeout(LIMIT),
+    signal: inputTimeout(LIMIT_MILLISECONDS),
   });
   t.is(await answer.body.text(), "well");
 });
 
 test.serial("a signal at a limit ends a call without an answer", async (t) => {
-  const pool = await connectTo(t, () => undefined);
+  const pool = await connectToServer(t, () => undefined);
   const call = pool.request({
     method: "GET",
     path: "/",
-    signal: inputTimeout(LIMIT),
+    signal: inputTimeout(LIMIT_MILLISECONDS),
   });
   await t.throwsAsync(call, { message: "No answer came in time." });
 });
--- a/packages/edges/tests/bounded_signal_test.ts
+++ b/packages/edges/tests/bounded_signal_test.ts
@@ -2,27 +2,27 @@
 import test from "ava";
 import { setTimeout as sleep } from "node:timers/promises";
 
-const LIMIT = 50;
+const LIMIT_MILLISECONDS = 50;
 
 test("a bounded signal ends at its limit, or with the other signal", async (t) => {
   const parent = new AbortController();
-  const atLimit = new BoundedSignal(parent.signal, LIMIT);
+  const atLimit = new BoundedSignal(parent.signal, LIMIT_MILLISECONDS);
   const withParent = new BoundedSignal(parent.signal, 60_000);
-  await sleep(2 * LIMIT);
+  await sleep(2 * LIMIT_MILLISECONDS);
   t.deepEqual([atLimit.signal.aborted, withParent.signal.aborted], [
     true,
     false,
   ]);
   parent.abort();
   t.true(withParent.signal.aborted);
-  t.true(new BoundedSignal(parent.signal, LIMIT).signal.aborted);
+  t.true(new BoundedSignal(parent.signal, LIMIT_MILLISECONDS).signal.aborted);
 });
 
 test("a bounded signal that is released never ends", async (t) => {
   const parent = new AbortController();
-  const bounded = new BoundedSignal(parent.signal, LIMIT);
+  const bounded = new BoundedSignal(parent.signal, LIMIT_MILLISECONDS);
   bounded.release();
   parent.abort();
-  await sleep(2 * LIMIT);
+  await sleep(2 * LIMIT_MILLISECONDS);
   t.false(bounded.signal.aborted);
 });
--- a/packages/edges/tests/helpers/collecting_sink.ts
+++ b/packages/edges/tests/helpers/collecting_sink.ts
@@ -13,7 +13,9 @@
   ends = 0;
   #resolveEnd: (result: Result<GenerationEnd, Failure>) => void = () =>
     undefined;
-  #wanted: { readonly count: number; readonly reached: () => void } | undefined;
+  #pendingWait:
+    | { readonly count: number; readonly reached: () => void }
+    | undefined;
 
   constructor() {
     super();
@@ -24,7 +26,9 @@
 
   override onFrame(frame: GenerationFrame): void {
     this.frames.push(frame);
-    if (this.frames.length === this.#wanted?.count) this.#wanted.reached();
+    if (this.frames.length === this.#pendingWait?.count) {
+      this.#pendingWait.reached();
+    }
   }
 
   override onEnd(result: Result<GenerationEnd, Failure>): void {
@@ -41,7 +45,7 @@
   async gather(count: number): Promise<void> {
     if (this.frames.length >= count) return;
     const reached = new Promise<boolean>((resolve) => {
-      this.#wanted = {
+      this.#pendingWait = {
         count,
         reached: () => {
           resolve(true);
--- a/packages/edges/tests/http/frame_reader_test.ts
+++ b/packages/edges/tests/http/frame_reader_test.ts
@@ -2,9 +2,9 @@
 import test from "ava";
 import fc from "fast-check";
 
-const RUNS = { seed: 20_250_102, numRuns: 500 } as const;
+const PROPERTY_OPTIONS = { seed: 20_250_102, numRuns: 500 } as const;
 
-const HEADS = [
+const PREFIXES = [
   '{"request":"r","attempt":1,"adapter":{"adapter":"a","version":"1"}',
   '{"request":"s","attempt":1,"adapter":{"adapter":"a","version":"1"}',
   '{"request":"r","attempt":2,"adapter":{"adapter":"a","version":"2"}',
@@ -15,7 +15,7 @@
   '{"request":"r","attempt":1,"x":1,"adapter":{"adapter":"a","version":"1"}',
 ];
 
-const TAILS = [
+const SUFFIXES = [
   ',"sequence":0,"tokens":["a"]}',
   ',"sequence":12,"tokens":["a","b,\\"tokens\\":"]}',
   ',"sequence":12,"tokens":[]}',
@@ -36,7 +36,7 @@
   "}",
 ];
 
-function parse(line: string): unknown {
+function parseOrUndefined(line: string): unknown {
   try {
     return JSON.parse(line);
   } catch {
@@ -46,22 +46,24 @@
 
 test("a reader gives what parsing each whole line gives", (t) => {
   const line = fc.tuple(
-    fc.constantFrom(...HEADS),
-    fc.constantFrom(...TAILS),
+    fc.constantFrom(...PREFIXES),
+    fc.constantFrom(...SUFFIXES),
   ).map(([head, tail]) => head + tail);
   fc.assert(
     fc.property(fc.array(line, { maxLength: 20 }), (lines) => {
       const reader = new FrameReader();
-      for (const text of lines) t.deepEqual(reader.read(text), parse(text));
+      for (const text of lines) {
+        t.deepEqual(reader.read(text), parseOrUndefined(text));
+      }
     }),
-    RUNS,
+    PROPERTY_OPTIONS,
   );
 });
 
 test("frames share the head that was learnt from the first", (t) => {
   const reader = new FrameReader();
   const lines = ["1", "2", "3"].map((sequence) =>
-    `${HEADS[0] ?? ""},"sequence":${sequence},"tokens":["a"]}`
+    `${PREFIXES[0] ?? ""},"sequence":${sequence},"tokens":["a"]}`
   );
   const [, second, third] = lines.map((text) =>
     reader.read(text) as GenerationFrame
--- a/packages/edges/tests/http/http_engine_client_test.ts
+++ b/packages/edges/tests/http/http_engine_client_test.ts
@@ -10,7 +10,10 @@
 import { CollectingSink } from "../helpers/collecting_sink.ts";
 import { findClosedAddress, startRawServer } from "../helpers/raw_server.ts";
 
-function clientOf(t: ExecutionContext, baseAddress: string): HttpEngineClient {
+function createClient(
+  t: ExecutionContext,
+  baseAddress: string,
+): HttpEngineClient {
   const dispatcher = createDispatcher();
   t.teardown(() => dispatcher.destroy());
   return new HttpEngineClient({
@@ -21,14 +24,14 @@
   });
 }
 
-async function answeredBy(
+async function generateWith(
   t: ExecutionContext,
   answer: RequestListener,
 ): Promise<CollectingSink> {
   const server = await startRawServer(answer);
   t.teardown(server.close);
   const sink = new CollectingSink();
-  clientOf(t, server.address).generate(callOf("r"), sink);
+  createClient(t, server.address).generate(callOf("r"), sink);
   await sink.ended;
   return sink;
 }
@@ -47,7 +50,7 @@
 
 test("a refused connection has not run", async (t) => {
   const sink = new CollectingSink();
-  clientOf(t, await findClosedAddress()).generate(callOf("r"), sink);
+  createClient(t, await findClosedAddress()).generate(callOf("r"), sink);
   const failure = (await sink.ended)._unsafeUnwrapErr();
   t.like(failure, {
     reason: "unavailable",
@@ -58,7 +61,7 @@
 });
 
 test("a stated refusal counts as it is stated", async (t) => {
-  const sink = await answeredBy(t, (_request, response) => {
+  const sink = await generateWith(t, (_request, response) => {
     response.writeHead(429).end(JSON.stringify({
       reason: "overloaded",
       message: "Too many",
@@ -71,7 +74,7 @@
 });
 
 test("a refusal that states nothing leaves the outcome unknown", async (t) => {
-  const sink = await answeredBy(t, (_request, response) => {
+  const sink = await generateWith(t, (_request, response) => {
     response.writeHead(503).end("<html>");
   });
   const failure = (await sink.ended)._unsafeUnwrapErr();
@@ -79,13 +82,13 @@
 });
 
 test("a connection lost after the request was sent is unknown", async (t) => {
-  const sink = await answeredBy(t, (request) => request.socket.destroy());
+  const sink = await generateWith(t, (request) => request.socket.destroy());
   const failure = (await sink.ended)._unsafeUnwrapErr();
   t.like(failure, { reason: "unavailable", outcome: "unknown" });
 });
 
 test("a stream that stops before its end is no whole answer", async (t) => {
-  const sink = await answeredBy(t, (_request, response) => {
+  const sink = await generateWith(t, (_request, response) => {
     response.writeHead(200).end(frameLine(0));
   });
   const failure = (await sink.ended)._unsafeUnwrapErr();
@@ -95,7 +98,7 @@
 
 test("a line that is neither frame nor end is corrupt", async (t) => {
   for (const line of ["[", "{}", '{"sequence":0,"tokens":[1]}']) {
-    const sink = await answeredBy(t, (_request, response) => {
+    const sink = await generateWith(t, (_request, response) => {
       response.writeHead(200).write(`${frameLine(0)}${line}\n${frameLine(2)}`);
     });
     const failure = (await sink.ended)._unsafeUnwrapErr();
@@ -105,7 +108,7 @@
 });
 
 test("frames come out whole when their bytes come singly", async (t) => {
-  const sink = await answeredBy(t, (_request, response) => {
+  const sink = await generateWith(t, (_request, response) => {
     response.writeHead(200);
     for (const byte of Buffer.from(frameLine(0) + frameLine(2))) {
       response.write(Buffer.of(byte));
@@ -122,7 +125,7 @@
     response.end();
   });
   t.teardown(server.close);
-  const client = clientOf(t, server.address);
+  const client = createClient(t, server.address);
   const sink = new CollectingSink();
   client.generate(callOf("r"), sink).cancel();
   const failure = (await sink.ended)._unsafeUnwrapErr();
@@ -139,7 +142,7 @@
   });
   t.teardown(server.close);
   const sink = new CollectingSink();
-  const handle = clientOf(t, server.address).generate(callOf("r"), sink);
+  const handle = createClient(t, server.address).generate(callOf("r"), sink);
   await sink.gather(1);
   handle.cancel();
   const failure = (await sink.ended)._unsafeUnwrapErr();
@@ -151,7 +154,7 @@
     response.end('{"engine":1}');
   });
   t.teardown(server.close);
-  const state = await clientOf(t, server.address).readState();
+  const state = await createClient(t, server.address).readState();
   t.like(state._unsafeUnwrapErr(), { reason: "corrupt", step: "read_engine" });
 });
 
@@ -174,7 +177,7 @@
   });
   t.teardown(server.close);
   const sink = new CollectingSink();
-  const handle = clientOf(t, server.address).generate(callOf("r"), sink);
+  const handle = createClient(t, server.address).generate(callOf("r"), sink);
   await sink.gather(1);
   handle.pause();
   let before = -1;
--- a/packages/edges/tests/http/http_service_client_test.ts
+++ b/packages/edges/tests/http/http_service_client_test.ts
@@ -8,13 +8,13 @@
 import type { Socket } from "node:net";
 import { findClosedAddress, startRawServer } from "../helpers/raw_server.ts";
 
-function clientOf(t: ExecutionContext): HttpServiceClient {
+function createClient(t: ExecutionContext): HttpServiceClient {
   const dispatcher = createDispatcher();
   t.teardown(() => dispatcher.destroy());
   return new HttpServiceClient({ dispatcher });
 }
 
-function callTo(address: string): ServiceCall {
+function createCall(address: string): ServiceCall {
   return {
     server: backendServerId("server-1"),
     address: new URL(address).host,
@@ -37,7 +37,7 @@
   });
   t.teardown(server.close);
   const signal = new AbortController().signal;
-  const result = await clientOf(t).call(callTo(server.address), signal);
+  const result = await createClient(t).call(createCall(server.address), signal);
   const answer = result._unsafeUnwrap();
   t.like(answer, { status: 418, leaving: true });
   t.is(Buffer.from(answer.body).toString(), "/bookings?day=1 one, two");
@@ -45,12 +45,15 @@
 
 test("only a call whose connection failed has not run", async (t) => {
   const signal = new AbortController().signal;
-  const closed = callTo(await findClosedAddress());
-  const refused = await clientOf(t).call(closed, signal);
+  const closed = createCall(await findClosedAddress());
+  const refused = await createClient(t).call(closed, signal);
   t.is(refused._unsafeUnwrapErr().outcome, "not_run");
   const server = await startRawServer((request) => request.socket.destroy());
   t.teardown(server.close);
-  const dropped = await clientOf(t).call(callTo(server.address), signal);
+  const dropped = await createClient(t).call(
+    createCall(server.address),
+    signal,
+  );
   t.is(dropped._unsafeUnwrapErr().outcome, "unknown");
 });
 
@@ -60,17 +63,23 @@
     abort.abort();
   });
   t.teardown(server.close);
-  const late = await clientOf(t).call(callTo(server.address), abort.signal);
+  const late = await createClient(t).call(
+    createCall(server.address),
+    abort.signal,
+  );
   t.like(late._unsafeUnwrapErr(), { reason: "cancelled", outcome: "unknown" });
-  const early = await clientOf(t).call(callTo(server.address), abort.signal);
+  const early = await createClient(t).call(
+    createCall(server.address),
+    abort.signal,
+  );
   t.like(early._unsafeUnwrapErr(), { reason: "cancelled", outcome: "not_run" });
 });
 
 test("an answer that takes too long is a timeout", async (t) => {
   const server = await startRawServer(() => undefined);
   t.teardown(server.close);
-  const call = { ...callTo(server.address), timeoutMilliseconds: 50 };
-  const result = await clientOf(t).call(call, new AbortController().signal);
+  const call = { ...createCall(server.address), timeoutMilliseconds: 50 };
+  const result = await createClient(t).call(call, new AbortController().signal);
   t.like(result._unsafeUnwrapErr(), { reason: "timeout", outcome: "unknown" });
 });
 
@@ -91,7 +100,10 @@
     });
     t.teardown(server.close);
     const signal = new AbortController().signal;
-    const result = await clientOf(t).call(callTo(server.address), signal);
+    const result = await createClient(t).call(
+      createCall(server.address),
+      signal,
+    );
     t.is(result._unsafeUnwrapErr().outcome, "unknown");
   });
 }
@@ -107,12 +119,12 @@
     else socket.write(answer("first") + answer("again"));
   });
   t.teardown(server.close);
-  const client = clientOf(t);
+  const client = createClient(t);
   const { signal } = new AbortController();
   const bodies: string[] = [];
   for (const path of ["/one", "/two"]) {
     const result = await client.call(
-      { ...callTo(server.address), path, headers: [] },
+      { ...createCall(server.address), path, headers: [] },
       signal,
     );
     const body = result.map((answer) => Buffer.from(answer.body).toString());
--- a/packages/edges/tests/http/line_splitter_test.ts
+++ b/packages/edges/tests/http/line_splitter_test.ts
@@ -2,21 +2,27 @@
 import test from "ava";
 import fc from "fast-check";
 
-const RUNS = { seed: 20_250_101, numRuns: 300 } as const;
-const LIMIT = 1_024;
+const PROPERTY_OPTIONS = { seed: 20_250_101, numRuns: 300 } as const;
+const MAXIMUM_LINE_BYTES = 1_024;
 
-function split(chunks: readonly Buffer[]): readonly string[] {
+function splitIntoLines(chunks: readonly Buffer[]): readonly string[] {
   const lines: string[] = [];
-  const splitter = new LineSplitter((line) => lines.push(line), LIMIT);
+  const splitter = new LineSplitter(
+    (line) => lines.push(line),
+    MAXIMUM_LINE_BYTES,
+  );
   for (const chunk of chunks) splitter.push(chunk);
   return lines;
 }
 
-function cut(bytes: Buffer, borders: readonly number[]): readonly Buffer[] {
-  const places = borders.map((border) => border % (bytes.length + 1));
-  const ordered = [0, ...places.sort((a, b) => a - b), bytes.length];
-  return ordered.slice(1).map((end, index) =>
-    bytes.subarray(ordered[index], end)
+function splitAt(
+  bytes: Buffer,
+  cutPoints: readonly number[],
+): readonly Buffer[] {
+  const offsets = cutPoints.map((border) => border % (bytes.length + 1));
+  const boundaries = [0, ...offsets.sort((a, b) => a - b), bytes.length];
+  return boundaries.slice(1).map((end, index) =>
+    bytes.subarray(boundaries[index], end)
   );
 }
 
@@ -29,18 +35,23 @@
       fc.array(fc.nat(), { maxLength: 12 }),
       (lines, borders) => {
         const bytes = Buffer.from(lines.map((text) => `${text}\n`).join(""));
-        t.deepEqual(split(cut(bytes, borders)), lines);
+        t.deepEqual(splitIntoLines(splitAt(bytes, borders)), lines);
       },
     ),
-    RUNS,
+    PROPERTY_OPTIONS,
   );
 });
 
 test("empty lines are left out and an open line is held back", (t) => {
-  t.deepEqual(split([Buffer.from("\n\none\n\ntwo\nopen")]), ["one", "two"]);
+  t.deepEqual(splitIntoLines([Buffer.from("\n\none\n\ntwo\nopen")]), [
+    "one",
+    "two",
+  ]);
 });
 
 test("a line past the limit stops the reading", (t) => {
-  const chunk = Buffer.alloc(LIMIT, "x");
-  t.throws(() => split([chunk, chunk]), { instanceOf: LineTooLongError });
+  const chunk = Buffer.alloc(MAXIMUM_LINE_BYTES, "x");
+  t.throws(() => splitIntoLines([chunk, chunk]), {
+    instanceOf: LineTooLongError,
+  });
 });
