--- a/packages/cli/src/client/node_client.ts
+++ b/packages/cli/src/client/node_client.ts
@@ -10,12 +10,12 @@
 const STATUSES_PER_CLASS = 100;
 
 /** A call to a node's operators' interface. */
-export interface NodeCall<Answer> {
+export interface NodeCall<ResponseBody> {
   readonly method: "GET" | "POST" | "PUT" | "DELETE";
   /** The path below `/v1/operators/`. */
   readonly path: string;
   readonly body?: unknown;
-  readonly responseSchema: z.ZodType<Answer>;
+  readonly responseSchema: z.ZodType<ResponseBody>;
 }
 
 /** Calls the operators' interface of one node. */
@@ -40,10 +40,10 @@
    * @param responseSchema The form of the answer.
    * @returns The checked answer, or why there is none.
    */
-  get<Answer>(
+  get<ResponseBody>(
     path: string,
-    responseSchema: z.ZodType<Answer>,
-  ): Promise<Result<Answer, CommandFailure>> {
+    responseSchema: z.ZodType<ResponseBody>,
+  ): Promise<Result<ResponseBody, CommandFailure>> {
     return this.call({ method: "GET", path, responseSchema });
   }
 
@@ -52,9 +52,9 @@
    * @param call The call.
    * @returns The checked answer, or why there is none.
    */
-  async call<Answer>(
-    call: NodeCall<Answer>,
-  ): Promise<Result<Answer, CommandFailure>> {
+  async call<ResponseBody>(
+    call: NodeCall<ResponseBody>,
+  ): Promise<Result<ResponseBody, CommandFailure>> {
     try {
       const response = await request(
         `${this.#origin}/v1/operators/${call.path}`,
--- a/packages/cli/src/commands/adapters.ts
+++ b/packages/cli/src/commands/adapters.ts
@@ -36,12 +36,15 @@
       limit: String(options.limit),
       ...(options.model !== undefined && { model: options.model }),
     });
-    const answer = await client.get(`adapters?${query.toString()}`, listSchema);
-    return answer.map((found) => ({
-      json: found,
+    const response = await client.get(
+      `adapters?${query.toString()}`,
+      listSchema,
+    );
+    return response.map((body) => ({
+      json: body,
       text: formatTable(
         ["adapter", "model", "versions", "current", "changed at", "by"],
-        found.adapters.map((row) => [
+        body.adapters.map((row) => [
           row.adapter,
           row.model,
           row.versions.join(" "),
@@ -49,7 +52,7 @@
           row.version,
           row.author,
         ]),
-      ) + `\n${found.adapters.length} of ${found.total}.`,
+      ) + `\n${body.adapters.length} of ${body.total}.`,
     }));
   },
 });
--- a/packages/cli/src/commands/configuration_diff.ts
+++ b/packages/cli/src/commands/configuration_diff.ts
@@ -12,8 +12,8 @@
   async run(options, client) {
     const changes = loadConfigurationFile(options.file);
     if (changes.isErr()) return err(changes.error);
-    const found = await readDifferences(client, changes.value);
-    return found.map((differences) => ({
+    const response = await readDifferences(client, changes.value);
+    return response.map((differences) => ({
       json: differences,
       text: formatDifferences(differences),
     }));
--- a/packages/cli/src/commands/configuration_history.ts
+++ b/packages/cli/src/commands/configuration_history.ts
@@ -22,15 +22,15 @@
   options: (parser) =>
     parser.option("limit", { type: "number", default: DEFAULT_LIMIT }),
   async run(options, client) {
-    const answer = await client.get(
+    const response = await client.get(
       `configuration/history?limit=${options.limit}`,
       historySchema,
     );
-    return answer.map((found) => ({
-      json: found,
+    return response.map((body) => ({
+      json: body,
       text: formatTable(
         ["offset", "by", "items", "verdict", "won by", "change"],
-        found.changes.map((row) => [
+        body.changes.map((row) => [
           row.offset,
           row.author,
           row.summary,
--- a/packages/cli/src/commands/configuration_publish.ts
+++ b/packages/cli/src/commands/configuration_publish.ts
@@ -30,9 +30,9 @@
   async run(options, client) {
     const changes = loadConfigurationFile(options.file);
     if (changes.isErr()) return err(changes.error);
-    const found = await readDifferences(client, changes.value);
-    if (found.isErr()) return err(found.error);
-    const differences = found.value;
+    const response = await readDifferences(client, changes.value);
+    if (response.isErr()) return err(response.error);
+    const differences = response.value;
     if (options.dryRun || differences.differences.length === 0) {
       return ok({ json: differences, text: formatDifferences(differences) });
     }
@@ -50,24 +50,24 @@
   const changes = differences.differences.map((row) => row.change);
   const accepted: PublishResponse[] = [];
   for (
-    let from = 0;
-    from < changes.length;
-    from += MAXIMUM_CHANGES_PER_RECORD
+    let start = 0;
+    start < changes.length;
+    start += MAXIMUM_CHANGES_PER_RECORD
   ) {
-    const answer = await publishUntilConfirmed(client, {
-      id: from === 0 ? id : `${id}.${from / MAXIMUM_CHANGES_PER_RECORD}`,
+    const response = await publishUntilConfirmed(client, {
+      id: start === 0 ? id : `${id}.${start / MAXIMUM_CHANGES_PER_RECORD}`,
       author: options.author,
       base,
-      changes: changes.slice(from, from + MAXIMUM_CHANGES_PER_RECORD),
+      changes: changes.slice(start, start + MAXIMUM_CHANGES_PER_RECORD),
     });
-    if (answer.isErr()) {
-      const { message } = answer.error;
-      const before = accepted.length === 0
+    if (response.isErr()) {
+      const { message } = response.error;
+      const acceptedNote = accepted.length === 0
         ? ""
         : ` ${accepted.length} records before it were accepted.`;
-      return err({ ...answer.error, message: message + before });
+      return err({ ...response.error, message: message + acceptedNote });
     }
-    accepted.push(answer.value);
+    accepted.push(response.value);
   }
   const last = accepted.at(-1)?.offset ?? base;
   return ok({
--- a/packages/cli/src/commands/configuration_status.ts
+++ b/packages/cli/src/commands/configuration_status.ts
@@ -21,11 +21,11 @@
   describe: "Show the offset in force at each node",
   options: (parser) => parser,
   async run(_options, client) {
-    const answer = await client.get("configuration/status", statusSchema);
-    return answer.map((found) => {
+    const response = await client.get("configuration/status", statusSchema);
+    return response.map((body) => {
       const table = formatTable(
         ["node", "state", "offset", "behind", "corrupt", "reads from", "note"],
-        found.nodes.map((row) => [
+        body.nodes.map((row) => [
           row.node,
           row.state,
           row.offset,
@@ -35,10 +35,10 @@
           row.note,
         ]),
       );
-      const unreachable = found.nodes
+      const unreachable = body.nodes
         .filter((row) => row.state === "unreachable").map((row) => row.node);
       return {
-        json: found,
+        json: body,
         text: unreachable.length === 0
           ? table
           : `${table}\nUnreachable: ${unreachable.join(", ")}.`,
--- a/packages/cli/src/commands/drain.ts
+++ b/packages/cli/src/commands/drain.ts
@@ -14,12 +14,12 @@
     "finishes what is in progress",
   options: (parser) => parser,
   async run(_options, client) {
-    const answer = await client.call({
+    const response = await client.call({
       method: "POST",
       path: "drain",
       responseSchema: drainSchema,
     });
-    return answer.map((drain) => ({
+    return response.map((drain) => ({
       json: drain,
       text:
         `${drain.node} is ${drain.state}, ${drain.in_progress} in progress.`,
--- a/packages/cli/src/commands/engines.ts
+++ b/packages/cli/src/commands/engines.ts
@@ -19,12 +19,12 @@
   describe: "List the model engines",
   options: (parser) => parser,
   async run(_options, client) {
-    const answer = await client.get("engines", enginesSchema);
-    return answer.map((found) => ({
-      json: found,
+    const response = await client.get("engines", enginesSchema);
+    return response.map((body) => ({
+      json: body,
       text: formatTable(
         ["engine", "address", "model", "failure domain", "state", "fencing"],
-        found.engines.map((row) => [
+        body.engines.map((row) => [
           row.engine,
           row.address,
           row.model,
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -62,24 +62,24 @@
       `explanations/${encodeURIComponent(options.request)}`,
       explanationsSchema,
     );
-    return response.map((found) => ({
-      json: found,
-      text: formatExplanations(found),
+    return response.map((body) => ({
+      json: body,
+      text: formatExplanations(body),
     }));
   },
 });
 
 async function explainFromLogs(
   files: readonly string[],
-  request: string,
+  requestId: string,
 ): Promise<CommandResult> {
-  const lines = await readLogs(files, request);
+  const lines = await readLogs(files, requestId);
   if (lines.isErr()) return err(lines.error);
-  const explanation = explainRequest(lines.value, request);
+  const explanation = explainRequest(lines.value, requestId);
   if (explanation === undefined) {
     return err({
       code: EXIT_CODE.notFound,
-      message: `No line says that request ${request} ended.`,
+      message: `No line says that request ${requestId} ended.`,
       remedy: "Give the logs of all nodes, from before the request's arrival.",
     });
   }
--- a/packages/cli/src/commands/histograms.ts
+++ b/packages/cli/src/commands/histograms.ts
@@ -63,20 +63,20 @@
         describe: "Print a page that needs nothing else",
       }),
   async run(options, client) {
-    const answer = await client.get(
+    const response = await client.get(
       `histograms?window=${options.window}`,
       histogramsSchema,
     );
-    return answer.map((found) => {
-      const rows = found.rows.filter((row) =>
+    return response.map((body) => {
+      const rows = body.rows.filter((row) =>
         (options.class ?? row.class) === row.class &&
         (options.tenants || row.tenant === "(all)")
       );
-      const shown = { ...found, rows };
+      const filtered = { ...body, rows };
       const text = options.html
-        ? formatHistogramPage(shown)
-        : formatHistogramText(shown);
-      return { json: shown, text };
+        ? formatHistogramPage(filtered)
+        : formatHistogramText(filtered);
+      return { json: filtered, text };
     });
   },
 });
--- a/packages/cli/src/commands/nodes.ts
+++ b/packages/cli/src/commands/nodes.ts
@@ -18,12 +18,12 @@
   describe: "List the nodes",
   options: (parser) => parser,
   async run(_options, client) {
-    const answer = await client.get("nodes", nodesSchema);
-    return answer.map((found) => ({
-      json: found,
+    const response = await client.get("nodes", nodesSchema);
+    return response.map((body) => ({
+      json: body,
       text: formatTable(
         ["node", "address", "region", "failure domain", "state"],
-        found.nodes.map((row) => [
+        body.nodes.map((row) => [
           row.node,
           row.address,
           row.region,
--- a/packages/cli/src/commands/target_options.ts
+++ b/packages/cli/src/commands/target_options.ts
@@ -21,7 +21,7 @@
 export type LatencyTarget = z.output<typeof latencyTargetSchema>;
 
 /** The columns that show a target. */
-export const TARGET_COLUMNS = [
+export const TARGET_COLUMN_NAMES = [
   "first token ms",
   "between tokens ms",
   "whole answer ms",
@@ -69,7 +69,7 @@
 }
 
 /**
- * Gives a target as cells of {@link TARGET_COLUMNS}.
+ * Gives a target as cells of {@link TARGET_COLUMN_NAMES}.
  * @param target The target.
  * @returns The cells.
  */
--- a/packages/cli/src/commands/targeted_group.ts
+++ b/packages/cli/src/commands/targeted_group.ts
@@ -6,7 +6,7 @@
 import {
   addTargetOptions,
   type LatencyTarget,
-  TARGET_COLUMNS,
+  TARGET_COLUMN_NAMES,
   toLatencyTarget,
   toTargetCells,
 } from "./target_options.ts";
@@ -22,7 +22,7 @@
 }
 
 /** The words of things that have targets, and how they are listed. */
-export interface TargetedGroup<Listed extends object> {
+export interface TargetedGroup<ListResponse extends object> {
   readonly singular: "class" | "service";
   readonly plural: "classes" | "services";
   readonly describe: string;
@@ -30,8 +30,8 @@
   /** Asks a node for all of them. */
   readonly list: (
     client: NodeClient,
-  ) => Promise<Result<Listed, CommandFailure>>;
-  readonly toRows: (listed: Listed) => readonly TargetedRow[];
+  ) => Promise<Result<ListResponse, CommandFailure>>;
+  readonly toRows: (listed: ListResponse) => readonly TargetedRow[];
 }
 
 /**
@@ -61,12 +61,12 @@
     describe: `List the ${plural} and their targets`,
     options: (parser) => parser,
     async run(_options, client) {
-      const answer = await list(client);
-      return answer.map((found) => ({
-        json: found,
+      const response = await list(client);
+      return response.map((body) => ({
+        json: body,
         text: formatTable(
-          [singular, ...TARGET_COLUMNS, "changed at", "by"],
-          toRows(found).map((row) => [
+          [singular, ...TARGET_COLUMN_NAMES, "changed at", "by"],
+          toRows(body).map((row) => [
             row.name,
             ...toTargetCells(row.target),
             row.version,
--- a/packages/cli/src/commands/tenants.ts
+++ b/packages/cli/src/commands/tenants.ts
@@ -17,12 +17,12 @@
   describe: "List the tenants",
   options: (parser) => parser,
   async run(_options, client) {
-    const answer = await client.get("tenants", listSchema);
-    return answer.map((found) => ({
-      json: found,
+    const response = await client.get("tenants", listSchema);
+    return response.map((body) => ({
+      json: body,
       text: formatTable(
         ["tenant", "changed at", "by"],
-        found.tenants.map((row) => [row.tenant, row.version, row.author]),
+        body.tenants.map((row) => [row.tenant, row.version, row.author]),
       ),
     }));
   },
--- a/packages/cli/src/commands/write_options.ts
+++ b/packages/cli/src/commands/write_options.ts
@@ -56,13 +56,13 @@
     ? await readCurrentOffset(client)
     : ok<number, CommandFailure>(options.base);
   if (base.isErr()) return err(base.error);
-  const answer = await publishUntilConfirmed(client, {
+  const response = await publishUntilConfirmed(client, {
     changes,
     author,
     base: base.value,
     ...(id !== undefined && { id }),
   });
-  return answer.map((accepted) => ({
+  return response.map((accepted) => ({
     json: accepted,
     text: `Accepted at offset ${accepted.offset} (change ${accepted.id}).`,
   }));
--- a/packages/edges/src/engine_client.ts
+++ b/packages/edges/src/engine_client.ts
@@ -10,13 +10,13 @@
 export type { AdapterReference };
 import type { Result } from "neverthrow";
 
-/** One message of a conversation that is to be continued. */
+/** One message of the conversation to continue. */
 export interface PromptMessage {
   readonly role: "system" | "user" | "assistant";
   readonly content: string;
 }
 
-/** A request for generation, as an engine takes it. */
+/** A request for generation, as sent to an engine. */
 export interface GenerateCall {
   readonly request: RequestId;
   readonly attempt: AttemptNumber;
@@ -24,19 +24,22 @@
   readonly adapter: AdapterReference;
   readonly messages: readonly PromptMessage[];
   readonly maximumTokens: number;
-  /** Higher goes first in the engine's batch; derived, never configured. */
+  /**
+   * A higher priority goes first in the engine's batch. The value is derived,
+   * never configured.
+   */
   readonly priority: number;
-  /** The first sequence wanted: 0, or the next one when a stream resumes. */
+  /** The first requested sequence: 0, or the next one if a stream resumes. */
   readonly fromSequence: number;
 }
 
-/** A piece of an answer: consecutive tokens that start at `sequence`. */
+/** Consecutive tokens of a generation that start at `sequence`. */
 export interface GenerationFrame {
   readonly request: RequestId;
   readonly attempt: AttemptNumber;
   readonly sequence: number;
   readonly tokens: readonly string[];
-  /** What the engine says that it ran; a mismatch is never passed on. */
+  /** The adapter that the engine used; a mismatch is never passed on. */
   readonly adapter: AdapterReference;
 }
 
@@ -50,28 +53,28 @@
   readonly cachedPromptTokens: number;
 }
 
-/** Receives a generation. Calls arrive on the loop, one at a time, in order. */
+/** Receives a generation. It is called from the event loop, in order. */
 export abstract class GenerationSink {
-  /** @param frame The next frame, as the engine sent it. */
+  /** @param frame The next frame, unchanged. */
   abstract onFrame(frame: GenerationFrame): void;
-  /** @param result The end; called exactly once, after the last frame. */
+  /** @param result The end; reported exactly once, after the last frame. */
   abstract onEnd(result: Result<GenerationEnd, Failure>): void;
 }
 
 /** Controls a generation in progress. */
 export interface GenerationHandle {
-  /** Stops reading from the engine, so that back-pressure reaches it. */
+  /** Stops reading from the engine, so that it sees backpressure. */
   pause(): void;
-  /** Reads on after {@link pause}. */
+  /** Continues reading after {@link pause}. */
   unpause(): void;
-  /** Cancels the generation at the engine; the sink's end still comes. */
+  /** Cancels the generation; the sink still receives its end. */
   cancel(): void;
 }
 
 interface OrderBase {
-  /** Fences orders of controllers from before; some engines ignore it. */
+  /** Fences off orders of earlier controllers; some engines ignore it. */
   readonly fencing: FencingNumber;
-  /** Milliseconds after which an engine must not act on the order. */
+  /** The time after which the engine must not execute the order. */
   readonly expiresInMilliseconds: number;
 }
 
@@ -91,10 +94,10 @@
     readonly role: EngineRole;
   });
 
-/** What an engine does of the two phases of generation. */
+/** The phases of generation that an engine runs. */
 export type EngineRole = "both" | "prefill" | "decode";
 
-/** An engine's own state, read from it. */
+/** An engine's state, as reported by the engine. */
 export interface EngineState {
   readonly engine: EngineId;
   /** Changes at every restart of the engine. */
@@ -111,26 +114,26 @@
   readonly leaving: boolean;
 }
 
-/** A generation that an engine holds. */
+/** A generation in progress at an engine. */
 export interface RunningGeneration {
   readonly request: RequestId;
   readonly attempt: AttemptNumber;
   readonly adapter: AdapterReference;
-  /** Tokens generated so far. */
+  /** The number of tokens generated so far. */
   readonly generated: number;
 }
 
-/** An engine's load, as of some time ago. */
+/** An engine's load, measured some time ago. */
 export interface EngineLoadReport {
   readonly engine: EngineId;
   readonly bootId: string;
   readonly running: number;
   readonly waiting: number;
   readonly stepMilliseconds: number;
-  /** Mean share of the batch in use over the last report interval, 0 to 1. */
+  /** The mean fill of the batch over the last report interval, 0 to 1. */
   readonly batchFill: number;
   readonly prefixCacheUsed: number;
-  /** How old the figures are at the engine, in milliseconds. */
+  /** The age of the figures when the engine sent them. */
   readonly ageMilliseconds: number;
 }
 
@@ -139,7 +142,7 @@
   readonly sequence: number;
   readonly kind: "stored" | "evicted";
   readonly adapter: AdapterReference;
-  /** Names the prompt prefix; the same text gives the same hash. */
+  /** Identifies the prompt prefix; the same text gives the same hash. */
   readonly prefixHash: string;
 }
 
@@ -150,19 +153,21 @@
   readonly data: string;
 }
 
-/** The edge to one model engine. */
+/** Client for one model engine. */
 export abstract class EngineClient {
   /**
-   * Starts, or resumes, a generation.
-   * @param call What to generate.
+   * Starts or resumes a generation.
+   * @param call The request for generation.
    * @param sink Receives the frames and the end.
-   * @returns The handle of the generation.
+   * @returns The handle that controls the generation.
    */
   abstract generate(call: GenerateCall, sink: GenerationSink): GenerationHandle;
 
   /**
-   * Cancels a generation, also one started by another node.
-   * @returns `true` where the engine confirms that it will not run any more.
+   * Cancels a generation, which another node may have started.
+   * @param request The request's id.
+   * @param attempt The attempt to cancel.
+   * @returns Whether the engine confirms that it no longer runs.
    */
   abstract cancel(
     request: RequestId,
@@ -170,31 +175,47 @@
   ): Promise<Result<boolean, Failure>>;
 
   /**
-   * Gives an order; resolves once the engine has carried it out.
+   * Sends an order; resolves once the engine has executed it.
    * @param order The order.
+   * @returns Nothing, or a failure.
    */
   abstract order(order: EngineOrder): Promise<Result<void, Failure>>;
 
-  /** Reads the engine's state. */
+  /**
+   * Reads the engine's state.
+   * @returns The state, or a failure.
+   */
   abstract readState(): Promise<Result<EngineState, Failure>>;
 
-  /** Reads the engine's lagging load report. */
+  /**
+   * Reads the engine's load report, which lags.
+   * @returns The report, or a failure.
+   */
   abstract readLoad(): Promise<Result<EngineLoadReport, Failure>>;
 
   /**
-   * Reads cache events after a sequence.
-   * @param after The last sequence known.
+   * Reads the cache events after a sequence number.
+   * @param after The last known sequence number.
+   * @returns The events, or a failure.
    */
   abstract readCacheEvents(
     after: number,
   ): Promise<Result<readonly CacheEvent[], Failure>>;
 
-  /** Exports the KV cache of a generation in progress. */
+  /**
+   * Exports the KV cache of a generation in progress.
+   * @param request The request's id.
+   * @returns The cache, or a failure.
+   */
   abstract exportKvCache(
     request: RequestId,
   ): Promise<Result<ExportedKvCache, Failure>>;
 
-  /** Imports a KV cache, so that a resume needs no second prefill. */
+  /**
+   * Imports a KV cache, so that a resumed generation needs no second prefill.
+   * @param cache The cache that another engine exported.
+   * @returns Nothing, or a failure.
+   */
   abstract importKvCache(
     cache: ExportedKvCache,
   ): Promise<Result<void, Failure>>;
--- a/packages/edges/src/http/after_pending_input.ts
+++ b/packages/edges/src/http/after_pending_input.ts
@@ -1,23 +1,24 @@
 /**
- * Calls back once all input has been read that came before this moment. After a
- * stall of the process, timers run ahead of connections: what is judged at a
- * limit may have come in time, and still wait to be read.
- * @param callback Judges what has come.
+ * Runs a callback once all input that arrived before this moment has been read.
+ * After the process has stalled, timers run before sockets are read: when a
+ * timeout fires, the response may have arrived in time and still be unread.
+ * @param callback Checks what has arrived.
  */
 export function afterPendingInput(callback: () => void): void {
   setImmediate(callback);
 }
 
 /**
- * Gives a signal that ends a call at its limit, once what came in time is read.
- * @param limitMilliseconds The time from now, in milliseconds.
- * @returns The signal, which does not keep the process.
+ * Creates a signal that aborts a call at a time limit, once all input that
+ * arrived in time has been read.
+ * @param limitMilliseconds The time limit, from now.
+ * @returns The signal. Its timer does not keep the process running.
  */
 export function inputTimeout(limitMilliseconds: number): AbortSignal {
   const controller = new AbortController();
   setTimeout(() => {
     afterPendingInput(() => {
-      controller.abort(new Error("No answer came in time."));
+      controller.abort(new Error("The call timed out."));
     });
   }, limitMilliseconds).unref();
   return controller.signal;
--- a/packages/edges/src/http/bounded_signal.ts
+++ b/packages/edges/src/http/bounded_signal.ts
@@ -1,9 +1,10 @@
 import { afterPendingInput } from "./after_pending_input.ts";
 
 /**
- * A signal that ends with another one, or at a limit once what came in time is
- * read. `AbortSignal.any` does not keep the timeouts that it follows: where one
- * is collected as garbage before its time, the signal never ends.
+ * An abort signal that follows a parent signal and also aborts at a time limit,
+ * once all input that arrived in time has been read. `AbortSignal.any` does not
+ * keep timeout signals alive: if one is garbage-collected before it fires, the
+ * combined signal never aborts.
  */
 export class BoundedSignal {
   readonly #controller = new AbortController();
@@ -14,8 +15,8 @@
   };
 
   /**
-   * @param parent The signal that it ends with.
-   * @param limitMilliseconds The time from now, in milliseconds.
+   * @param parent The signal to follow.
+   * @param limitMilliseconds The time limit, from now.
    */
   constructor(parent: AbortSignal, limitMilliseconds: number) {
     this.#parent = parent;
@@ -24,12 +25,12 @@
     else parent.addEventListener("abort", this.#abort);
   }
 
-  /** The signal. */
+  /** Aborts with the parent or at the time limit. */
   get signal(): AbortSignal {
     return this.#controller.signal;
   }
 
-  /** Lets go of the limit and of the other signal; nothing is ended by that. */
+  /** Stops the timer and stops following the parent, without aborting. */
   release(): void {
     clearTimeout(this.#timer);
     this.#parent.removeEventListener("abort", this.#abort);
--- a/packages/edges/src/http/call_json.ts
+++ b/packages/edges/src/http/call_json.ts
@@ -8,34 +8,34 @@
 import { exchange } from "./exchange.ts";
 import { failureFromResponse, parseJson } from "./stated_failure.ts";
 
-/** A call that sends and receives JSON. */
-export interface JsonCall<Answer> {
+/** A request with a JSON body and a JSON response. */
+export interface JsonCall<ResponseBody> {
   readonly step: FailureStep;
   readonly method: "GET" | "POST";
   readonly path: string;
   readonly body?: unknown;
-  readonly responseSchema: z.ZodType<Answer>;
-  /** Time asked for beyond the client's usual limit. */
+  readonly responseSchema: z.ZodType<ResponseBody>;
+  /** Time added to the client's timeout, for long polls. */
   readonly extraMilliseconds?: number;
 }
 
 const JSON_HEADERS = { "content-type": "application/json" } as const;
 
-/** The answer of a call that gives nothing back. */
+/** Accepts any response and discards its body. */
 export const emptyResponseSchema: z.ZodType<void> = z.unknown().transform(
   () => undefined,
 );
 
 /**
- * Calls a peer with JSON and checks its answer against a schema.
- * @param client The peer.
- * @param call The call.
- * @returns The checked answer, or a failure.
+ * Sends a JSON request to a peer and validates its response.
+ * @param client The peer's connection.
+ * @param call The request.
+ * @returns The validated response body, or a failure.
  */
-export async function callJson<Answer>(
+export async function callJson<ResponseBody>(
   client: HttpClientOptions,
-  call: JsonCall<Answer>,
-): Promise<Result<Answer, Failure>> {
+  call: JsonCall<ResponseBody>,
+): Promise<Result<ResponseBody, Failure>> {
   const { step } = call;
   const { peer } = client;
   const timeout = client.timeoutMilliseconds ?? DEFAULT_TIMEOUT_MILLISECONDS;
@@ -56,13 +56,15 @@
   if (status < 200 || status > 299) {
     return err(failureFromResponse({ status, body }, { step, peer }));
   }
-  const answer = call.responseSchema.safeParse(parseJson(body));
-  if (answer.success) return ok(answer.data);
+  const parsed = call.responseSchema.safeParse(parseJson(body));
+  if (parsed.success) return ok(parsed.data);
   return err({
     reason: "corrupt",
     step,
     peer,
-    message: `Cannot read the answer: ${z.prettifyError(answer.error)}`,
+    message: `The response does not match its schema: ${
+      z.prettifyError(parsed.error)
+    }`,
     outcome: "unknown",
   });
 }
--- a/packages/edges/src/http/client_options.ts
+++ b/packages/edges/src/http/client_options.ts
@@ -1,16 +1,16 @@
 import type { Dispatcher } from "undici";
 
-/** What each HTTP client of one peer needs. */
+/** Options of an HTTP client that calls one peer. */
 export interface HttpClientOptions {
-  /** `http://` with an IP literal and a port, without a path. */
+  /** `http://` with an IP literal and port, without a path. */
   readonly baseAddress: string;
-  /** Carries the connections; clients of many peers may share one. */
+  /** Manages the connections; clients of several peers may share one. */
   readonly dispatcher: Dispatcher;
-  /** Names the peer in failures. */
+  /** The peer's name in failures. */
   readonly peer: string;
-  /** How long a call may take; long waits asked for are added to it. */
+  /** The limit of a call, to which the wait time of a long poll is added. */
   readonly timeoutMilliseconds?: number;
 }
 
-/** How long a call may take where its options do not say. */
+/** The default limit of a call. */
 export const DEFAULT_TIMEOUT_MILLISECONDS = 5_000;
--- a/packages/edges/src/http/connection_ends.ts
+++ b/packages/edges/src/http/connection_ends.ts
@@ -2,35 +2,35 @@
 import process from "node:process";
 import type { buildConnector } from "undici";
 
-/** Set while a connection's end is being told to its listeners. */
+/** Set while the listeners of a connection's end or error are running. */
 let currentEndFailure: Promise<boolean> | undefined;
 
-/** The connection whose bytes are being read at this moment. */
+/** The connection whose input is being read at this moment. */
 let lastReadSocket: Socket | undefined;
 
-/** Connections that brought more than the answers that were asked for. */
+/** Connections that delivered more responses than were requested. */
 const socketsWithExtraResponse = new WeakSet<Socket>();
 
-/** undici's code for an answer on a connection that owes none. */
+/** undici's error code for a response on a connection without a request. */
 const UNEXPECTED_RESPONSE_CODE = "UND_ERR_SOCKET";
 
 const EMPTY_BUFFER = Buffer.alloc(0);
 
 /**
- * Tells how the connection ends whose end is being told at this moment.
- * undici takes a reset for the end of an answer without a length; libuv even
- * reports a reset as an orderly end where it comes together with the last
- * bytes. Whoever is told of such an end asks here whether it was a failure.
- * @returns Whether the connection failed, or nothing where none ends now.
+ * Tells whether the connection that is ending at this moment failed. undici
+ * takes a reset for the end of a response without a length, and libuv even
+ * reports a reset as an orderly end if it arrives together with the last bytes.
+ * A handler that is notified of such an end must check here for a failure.
+ * @returns Whether the connection failed, or `undefined` if none is ending.
  */
 export function failureOfEnd(): Promise<boolean> | undefined {
   return currentEndFailure;
 }
 
 /**
- * Tells whether a further answer follows the one whose end is being told, on
- * the same connection. Then either of them may be a late repeat of an earlier
- * answer, and neither is known to be the one that was asked for.
+ * Tells whether another response follows the one that is ending at this moment
+ * on the same connection. Either of them may then be a late duplicate of an
+ * earlier response, and it is not known which one answers the request.
  * @returns Resolves before the connection is used again.
  */
 export function hasExtraResponse(): Promise<boolean> {
@@ -43,10 +43,10 @@
 }
 
 /**
- * Takes note of how the connections end that a connector makes, ahead of
- * undici's own listeners.
- * @param connect Makes connections.
- * @returns A connector that does the same, and takes note.
+ * Wraps a connector to record how its connections end. The listeners run before
+ * undici's own.
+ * @param connect The connector to wrap.
+ * @returns A connector whose connections are tracked.
  */
 export function noteConnectionEnds(
   connect: buildConnector.connector,
@@ -74,9 +74,10 @@
 }
 
 /**
- * Ends a connection at once, by a reset where there can be one. While an end of
- * its own is under way Node refuses the reset and never closes the connection:
- * it keeps its descriptor, tells no close, and holds the process at its exit.
+ * Closes a connection at once, by a reset if possible. After `end()`, while the
+ * last bytes are being written, Node refuses the reset and never closes the
+ * connection: its descriptor leaks, no `close` event is emitted, and the
+ * process cannot exit.
  * @param socket The connection.
  */
 export function resetConnection(socket: Socket): void {
@@ -85,7 +86,10 @@
   else socket.resetAndDestroy();
 }
 
-/** Listeners of one event run one after the other, before the next tick. */
+/**
+ * Keeps the value until the next tick: all listeners of one event run
+ * synchronously, before it.
+ */
 function setCurrentEndFailure(hasFailed: Promise<boolean>): void {
   currentEndFailure = hasFailed;
   process.nextTick(() => {
@@ -94,8 +98,8 @@
 }
 
 /**
- * A connection that its peer has closed in order still takes writes, one that
- * was reset does not. No bytes are written, so that the peer sees nothing.
+ * A connection that its peer closed in order still accepts writes, but a reset
+ * connection does not. The write is empty, so that the peer receives nothing.
  */
 function rejectsWrites(socket: Socket): Promise<boolean> {
   return new Promise((resolve) => {
--- a/packages/edges/src/http/dispatcher.ts
+++ b/packages/edges/src/http/dispatcher.ts
@@ -1,7 +1,7 @@
 import { Agent, buildConnector } from "undici";
 import { noteConnectionEnds } from "./connection_ends.ts";
 
-/** Limits of a dispatcher. */
+/** Timeouts of a dispatcher. */
 export interface DispatcherOptions {
   readonly connectTimeoutMilliseconds?: number;
   readonly keepAliveMilliseconds?: number;
@@ -11,10 +11,10 @@
 const DEFAULT_KEEP_ALIVE_MILLISECONDS = 30_000;
 
 /**
- * Makes a dispatcher that never queues a request behind another, so that a
- * long stream holds nothing up and no failure touches a second request.
- * @param options Limits that differ from the defaults.
- * @returns The dispatcher, to be closed by its owner.
+ * Creates a dispatcher that never queues a request behind another, so that a
+ * long stream delays no other request and a failure affects only one request.
+ * @param options Timeouts that differ from the defaults.
+ * @returns The dispatcher; the caller has to close it.
  */
 export function createDispatcher(options: DispatcherOptions = {}): Agent {
   return new Agent({
--- a/packages/edges/src/http/engine_schemas.ts
+++ b/packages/edges/src/http/engine_schemas.ts
@@ -14,13 +14,13 @@
 const requestSchema = z.string().min(1).transform(requestId);
 const modelSchema = z.string().min(1).transform(modelId);
 
-/** An adapter at one version. */
+/** An adapter and its version. */
 export const adapterReferenceSchema = z.object({
   adapter: z.string().min(1).transform(adapterId),
   version: z.string().min(1).transform(adapterVersion),
 });
 
-/** What an engine does of the two phases of generation. */
+/** The phases of generation that an engine runs. */
 export const engineRoleSchema = z.enum(["both", "prefill", "decode"]);
 
 /** The body of a generation request. */
@@ -38,16 +38,16 @@
   fromSequence: countSchema,
 });
 
-/** The body of a cancellation. */
+/** The body of a cancellation request. */
 export const cancelCallSchema = z.object({
   request: requestSchema,
   attempt: attemptSchema,
 });
 
-/** The answer to a cancellation. */
+/** The response to a cancellation request. */
 export const cancelResponseSchema = z.object({ cancelled: z.boolean() });
 
-/** The end of a generation. */
+/** How a generation ended. */
 export const generationEndSchema = z.object({
   request: requestSchema,
   attempt: attemptSchema,
@@ -62,7 +62,7 @@
   expiresInMilliseconds: z.number().nonnegative(),
 };
 
-/** The body of an order. */
+/** The body of an order that changes an engine's state. */
 export const engineOrderSchema = z.discriminatedUnion("kind", [
   z.object({
     ...orderBaseFields,
--- a/packages/edges/src/http/exchange.ts
+++ b/packages/edges/src/http/exchange.ts
@@ -6,7 +6,7 @@
 import { failureOfEnd, hasExtraResponse } from "./connection_ends.ts";
 import { failureFromTransportError } from "./transport_error.ts";
 
-/** One HTTP request and what bounds it. */
+/** One HTTP request and its limits. */
 export interface ExchangeOptions {
   readonly step: FailureStep;
   readonly peer: string;
@@ -17,11 +17,11 @@
   readonly body?: string | Uint8Array;
   readonly timeoutMilliseconds: number;
   readonly signal?: AbortSignal;
-  /** Larger answers are broken off as failed; 16 MB by default. */
+  /** A larger response is aborted and fails; 16 MiB by default. */
   readonly maximumAnswerBytes?: number;
 }
 
-/** A whole HTTP answer, whatever its status. */
+/** A complete HTTP response of any status. */
 export interface ExchangeAnswer {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
@@ -31,10 +31,11 @@
 const DEFAULT_MAXIMUM_RESPONSE_BYTES = 16 * 1024 * 1024;
 
 /**
- * Sends one request, without any retry, and gathers its whole answer.
- * @param dispatcher Carries the connection.
- * @param options The request.
- * @returns The answer, or a failure whose outcome tells if it may have run.
+ * Sends one request, without retries, and buffers its complete response.
+ * @param dispatcher Manages the connections.
+ * @param options The request and its limits.
+ * @returns The response, or a failure whose outcome tells whether the request
+ * may have run.
  */
 export function exchange(
   dispatcher: Dispatcher,
@@ -51,13 +52,15 @@
   readonly #resolve: (result: Result<ExchangeAnswer, Failure>) => void;
   readonly #chunks: Buffer[] = [];
   readonly #onAbort = (): void => {
-    this.#abandon(errorWithCode("The call was cancelled", "UND_ERR_ABORTED"));
+    this.#abandon(
+      createErrorWithCode("The call was cancelled", "UND_ERR_ABORTED"),
+    );
   };
   #timer: NodeJS.Timeout | undefined;
   #controller: Dispatcher.DispatchController | undefined;
-  /** Whether the whole answer has come, and is being judged. */
+  /** Whether the response has ended and only its validity is still unknown. */
   #hasReceivedEnd = false;
-  #settled = false;
+  #isSettled = false;
   #receivedBytes = 0;
   #status = 0;
   #headers: IncomingHttpHeaders = {};
@@ -81,7 +84,10 @@
       afterPendingInput(() => {
         if (this.#hasReceivedEnd) return;
         this.#abandon(
-          errorWithCode("The answer took too long", "UND_ERR_HEADERS_TIMEOUT"),
+          createErrorWithCode(
+            "The response timed out",
+            "UND_ERR_HEADERS_TIMEOUT",
+          ),
         );
       });
     }, this.#options.timeoutMilliseconds);
@@ -97,8 +103,10 @@
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
-    if (this.#settled) {
-      controller.abort(errorWithCode("The call was given up", "ABANDONED"));
+    if (this.#isSettled) {
+      controller.abort(
+        createErrorWithCode("The call was abandoned", "ABANDONED"),
+      );
       return;
     }
     this.#controller = controller;
@@ -121,7 +129,9 @@
     const { maximumAnswerBytes = DEFAULT_MAXIMUM_RESPONSE_BYTES } =
       this.#options;
     if (this.#receivedBytes > maximumAnswerBytes) {
-      controller.abort(errorWithCode("The answer is too large", "TOO_LARGE"));
+      controller.abort(
+        createErrorWithCode("The response is too large", "TOO_LARGE"),
+      );
       return;
     }
     this.#chunks.push(chunk);
@@ -142,9 +152,16 @@
     isFollowedByResponse: Promise<boolean>,
   ): Promise<void> {
     if (await connectionFailed === true) {
-      this.#fail(errorWithCode("The answer broke off", "RESET"));
+      this.#fail(
+        createErrorWithCode("The connection was reset", "RESET"),
+      );
     } else if (await isFollowedByResponse) {
-      this.#fail(errorWithCode("Two answers came", "OUT_OF_STEP"));
+      this.#fail(
+        createErrorWithCode(
+          "The connection delivered more than one response",
+          "EXTRA_RESPONSE",
+        ),
+      );
     } else {
       this.#succeed();
     }
@@ -172,14 +189,14 @@
   }
 
   #settle(result: Result<ExchangeAnswer, Failure>): void {
-    if (this.#settled) return;
-    this.#settled = true;
+    if (this.#isSettled) return;
+    this.#isSettled = true;
     clearTimeout(this.#timer);
     this.#options.signal?.removeEventListener("abort", this.#onAbort);
     this.#resolve(result);
   }
 }
 
-function errorWithCode(message: string, code: string): Error {
+function createErrorWithCode(message: string, code: string): Error {
   return Object.assign(new Error(message), { code });
 }
--- a/packages/edges/src/http/frame_reader.ts
+++ b/packages/edges/src/http/frame_reader.ts
@@ -9,10 +9,10 @@
 const LINE_END = "]}";
 
 /**
- * Parses the lines of one stream. Most lines repeat the head of the line
- * before, so a head is parsed once, and for the lines that start with the
- * same text only the sequence and the tokens are. The values are those that
- * parsing each whole line would give.
+ * Parses the lines of one stream. Most lines repeat the text before the
+ * sequence of the previous line, so this prefix is parsed once and cached; of
+ * lines that start with the same text, only the sequence and the tokens are
+ * parsed. The results equal those of parsing each line with `JSON.parse`.
  */
 export class FrameReader {
   #prefixText: string | undefined;
@@ -21,7 +21,7 @@
   /**
    * Parses a line.
    * @param line One line of the stream.
-   * @returns The value, a frame or not; `undefined` where it is not JSON.
+   * @returns The value, a frame or not; `undefined` if it is not JSON.
    */
   read(line: string): unknown {
     const frame = this.#readWithCachedPrefix(line);
@@ -47,7 +47,7 @@
     return { request, attempt, sequence, tokens, adapter };
   }
 
-  /** Keeps the head only where it is whole: all that precedes the sequence. */
+  /** Caches the prefix only if it holds all fields but sequence and tokens. */
   #cachePrefix(line: string): void {
     const prefixEnd = line.indexOf(SEQUENCE_KEY);
     const prefix = prefixEnd < 0
@@ -65,7 +65,7 @@
   }
 }
 
-/** Request, attempt, adapter, sequence and tokens. */
+/** The fields request, attempt, adapter, sequence and tokens. */
 const FRAME_KEY_COUNT = 5;
 
 const CHARACTER_CODE_ZERO = 48;
--- a/packages/edges/src/http/generation_exchange.ts
+++ b/packages/edges/src/http/generation_exchange.ts
@@ -20,14 +20,14 @@
 import { failureFromResponse } from "./stated_failure.ts";
 import { failureFromTransportError } from "./transport_error.ts";
 
-/** What one generation over HTTP needs. */
+/** Options of a generation over HTTP. */
 export interface GenerationExchangeOptions {
   readonly client: HttpClientOptions;
-  /** Without any byte for so long, the stream counts as broken. */
+  /** The stream fails if no byte arrives for this long. */
   readonly idleTimeoutMilliseconds: number;
-  /** Asks the engine to cancel; resolves once the engine has answered. */
+  /** Asks the engine to cancel; resolves once the call to it has ended. */
   readonly askToCancel: () => Promise<unknown>;
-  /** How long the stream may go on after the engine has answered that. */
+  /** How long the stream may continue after `askToCancel` has resolved. */
   readonly cancelGraceMilliseconds: number;
 }
 
@@ -36,7 +36,10 @@
 const STATUS_OK = 200;
 const JSON_HEADERS = { "content-type": "application/json" } as const;
 
-/** One generation: reads its lines as they come, without promises. */
+/**
+ * Runs one generation and reads its lines as they arrive, in callbacks instead
+ * of promises.
+ */
 export class GenerationExchange
   implements Dispatcher.DispatchHandler, GenerationHandle {
   readonly #call: GenerateCall;
@@ -49,14 +52,14 @@
   #controller: Dispatcher.DispatchController | undefined;
   #status = 0;
   #errorBody = "";
-  #paused = false;
-  #cancelled = false;
-  #ended = false;
+  #isPaused = false;
+  #isCancelled = false;
+  #hasEnded = false;
 
   /**
-   * @param call What to generate.
+   * @param call The request for generation.
    * @param sink Receives the frames and the end.
-   * @param options The engine and the limits.
+   * @param options The engine's connection and the limits.
    */
   constructor(
     call: GenerateCall,
@@ -83,20 +86,24 @@
   }
 
   pause(): void {
-    this.#paused = true;
+    this.#isPaused = true;
     this.#controller?.pause();
   }
 
   unpause(): void {
-    this.#paused = false;
+    this.#isPaused = false;
     this.#controller?.resume();
   }
 
   cancel(): void {
-    if (this.#ended || this.#cancelled) return;
-    this.#cancelled = true;
+    if (this.#hasEnded || this.#isCancelled) return;
+    this.#isCancelled = true;
     if (this.#controller === undefined) {
-      this.#fail("cancelled", "not_run", "The generation was never sent");
+      this.#fail(
+        "cancelled",
+        "not_run",
+        "The generation was cancelled before it was sent",
+      );
       return;
     }
     this.unpause();
@@ -108,12 +115,12 @@
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
-    if (this.#ended) {
-      controller.abort(new Error("The generation was cancelled before"));
+    if (this.#hasEnded) {
+      controller.abort(new Error("The generation was already cancelled"));
       return;
     }
     this.#controller = controller;
-    if (this.#paused) controller.pause();
+    if (this.#isPaused) controller.pause();
   }
 
   onResponseStart(
@@ -133,14 +140,18 @@
     }
     this.#errorBody += chunk.toString();
     if (this.#errorBody.length > MAXIMUM_ERROR_BODY_LENGTH) {
-      controller.abort(new Error("The refusal is too large"));
+      controller.abort(new Error("The error response is too large"));
     }
   }
 
   onResponseEnd(): void {
-    if (this.#ended) return;
+    if (this.#hasEnded) return;
     if (this.#status === STATUS_OK) {
-      this.#fail("unavailable", "unknown", "The stream stopped before its end");
+      this.#fail(
+        "unavailable",
+        "unknown",
+        "The stream ended without an end line",
+      );
       return;
     }
     const response = { status: this.#status, body: this.#errorBody };
@@ -150,7 +161,7 @@
 
   onResponseError(_controller: unknown, error: Error): void {
     if (error instanceof InvariantViolation) rethrowInMicrotask(error);
-    if (this.#ended) return;
+    if (this.#hasEnded) return;
     if (error instanceof LineTooLongError) {
       this.#fail("corrupt", "unknown", error.message);
       return;
@@ -165,7 +176,7 @@
   }
 
   #onLine(line: string): void {
-    if (this.#ended) return;
+    if (this.#hasEnded) return;
     const value = this.#frameReader.read(line);
     if (isGenerationFrame(value)) {
       this.#sink.onFrame(value);
@@ -173,7 +184,7 @@
     }
     const endLine = parseEndLine(value);
     if (endLine === undefined) {
-      this.#fail("corrupt", "unknown", "Cannot read a line of the stream");
+      this.#fail("corrupt", "unknown", "Cannot parse a line of the stream");
       this.#controller?.abort(new Error("The stream is corrupt"));
       return;
     }
@@ -186,8 +197,12 @@
   }
 
   #abortAfterCancel(): void {
-    if (this.#ended) return;
-    this.#fail("cancelled", "unknown", "The stream went on after its cancel");
+    if (this.#hasEnded) return;
+    this.#fail(
+      "cancelled",
+      "unknown",
+      "The stream did not end after it was cancelled",
+    );
     this.#controller?.abort(new Error("The generation was cancelled"));
   }
 
@@ -197,8 +212,8 @@
   }
 
   #end(result: Result<GenerationEnd, Failure>): void {
-    if (this.#ended) return;
-    this.#ended = true;
+    if (this.#hasEnded) return;
+    this.#hasEnded = true;
     this.#sink.onEnd(result);
   }
 
@@ -207,7 +222,10 @@
   }
 }
 
-/** The transport catches what a sink throws; a broken invariant must show. */
+/**
+ * undici catches what a sink throws. An invariant violation is rethrown outside
+ * of its call stack, so that it surfaces as an uncaught exception.
+ */
 function rethrowInMicrotask(error: InvariantViolation): void {
   queueMicrotask(() => {
     throw error;
--- a/packages/edges/src/http/generation_line.ts
+++ b/packages/edges/src/http/generation_line.ts
@@ -3,7 +3,7 @@
 import { generationEndSchema } from "./engine_schemas.ts";
 import { type StatedFailure, statedFailureSchema } from "./stated_failure.ts";
 
-/** A line of a generation's stream that is not a frame: how it ended. */
+/** The last line of a generation's stream: its end or a failure. */
 export type GenerationEndLine =
   | { readonly kind: "end"; readonly end: GenerationEnd }
   | { readonly kind: "failure"; readonly failure: StatedFailure };
@@ -14,10 +14,10 @@
 ]);
 
 /**
- * Tells whether a parsed line is a frame. Written by hand, because it runs
- * for each frame of each stream.
+ * Checks whether a parsed line is a frame. Uses no schema, because it runs for
+ * each frame of each stream.
  * @param value The parsed line.
- * @returns Whether every field of a frame is there with its type.
+ * @returns Whether every field of a frame is present and has the right type.
  */
 export function isGenerationFrame(value: unknown): value is GenerationFrame {
   if (typeof value !== "object" || value === null) return false;
@@ -30,9 +30,9 @@
 }
 
 /**
- * Reads the line that ends a generation's stream.
- * @param value The parsed line.
- * @returns The end, or `undefined` where the line is none.
+ * Parses the line that ends a generation's stream.
+ * @param value The parsed JSON of the line.
+ * @returns The end or failure, or `undefined` if the line is neither.
  */
 export function parseEndLine(value: unknown): GenerationEndLine | undefined {
   const parsed = endLineSchema.safeParse(value);
--- a/packages/edges/src/http/http_engine_client.ts
+++ b/packages/edges/src/http/http_engine_client.ts
@@ -27,13 +27,13 @@
 import { GenerationExchange } from "./generation_exchange.ts";
 import { callJson, emptyResponseSchema } from "./call_json.ts";
 
-/** What the client of one engine needs. */
+/** Options of the client of one engine. */
 export interface HttpEngineClientOptions extends HttpClientOptions {
-  /** Without any byte for so long, a stream counts as broken. */
+  /** A stream fails if no byte arrives for this long. */
   readonly idleTimeoutMilliseconds?: number;
-  /** How long a stream may go on after its cancel was answered. */
+  /** How long a stream may continue after its cancellation was answered. */
   readonly cancelGraceMilliseconds?: number;
-  /** How long an order may take, a load from the weight store included. */
+  /** How long an order may take, including a load from the weight store. */
   readonly orderTimeoutMilliseconds?: number;
 }
 
@@ -41,11 +41,11 @@
 const DEFAULT_CANCEL_GRACE_MILLISECONDS = 2_000;
 const DEFAULT_ORDER_TIMEOUT_MILLISECONDS = 60_000;
 
-/** The edge to one model engine over HTTP. */
+/** HTTP client for one model engine. */
 export class HttpEngineClient extends EngineClient {
   readonly #options: HttpEngineClientOptions;
 
-  /** @param options The engine's address, connections and limits. */
+  /** @param options The engine's address, connections and timeouts. */
   constructor(options: HttpEngineClientOptions) {
     super();
     this.#options = options;
--- a/packages/edges/src/http/http_log_client.ts
+++ b/packages/edges/src/http/http_log_client.ts
@@ -13,11 +13,11 @@
   firstKept: offsetSchema,
 });
 
-/** The edge to the platform's log service over HTTP. */
+/** HTTP client for the platform's log service. */
 export class HttpLogClient extends LogClient {
   readonly #options: HttpClientOptions;
 
-  /** @param options The service's address, connections and limits. */
+  /** @param options The service's address, connections and timeouts. */
   constructor(options: HttpClientOptions) {
     super();
     this.#options = options;
--- a/packages/edges/src/http/http_service_client.ts
+++ b/packages/edges/src/http/http_service_client.ts
@@ -10,16 +10,16 @@
 } from "../service_client.ts";
 import { exchange, type ExchangeAnswer } from "./exchange.ts";
 
-/** What the client of the plain services needs. */
+/** Options of the client of the plain services. */
 export interface HttpServiceClientOptions {
-  /** Carries the connections to all servers. */
+  /** Manages the connections to all servers. */
   readonly dispatcher: Dispatcher;
 }
 
-/** A server answers with this header while it is leaving. */
+/** The response header of a server that is leaving. */
 export const LEAVING_HEADER = "foxtailwind-leaving";
 
-/** A server may state by this header whether the call ran. */
+/** The response header by which a server may report whether the call ran. */
 export const OUTCOME_HEADER = "foxtailwind-outcome";
 
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
@@ -35,11 +35,11 @@
   "upgrade",
 ]);
 
-/** The edge to the plain services over HTTP. */
+/** HTTP client for the plain services. */
 export class HttpServiceClient extends ServiceClient {
   readonly #options: HttpServiceClientOptions;
 
-  /** @param options The connections. */
+  /** @param options The connections to the servers. */
   constructor(options: HttpServiceClientOptions) {
     super();
     this.#options = options;
@@ -65,13 +65,13 @@
 }
 
 function toServiceResponse(response: ExchangeAnswer): ServiceAnswer {
-  const statedOutcome = parseOutcome(response.headers[OUTCOME_HEADER]);
+  const outcome = parseOutcome(response.headers[OUTCOME_HEADER]);
   return {
     status: response.status,
     headers: toHeaderList(response.headers),
     body: response.body,
     leaving: response.headers[LEAVING_HEADER] !== undefined,
-    ...(statedOutcome === undefined ? {} : { statedOutcome }),
+    ...(outcome === undefined ? {} : { statedOutcome: outcome }),
   };
 }
 
@@ -83,7 +83,7 @@
     : undefined;
 }
 
-/** Headers that concern one connection only do not pass on. */
+/** Drops the hop-by-hop headers, which are not forwarded. */
 function toHeaderRecord(
   headers: readonly Header[],
 ): Record<string, string | string[]> {
@@ -106,7 +106,7 @@
   });
 }
 
-/** `Connection` names further headers that concern one connection only. */
+/** Returns the further hop-by-hop headers that `Connection` lists. */
 function parseConnectionHeader(value: string | undefined): ReadonlySet<string> {
   const tokens = (value ?? "").split(",");
   return new Set(tokens.map((token) => token.trim().toLowerCase()));
--- a/packages/edges/src/http/http_vm_list_client.ts
+++ b/packages/edges/src/http/http_vm_list_client.ts
@@ -5,11 +5,11 @@
 import { callJson } from "./call_json.ts";
 import { vmListSchema } from "./vm_schema.ts";
 
-/** The edge to the platform's list of VMs over HTTP. */
+/** HTTP client for the platform's list of VMs. */
 export class HttpVmListClient extends VmListClient {
   readonly #options: HttpClientOptions;
 
-  /** @param options The list's address, connections and limits. */
+  /** @param options The service's address, connections and timeouts. */
   constructor(options: HttpClientOptions) {
     super();
     this.#options = options;
--- a/packages/edges/src/http/http_weight_store_client.ts
+++ b/packages/edges/src/http/http_weight_store_client.ts
@@ -20,11 +20,11 @@
   concurrentLoads: z.number().int().positive(),
 });
 
-/** The edge to one weight store over HTTP. */
+/** HTTP client for one weight store. */
 export class HttpWeightStoreClient extends WeightStoreClient {
   readonly #options: HttpClientOptions;
 
-  /** @param options The store's address, connections and limits. */
+  /** @param options The store's address, connections and timeouts. */
   constructor(options: HttpClientOptions) {
     super();
     this.#options = options;
@@ -52,9 +52,9 @@
 }
 
 /**
- * Names an adapter version at a weight store.
+ * Builds the path of an adapter version at a weight store.
  * @param reference The adapter and its version.
- * @returns The path that describes it; its weights lie below `/weights`.
+ * @returns The path of its metadata; append `/weights` for the weights.
  */
 export function adapterWeightsPath(reference: AdapterReference): string {
   const adapter = encodeURIComponent(reference.adapter);
--- a/packages/edges/src/http/line_splitter.ts
+++ b/packages/edges/src/http/line_splitter.ts
@@ -1,6 +1,6 @@
 const LINE_FEED_BYTE = 10;
 
-/** A line grew past the limit; the stream cannot be read on. */
+/** Thrown when a line exceeds the limit; the stream cannot be read further. */
 export class LineTooLongError extends Error {
   constructor(limit: number) {
     super(`Cannot read the stream: a line is longer than ${limit} bytes`);
@@ -9,8 +9,8 @@
 }
 
 /**
- * Splits a byte stream into lines. Only whole lines are decoded, so a
- * character that is cut by a chunk border comes out whole.
+ * Splits a byte stream into lines. Only complete lines are decoded, so that a
+ * character split across two chunks is decoded correctly.
  */
 export class LineSplitter {
   readonly #onLine: (line: string) => void;
@@ -19,8 +19,8 @@
   #pendingBytes = 0;
 
   /**
-   * @param onLine Receives each line that is not empty, without its end.
-   * @param maximumBytes The longest line that is accepted.
+   * @param onLine Receives each non-empty line, without its line feed.
+   * @param maximumBytes The maximum length of a line.
    */
   constructor(onLine: (line: string) => void, maximumBytes: number) {
     this.#onLine = onLine;
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Takes the next chunk and hands on each line that it completes.
-   * @param chunk The bytes; they are held on to, not copied.
+   * Adds the next chunk and emits each line that it completes.
+   * @param chunk The bytes. They are kept by reference, not copied.
    */
   push(chunk: Buffer): void {
     const lastLineFeed = chunk.lastIndexOf(LINE_FEED_BYTE);
@@ -44,7 +44,7 @@
     this.#emitLines(text);
   }
 
-  /** Bytes of the line that is not yet complete. */
+  /** The number of buffered bytes of the incomplete line. */
   get pendingBytes(): number {
     return this.#pendingBytes;
   }
--- a/packages/edges/src/http/mod.ts
+++ b/packages/edges/src/http/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP forms of the edges, over undici.
+ * HTTP implementations of the clients, based on undici.
  * @module
  */
 export * from "./after_pending_input.ts";
--- a/packages/edges/src/http/stated_failure.ts
+++ b/packages/edges/src/http/stated_failure.ts
@@ -1,7 +1,7 @@
 import type { Failure, FailureReason, FailureStep } from "@foxtailwind/core";
 import * as z from "zod";
 
-/** The body of a refusal, as peers state it. */
+/** The body of a peer's error response. */
 export const statedFailureSchema = z.object({
   reason: z.enum([
     "invalid",
@@ -22,18 +22,18 @@
   retryAfterMilliseconds: z.number().nonnegative().exactOptional(),
 });
 
-/** A refusal in the form in which it travels. */
+/** A failure as peers send it. */
 export type StatedFailure = Readonly<z.infer<typeof statedFailureSchema>>;
 
-/** The step and the peer of a refused call. */
+/** The step and the peer of a failed call. */
 export interface FailedCall {
   readonly step: FailureStep;
   readonly peer: string;
 }
 
 /**
- * Reads the failure out of an answer whose status is not a success. An
- * outcome counts only where the peer states it.
+ * Reads the failure from a response with an error status. Unless the peer
+ * reports an outcome, it is unknown.
  * @param response The status and the body.
  * @param call The step and the peer.
  * @returns The failure.
@@ -47,7 +47,8 @@
   return {
     ...call,
     reason: reasonForStatus(response.status),
-    message: `Cannot use the answer with status ${response.status}`,
+    message:
+      `The peer returned status ${response.status} without a readable failure`,
     outcome: "unknown",
   };
 }
@@ -55,7 +56,7 @@
 /**
  * Parses JSON without throwing.
  * @param text The text.
- * @returns The value, or `undefined` where the text is not JSON.
+ * @returns The value, or `undefined` if the text is not JSON.
  */
 export function parseJson(text: string): unknown {
   try {
--- a/packages/edges/src/http/transport_error.ts
+++ b/packages/edges/src/http/transport_error.ts
@@ -1,10 +1,10 @@
 import type { Failure, FailureReason, FailureStep } from "@foxtailwind/core";
 
-/** Where an exchange stood when its transport failed. */
+/** The state of an exchange when its transport failed. */
 export interface TransportErrorContext {
   readonly step: FailureStep;
   readonly peer: string;
-  /** Whether any byte of the request may have been written. */
+  /** Whether any byte of the request may have been sent. */
   readonly started: boolean;
 }
 
@@ -17,11 +17,11 @@
 };
 
 /**
- * Makes the failure of an exchange that got no whole answer. A request whose
- * first byte was never handed to a connection has certainly not run; of any
- * other nothing is known.
- * @param error What the transport reported.
- * @param context Where the exchange stood.
+ * Creates the failure of an exchange without a complete response. A request
+ * that was never written to a connection has certainly not run; the outcome of
+ * any other is unknown.
+ * @param error The error that the transport reported.
+ * @param context The state of the exchange.
  * @returns The failure.
  */
 export function failureFromTransportError(
--- a/packages/edges/src/http/vm_schema.ts
+++ b/packages/edges/src/http/vm_schema.ts
@@ -19,7 +19,7 @@
   }),
 ]);
 
-/** One entry of the VM list. */
+/** A VM in the platform's list. */
 export const vmSchema = z.object({
   id: z.string().min(1),
   address: z.string().min(1),
@@ -30,5 +30,5 @@
   state: z.enum(["live", "leaving"]),
 });
 
-/** The whole VM list. */
+/** The platform's list of VMs. */
 export const vmListSchema = z.object({ vms: z.array(vmSchema) });
--- a/packages/edges/src/log_client.ts
+++ b/packages/edges/src/log_client.ts
@@ -1,27 +1,27 @@
 import type { Failure, LogOffset } from "@foxtailwind/core";
 import type { Result } from "neverthrow";
 
-/** A record as the log keeps it. */
+/** A stored log record. */
 export interface LogRecord {
   readonly offset: LogOffset;
-  /** The record's text; its form is the stream's own. */
+  /** The record's text, in a format that each stream defines. */
   readonly data: string;
 }
 
-/** A piece of a stream. */
+/** A range of consecutive records of a stream. */
 export interface LogPage {
   readonly records: readonly LogRecord[];
-  /** The offset that the next append would take, as of this read. */
+  /** The offset of the next append, as of this read. */
   readonly tail: LogOffset;
-  /** The oldest offset still kept; reads below it lose records. */
+  /** The oldest retained offset; a read that starts below it misses records. */
   readonly firstKept: LogOffset;
 }
 
-/** The edge to the platform's append-only log service. */
+/** Client for the platform's append-only log service. */
 export abstract class LogClient {
   /**
-   * Appends records to a stream, in order and next to each other.
-   * A failure with outcome `unknown` may have taken effect.
+   * Appends records to a stream, in order and at consecutive offsets.
+   * After a failure with outcome `unknown` the records may have been appended.
    * @param stream The stream's name.
    * @param data The records' texts.
    * @returns The offset of the first record.
@@ -34,9 +34,9 @@
   /**
    * Reads a stream.
    * @param stream The stream's name.
-   * @param options Where to start, how many at most, and how long to wait
-   * for a first record where there is none yet (0: answer at once).
-   * @returns The page, empty at the tail.
+   * @param options The first offset, the maximum number of records, and how
+   * long to wait for a first record if there is none yet (0: return at once).
+   * @returns The page, which is empty at the tail.
    */
   abstract read(
     stream: string,
--- a/packages/edges/src/mod.ts
+++ b/packages/edges/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The edges to the outside: abstract classes, and their HTTP forms.
+ * Clients for external systems: abstract classes and HTTP implementations.
  * @module
  */
 export * from "./engine_client.ts";
--- a/packages/edges/src/prompt_prefix.ts
+++ b/packages/edges/src/prompt_prefix.ts
@@ -4,7 +4,7 @@
 /** A prefix of a prompt that ends with one of its messages. */
 export interface PromptPrefix {
   readonly hash: string;
-  /** An estimate, by the length of the text. */
+  /** The number of tokens, estimated from the length of the text. */
   readonly tokens: number;
 }
 
@@ -12,7 +12,7 @@
 const HASH_HEX_DIGITS = 16;
 
 /**
- * Names each prefix of a prompt as cache events do.
+ * Hashes each prefix of a prompt in the way that cache events identify it.
  * @param messages The prompt's messages.
  * @returns One prefix for each message, the shortest first.
  */
--- a/packages/edges/src/service_client.ts
+++ b/packages/edges/src/service_client.ts
@@ -7,37 +7,38 @@
   readonly value: string;
 }
 
-/** A call to one server of a plain service. */
+/** A request to one backend server of a plain service. */
 export interface ServiceCall {
   readonly server: BackendServerId;
-  /** IP literal and port. */
+  /** The server's IP literal and port. */
   readonly address: string;
   readonly method: string;
-  /** Path and query. */
+  /** The request path with its query string. */
   readonly path: string;
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
   readonly timeoutMilliseconds: number;
 }
 
-/** A server's answer. */
+/** A backend server's response. */
 export interface ServiceAnswer {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
-  /** The server says that it is leaving and wants no new work. */
+  /** Whether the server announced that it is leaving and wants no new work. */
   readonly leaving: boolean;
-  /** What the server itself states of whether the call ran. */
+  /** Whether the call ran, as reported by the server itself. */
   readonly statedOutcome?: RunOutcome;
 }
 
-/** The edge to the plain services. */
+/** Client for the plain services. */
 export abstract class ServiceClient {
   /**
-   * Calls one server once, without any retry.
-   * @param call The call.
-   * @param signal Gives the call up.
-   * @returns The answer; or a failure whose outcome tells if it may have run.
+   * Sends one request to one server, without retries.
+   * @param call The request to send.
+   * @param signal Aborts the call.
+   * @returns The response, or a failure whose outcome tells whether the call
+   * may have run.
    */
   abstract call(
     call: ServiceCall,
--- a/packages/edges/src/vm_list_client.ts
+++ b/packages/edges/src/vm_list_client.ts
@@ -7,7 +7,7 @@
 } from "@foxtailwind/core";
 import type { Result } from "neverthrow";
 
-/** What a VM is for. */
+/** What a VM runs: an entry node, an engine or a server of a service. */
 export type VmRole =
   | { readonly kind: "entry" }
   | {
@@ -18,12 +18,12 @@
   }
   | { readonly kind: "service"; readonly service: ServiceId };
 
-/** A VM, as the platform's lagging list tells it. */
+/** A VM in the platform's list, which lags. */
 export interface Vm {
   readonly id: string;
-  /** IP literal and port for HTTP. */
+  /** The IP literal and port for HTTP. */
   readonly address: string;
-  /** IP literal and port for gRPC between nodes; entry VMs only. */
+  /** The IP literal and port for gRPC between nodes, on entry VMs only. */
   readonly peerAddress?: string;
   readonly region: RegionId;
   readonly failureDomain: FailureDomainId;
@@ -31,8 +31,11 @@
   readonly state: "live" | "leaving";
 }
 
-/** The edge to the platform's list of live and leaving VMs, which lags. */
+/** Client for the platform's list of live and leaving VMs, which lags. */
 export abstract class VmListClient {
-  /** Reads the whole list. */
+  /**
+   * Reads the whole list.
+   * @returns The VMs, or a failure.
+   */
   abstract read(): Promise<Result<readonly Vm[], Failure>>;
 }
--- a/packages/edges/src/weight_store_client.ts
+++ b/packages/edges/src/weight_store_client.ts
@@ -1,25 +1,32 @@
 import type { AdapterReference, Failure } from "@foxtailwind/core";
 import type { Result } from "neverthrow";
 
-/** What the weight store knows of an adapter version. */
+/** The metadata of an adapter version in the weight store. */
 export interface AdapterWeights {
   readonly adapter: AdapterReference;
   readonly bytes: number;
 }
 
-/** The limits that a weight store states. */
+/** The load limits that a weight store announces. */
 export interface WeightStoreLimits {
   readonly loadsPerSecond: number;
   readonly concurrentLoads: number;
 }
 
-/** The edge to the weight store. Engines fetch from it when told to load. */
+/** Client for the weight store, from which engines fetch adapter weights. */
 export abstract class WeightStoreClient {
-  /** Looks an adapter version up. */
+  /**
+   * Looks up an adapter version.
+   * @param adapter The adapter and its version.
+   * @returns The metadata of its weights, or a failure.
+   */
   abstract describe(
     adapter: AdapterReference,
   ): Promise<Result<AdapterWeights, Failure>>;
 
-  /** Reads the store's limits. */
+  /**
+   * Reads the store's limits.
+   * @returns The limits, or a failure.
+   */
   abstract readLimits(): Promise<Result<WeightStoreLimits, Failure>>;
 }
--- a/packages/edges/tests/after_pending_input_test.ts
+++ b/packages/edges/tests/after_pending_input_test.ts
@@ -1,4 +1,4 @@
-/** Limits of calls in a process that stands still for a moment. */
+/** Timeouts of calls while the process stalls for a moment. */
 import { exchange, inputTimeout } from "@foxtailwind/edges";
 import test, { type ExecutionContext } from "ava";
 import { type AddressInfo, createServer, type Socket } from "node:net";
@@ -8,7 +8,7 @@
 const LIMIT_MILLISECONDS = 150;
 const STALL_MILLISECONDS = 400;
 
-/** Connections to a server that answers, and then keeps the process busy. */
+/** Connects to a server that responds and then blocks the event loop. */
 function connectToStallingServer(t: ExecutionContext): Promise<Pool> {
   return connectToServer(t, (socket) => {
     socket.on("error", () => undefined);
@@ -20,7 +20,7 @@
   });
 }
 
-/** Connections to a server that takes them as a test says. */
+/** Connects to a server that handles its connections with a callback. */
 async function connectToServer(
   t: ExecutionContext,
   onConnection: (socket: Socket) => void,
@@ -36,8 +36,9 @@
   return pool;
 }
 
-// Guards against calls given up as unanswered whose answer was not read yet.
-test.serial("an answer that came before a call's limit counts after a stall", async (t) => {
+// Guards against calls that time out although their response has arrived and
+// is only unread because the event loop was blocked.
+test.serial("a response that arrived before the timeout counts after a stall", async (t) => {
   const pool = await connectToStallingServer(t);
   const answer = await exchange(pool, {
     step: "read_engine",
@@ -50,7 +51,7 @@
   t.is(answer._unsafeUnwrap().body.toString(), "well");
 });
 
-test.serial("a signal at a limit ends no call whose answer has come", async (t) => {
+test.serial("a timeout signal does not abort a call whose response arrived", async (t) => {
   const pool = await connectToStallingServer(t);
   const answer = await pool.request({
     method: "GET",
@@ -60,12 +61,12 @@
   t.is(await answer.body.text(), "well");
 });
 
-test.serial("a signal at a limit ends a call without an answer", async (t) => {
+test.serial("a timeout signal aborts a call without a response", async (t) => {
   const pool = await connectToServer(t, () => undefined);
   const call = pool.request({
     method: "GET",
     path: "/",
     signal: inputTimeout(LIMIT_MILLISECONDS),
   });
-  await t.throwsAsync(call, { message: "No answer came in time." });
+  await t.throwsAsync(call, { message: "The call timed out." });
 });
--- a/packages/edges/tests/bounded_signal_test.ts
+++ b/packages/edges/tests/bounded_signal_test.ts
@@ -4,7 +4,7 @@
 
 const LIMIT_MILLISECONDS = 50;
 
-test("a bounded signal ends at its limit, or with the other signal", async (t) => {
+test("a bounded signal aborts at its time limit, or with its parent", async (t) => {
   const parent = new AbortController();
   const atLimit = new BoundedSignal(parent.signal, LIMIT_MILLISECONDS);
   const withParent = new BoundedSignal(parent.signal, 60_000);
@@ -18,7 +18,7 @@
   t.true(new BoundedSignal(parent.signal, LIMIT_MILLISECONDS).signal.aborted);
 });
 
-test("a bounded signal that is released never ends", async (t) => {
+test("a bounded signal that is released never aborts", async (t) => {
   const parent = new AbortController();
   const bounded = new BoundedSignal(parent.signal, LIMIT_MILLISECONDS);
   bounded.release();
--- a/packages/edges/tests/helpers/calls.ts
+++ b/packages/edges/tests/helpers/calls.ts
@@ -8,8 +8,8 @@
 import type { AdapterReference, GenerateCall } from "@foxtailwind/edges";
 
 /**
- * Names an adapter in its first version.
- * @param id The adapter.
+ * Creates a reference to the first version of an adapter.
+ * @param id The adapter's id.
  * @returns The reference.
  */
 export function adapterOf(id: string): AdapterReference {
@@ -17,10 +17,10 @@
 }
 
 /**
- * Makes a generation request.
+ * Creates a request for generation.
  * @param request The request's id.
- * @param changes What differs from a short first attempt on adapter "a".
- * @returns The call.
+ * @param changes Fields that differ from a short first attempt on adapter "a".
+ * @returns The request.
  */
 export function callOf(
   request: string,
--- a/packages/edges/tests/helpers/collecting_sink.ts
+++ b/packages/edges/tests/helpers/collecting_sink.ts
@@ -6,7 +6,7 @@
 } from "@foxtailwind/edges";
 import type { Result } from "neverthrow";
 
-/** Gathers a generation. */
+/** Collects the frames and the end of a generation. */
 export class CollectingSink extends GenerationSink {
   readonly frames: GenerationFrame[] = [];
   readonly ended: Promise<Result<GenerationEnd, Failure>>;
@@ -36,12 +36,12 @@
     this.#resolveEnd(result);
   }
 
-  /** All tokens in the order of their arrival. */
+  /** All tokens, in the order of arrival. */
   get text(): string {
     return this.frames.flatMap(({ tokens }) => tokens).join("");
   }
 
-  /** Waits until so many frames have come. */
+  /** Waits until this many frames have arrived. */
   async gather(count: number): Promise<void> {
     if (this.frames.length >= count) return;
     const reached = new Promise<boolean>((resolve) => {
@@ -56,6 +56,8 @@
       reached,
       this.ended.then(() => false),
     ]);
-    if (!isReached) throw new Error(`Cannot gather ${count} frames: it ended`);
+    if (!isReached) {
+      throw new Error(`The generation ended before ${count} frames arrived`);
+    }
   }
 }
--- a/packages/edges/tests/helpers/raw_server.ts
+++ b/packages/edges/tests/helpers/raw_server.ts
@@ -1,15 +1,15 @@
 import { createServer, type RequestListener } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** A bare HTTP server on loopback, for answers that no stand-in gives. */
+/** An HTTP server on loopback, for responses that no stand-in can send. */
 export interface RawServer {
   readonly address: string;
   readonly close: () => void;
 }
 
 /**
- * Starts a bare server.
- * @param answer Answers each request.
+ * Starts an HTTP server.
+ * @param answer Handles each request.
  * @returns The server.
  */
 export async function startRawServer(
@@ -30,7 +30,7 @@
 }
 
 /**
- * Finds an address at which nothing listens.
+ * Finds an address that no server listens on.
  * @returns The address.
  */
 export async function findClosedAddress(): Promise<string> {
--- a/packages/edges/tests/http/frame_reader_test.ts
+++ b/packages/edges/tests/http/frame_reader_test.ts
@@ -44,7 +44,7 @@
   }
 }
 
-test("a reader gives what parsing each whole line gives", (t) => {
+test("the reader returns the same values as parsing each line", (t) => {
   const line = fc.tuple(
     fc.constantFrom(...PREFIXES),
     fc.constantFrom(...SUFFIXES),
@@ -60,7 +60,7 @@
   );
 });
 
-test("frames share the head that was learnt from the first", (t) => {
+test("frames share the prefix that is cached from the first", (t) => {
   const reader = new FrameReader();
   const lines = ["1", "2", "3"].map((sequence) =>
     `${PREFIXES[0] ?? ""},"sequence":${sequence},"tokens":["a"]}`
--- a/packages/edges/tests/http/http_engine_client_test.ts
+++ b/packages/edges/tests/http/http_engine_client_test.ts
@@ -48,7 +48,7 @@
   return `${JSON.stringify(frame)}\n`;
 }
 
-test("a refused connection has not run", async (t) => {
+test("a generation whose connection is refused has not run", async (t) => {
   const sink = new CollectingSink();
   createClient(t, await findClosedAddress()).generate(callOf("r"), sink);
   const failure = (await sink.ended)._unsafeUnwrapErr();
@@ -60,7 +60,7 @@
   });
 });
 
-test("a stated refusal counts as it is stated", async (t) => {
+test("a failure that the engine reports is returned unchanged", async (t) => {
   const sink = await generateWith(t, (_request, response) => {
     response.writeHead(429).end(JSON.stringify({
       reason: "overloaded",
@@ -73,7 +73,7 @@
   t.like(failure, { outcome: "not_run", retryAfterMilliseconds: 7 });
 });
 
-test("a refusal that states nothing leaves the outcome unknown", async (t) => {
+test("an error response without a failure has an unknown outcome", async (t) => {
   const sink = await generateWith(t, (_request, response) => {
     response.writeHead(503).end("<html>");
   });
@@ -81,13 +81,13 @@
   t.like(failure, { reason: "unavailable", outcome: "unknown" });
 });
 
-test("a connection lost after the request was sent is unknown", async (t) => {
+test("a connection lost after the request was sent has an unknown outcome", async (t) => {
   const sink = await generateWith(t, (request) => request.socket.destroy());
   const failure = (await sink.ended)._unsafeUnwrapErr();
   t.like(failure, { reason: "unavailable", outcome: "unknown" });
 });
 
-test("a stream that stops before its end is no whole answer", async (t) => {
+test("a stream that stops before its end line fails", async (t) => {
   const sink = await generateWith(t, (_request, response) => {
     response.writeHead(200).end(frameLine(0));
   });
@@ -96,7 +96,7 @@
   t.like(failure, { reason: "unavailable", outcome: "unknown" });
 });
 
-test("a line that is neither frame nor end is corrupt", async (t) => {
+test("a line that is neither a frame nor an end is corrupt", async (t) => {
   for (const line of ["[", "{}", '{"sequence":0,"tokens":[1]}']) {
     const sink = await generateWith(t, (_request, response) => {
       response.writeHead(200).write(`${frameLine(0)}${line}\n${frameLine(2)}`);
@@ -107,7 +107,7 @@
   }
 });
 
-test("frames come out whole when their bytes come singly", async (t) => {
+test("frames are parsed correctly when their bytes arrive one by one", async (t) => {
   const sink = await generateWith(t, (_request, response) => {
     response.writeHead(200);
     for (const byte of Buffer.from(frameLine(0) + frameLine(2))) {
@@ -135,7 +135,7 @@
   t.true(requests <= 1);
 });
 
-test("a cancel that the engine does not follow ends unknown", async (t) => {
+test("a cancel that the engine ignores has an unknown outcome", async (t) => {
   const server = await startRawServer((request, response) => {
     if (request.url === "/v1/cancel") response.end('{"cancelled":false}');
     else response.writeHead(200).write(frameLine(0));
@@ -149,7 +149,7 @@
   t.like(failure, { reason: "cancelled", outcome: "unknown" });
 });
 
-test("an answer that does not fit its schema is corrupt", async (t) => {
+test("a response that does not match its schema is corrupt", async (t) => {
   const server = await startRawServer((_request, response) => {
     response.end('{"engine":1}');
   });
@@ -158,7 +158,7 @@
   t.like(state._unsafeUnwrapErr(), { reason: "corrupt", step: "read_engine" });
 });
 
-test("a paused generation holds the engine back", async (t) => {
+test("a paused generation applies backpressure to the engine", async (t) => {
   const frames = 20_000;
   let written = 0;
   const server = await startRawServer((_request, response) => {
--- a/packages/edges/tests/http/http_service_client_test.ts
+++ b/packages/edges/tests/http/http_service_client_test.ts
@@ -30,7 +30,7 @@
   };
 }
 
-test("an answer of any status is passed on with its headers", async (t) => {
+test("a response of any status is returned with its headers", async (t) => {
   const server = await startRawServer((request, response) => {
     response.writeHead(418, { "foxtailwind-leaving": "true" });
     response.end(`${request.url ?? ""} ${String(request.headers["x-many"])}`);
@@ -43,7 +43,7 @@
   t.is(Buffer.from(answer.body).toString(), "/bookings?day=1 one, two");
 });
 
-test("only a call whose connection failed has not run", async (t) => {
+test("only a call whose connection could not be opened has not run", async (t) => {
   const signal = new AbortController().signal;
   const closed = createCall(await findClosedAddress());
   const refused = await createClient(t).call(closed, signal);
@@ -57,7 +57,7 @@
   t.is(dropped._unsafeUnwrapErr().outcome, "unknown");
 });
 
-test("a call given up is unknown once it was sent", async (t) => {
+test("an aborted call has an unknown outcome once it was sent", async (t) => {
   const abort = new AbortController();
   const server = await startRawServer(() => {
     abort.abort();
@@ -75,7 +75,7 @@
   t.like(early._unsafeUnwrapErr(), { reason: "cancelled", outcome: "not_run" });
 });
 
-test("an answer that takes too long is a timeout", async (t) => {
+test("a response that takes too long fails with a timeout", async (t) => {
   const server = await startRawServer(() => undefined);
   t.teardown(server.close);
   const call = { ...createCall(server.address), timeoutMilliseconds: 50 };
@@ -93,7 +93,7 @@
 };
 
 for (const [moment, crash] of Object.entries(CRASHES)) {
-  test(`an answer without a length that is reset ${moment} is not taken as whole`, async (t) => {
+  test(`a response without a length that is reset ${moment} is not complete`, async (t) => {
     const server = await startRawServer(({ socket }) => {
       socket.write("HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf a bo");
       crash(socket);
@@ -108,13 +108,13 @@
   });
 }
 
-test("an answer that comes twice is not taken for the next call's", async (t) => {
+test("a duplicate response is not returned for the next call", async (t) => {
   let arrivals = 0;
   const server = await startRawServer(({ socket }) => {
     arrivals += 1;
     const answer = (body: string) =>
       `HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n${body}`;
-    // The second call finds the first one's answer once more.
+    // The second call finds a duplicate of the first response.
     if (arrivals === 1) socket.write(answer("first"));
     else socket.write(answer("first") + answer("again"));
   });
--- a/packages/edges/tests/http/line_splitter_test.ts
+++ b/packages/edges/tests/http/line_splitter_test.ts
@@ -26,7 +26,7 @@
   );
 }
 
-test("lines come out whole wherever the chunks are cut", (t) => {
+test("lines are complete wherever the chunks are split", (t) => {
   const line = fc.string({ unit: "grapheme", minLength: 1, maxLength: 20 })
     .filter((text) => !text.includes("\n"));
   fc.assert(
@@ -42,14 +42,14 @@
   );
 });
 
-test("empty lines are left out and an open line is held back", (t) => {
+test("empty lines are skipped and an incomplete line is buffered", (t) => {
   t.deepEqual(splitIntoLines([Buffer.from("\n\none\n\ntwo\nopen")]), [
     "one",
     "two",
   ]);
 });
 
-test("a line past the limit stops the reading", (t) => {
+test("a line longer than the limit throws", (t) => {
   const chunk = Buffer.alloc(MAXIMUM_LINE_BYTES, "x");
   t.throws(() => splitIntoLines([chunk, chunk]), {
     instanceOf: LineTooLongError,
