--- a/packages/cli/src/client/differences.ts
+++ b/packages/cli/src/client/differences.ts
@@ -4,7 +4,7 @@
 import { formatTable } from "../output/table.ts";
 import type { NodeClient } from "./node_client.ts";
 
-/** How many changes a record carries at most. */
+/** The maximum number of changes in one record. */
 export const MAXIMUM_CHANGES_PER_RECORD = 500;
 
 const differencesSchema = z.object({
@@ -17,15 +17,15 @@
   })),
 });
 
-/** What publishing would change, against the configuration at one offset. */
+/** What publishing would change, compared with the configuration in force. */
 export type DifferencesResponse = z.output<typeof differencesSchema>;
 
 /**
- * Asks a node what changes would change.
- * @param client The node.
- * @param changes The changes.
- * @returns Those that differ from what is in force, and the lowest offset
- * that they were compared at.
+ * Asks a node which changes differ from the configuration in force.
+ * @param client The node's client.
+ * @param changes The changes to compare.
+ * @returns The changes that differ, and the lowest configuration offset that
+ * they were compared with.
  */
 export async function readDifferences(
   client: NodeClient,
@@ -54,9 +54,9 @@
 }
 
 /**
- * Writes differences for people.
+ * Formats differences as text.
  * @param response The differences.
- * @returns A table, or that there are none.
+ * @returns A table, or a sentence if there are none.
  */
 export function formatDifferences(response: DifferencesResponse): string {
   if (response.differences.length === 0) {
--- a/packages/cli/src/client/node_client.ts
+++ b/packages/cli/src/client/node_client.ts
@@ -9,7 +9,7 @@
 const SUCCESS_STATUS_CLASS = 2;
 const STATUSES_PER_CLASS = 100;
 
-/** A call to a node's operators' interface. */
+/** A call to the operators' API of a node. */
 export interface NodeCall<ResponseBody> {
   readonly method: "GET" | "POST" | "PUT" | "DELETE";
   /** The path below `/v1/operators/`. */
@@ -18,27 +18,27 @@
   readonly responseSchema: z.ZodType<ResponseBody>;
 }
 
-/** Calls the operators' interface of one node. */
+/** Client for the operators' API of one node. */
 export class NodeClient {
   readonly #origin: string;
 
-  /** @param address IP literal and port, with or without `http://`. */
+  /** @param address The IP literal and port, with or without `http://`. */
   constructor(address: string) {
     this.#origin = address.startsWith("http://")
       ? address
       : `http://${address}`;
   }
 
-  /** The node's `http://` address. */
+  /** The node's address with `http://`. */
   get origin(): string {
     return this.#origin;
   }
 
   /**
-   * Reads something.
+   * Sends a GET request.
    * @param path The path below `/v1/operators/`.
-   * @param responseSchema The form of the answer.
-   * @returns The checked answer, or why there is none.
+   * @param responseSchema The schema of the response body.
+   * @returns The validated response body, or a failure.
    */
   get<ResponseBody>(
     path: string,
@@ -48,9 +48,10 @@
   }
 
   /**
-   * Calls the node once; changes go through `publishSettled` instead.
+   * Calls the node once, without retries. To publish changes, use
+   * `publishUntilConfirmed`.
    * @param call The call.
-   * @returns The checked answer, or why there is none.
+   * @returns The validated response body, or a failure.
    */
   async call<ResponseBody>(
     call: NodeCall<ResponseBody>,
--- a/packages/cli/src/client/problem.ts
+++ b/packages/cli/src/client/problem.ts
@@ -19,10 +19,10 @@
 };
 
 /**
- * Reads a node's refusal.
+ * Converts a node's error response to a failure.
  * @param status The HTTP status.
- * @param body The body, problem details (RFC 9457) where the node wrote it.
- * @returns The failure, with the exit code that fits.
+ * @param body The body: problem details (RFC 9457) if the node itself wrote it.
+ * @returns The failure, with the exit code for its status and outcome.
  */
 export function failureFromProblem(
   status: number,
--- a/packages/cli/src/client/publish.ts
+++ b/packages/cli/src/client/publish.ts
@@ -17,26 +17,29 @@
 
 const currentOffsetSchema = z.object({ offset: z.number() });
 
-/** An accepted change. */
+/** The response to an accepted change. */
 export type PublishResponse = z.output<typeof publishResponseSchema>;
 
-/** What to publish as one record. */
+/** Changes to publish as one record. */
 export interface PublishRequest {
   readonly changes: readonly object[];
   readonly author: string;
-  /** Chosen by the operator to settle an earlier try, or made here. */
+  /**
+   * Given by the operator to learn the outcome of an earlier attempt; generated
+   * if absent.
+   */
   readonly id?: string;
-  /** The offset of the configuration that the operator looked at. */
+  /** The offset of the configuration that the changes are based on. */
   readonly base: number;
 }
 
 /**
- * Publishes a record and learns what became of it. Where an answer is lost it
- * sends the same id again: a repeated id is the same change, so this asks
- * what became of it, and cannot publish twice.
- * @param client The node.
- * @param request What to publish.
- * @returns Where the record was accepted, or why it was not.
+ * Publishes a record and retries with the same id while the outcome is unknown.
+ * A repeated id denotes the same change, so a retry returns the outcome of the
+ * first attempt and cannot publish twice.
+ * @param client The node's client.
+ * @param request The record to publish.
+ * @returns The offset at which the record was accepted, or why it was not.
  */
 export async function publishUntilConfirmed(
   client: NodeClient,
@@ -56,9 +59,9 @@
 }
 
 /**
- * Reads the offset that is in force at a node, to be a change's base.
- * @param client The node.
- * @returns The offset.
+ * Reads the configuration offset in force at a node, as the base of a change.
+ * @param client The node's client.
+ * @returns The offset, or a failure.
  */
 export async function readCurrentOffset(
   client: NodeClient,
--- a/packages/cli/src/command_failure.ts
+++ b/packages/cli/src/command_failure.ts
@@ -1,19 +1,19 @@
 import type { ExitCode } from "./exit_code.ts";
 
-/** Why a command did not do its work, and what the operator can do. */
+/** Why a command failed, and what the operator can do. */
 export interface CommandFailure {
   readonly code: ExitCode;
   readonly message: string;
-  /** What to do next, as a whole sentence. */
+  /** What the operator can do, in whole sentences. */
   readonly remedy?: string;
-  /** The change that the failure is about, where there is one. */
+  /** The id of the change that the failure concerns, if there is one. */
   readonly change?: string;
 }
 
 /**
- * Writes a failure for people.
+ * Formats a failure as text.
  * @param failure The failure.
- * @returns One or two lines.
+ * @returns The message, followed by the remedy if there is one.
  */
 export function formatCommandFailure(failure: CommandFailure): string {
   const lines = [`foxtailwind: ${failure.message}`];
--- a/packages/cli/src/command_line.ts
+++ b/packages/cli/src/command_line.ts
@@ -18,14 +18,14 @@
 
 const HELP_WIDTH_COLUMNS = 80;
 
-/** Where a run of the command line writes, and what it finds around it. */
+/** The environment variables and output streams of a run. */
 export interface CommandLineContext {
   readonly environment: Readonly<Record<string, string | undefined>>;
   readonly writeOut: (text: string) => void;
   readonly writeError: (text: string) => void;
 }
 
-/** The process's own output and environment. */
+/** The environment variables and output streams of the process. */
 export const PROCESS_CONTEXT: CommandLineContext = {
   environment: process.env,
   writeOut: (text) => void process.stdout.write(text),
@@ -40,8 +40,8 @@
 
 /**
  * Runs one command line.
- * @param commandArguments What follows the program's name.
- * @param options The commands, and where to write.
+ * @param commandArguments The arguments after the program's name.
+ * @param options The commands, and the context if it is not the process.
  * @returns The exit code.
  */
 export async function runCommandLine(
--- a/packages/cli/src/commands/command.ts
+++ b/packages/cli/src/commands/command.ts
@@ -10,27 +10,27 @@
   readonly json: boolean;
 }
 
-/** What a command's work comes to. */
+/** The output of a command, or why it failed. */
 export type CommandResult = Result<CommandOutput, CommandFailure>;
 
-/** The work of a command. */
+/** The action of a command, bound to its options. */
 export type CommandAction =
   | {
     readonly kind: "at_node";
     readonly run: (client: NodeClient) => Promise<CommandResult>;
   }
-  /** Needs no node. */
+  /** Runs without calling a node. */
   | { readonly kind: "here"; readonly run: () => Promise<CommandResult> };
 
-/** Runs the work of a command and reports what it came to. */
+/** Runs the action of a command and prints its result. */
 export type ExecuteAction = (
   options: GlobalOptions,
   work: CommandAction,
 ) => Promise<void>;
 
-/** A command, ready to be added to the parser. */
+/** A command that can be added to the parser. */
 export interface Command {
-  /** The word that calls it. */
+  /** The argument that selects the command. */
   readonly name: string;
   readonly register: (
     parser: Argv<GlobalOptions>,
@@ -38,9 +38,9 @@
   ) => Argv<GlobalOptions>;
 }
 
-/** A command's words, its options and its work. */
+/** The definition of a command: its arguments, options and action. */
 export interface CommandDefinition<Options> {
-  /** As yargs writes it, such as `set <class>`. */
+  /** The command in the syntax of yargs, such as `set <class>`. */
   readonly command: string;
   readonly describe: string;
   readonly options: (parser: Argv<GlobalOptions>) => Argv<Options>;
@@ -48,7 +48,7 @@
     options: ArgumentsCamelCase<Options>,
     client: NodeClient,
   ) => Promise<CommandResult>;
-  /** The work, where these options ask for some that needs no node. */
+  /** Returns the result if these options need no node, else `undefined`. */
   readonly runWithoutNode?: (
     options: ArgumentsCamelCase<Options>,
   ) => Promise<CommandResult> | undefined;
@@ -56,7 +56,7 @@
 
 /**
  * Defines a command.
- * @param definition Its words, options and work.
+ * @param definition The command's arguments, options and action.
  * @returns The command.
  */
 export function defineCommand<Options extends GlobalOptions>(
@@ -84,8 +84,8 @@
 }
 
 /**
- * Defines a command that only holds others, such as `classes`.
- * @param group Its word, what it is about, and the commands in it.
+ * Defines a command that only groups subcommands, such as `classes`.
+ * @param group The group's name, description and subcommands.
  * @returns The command.
  */
 export function defineGroup(group: {
--- a/packages/cli/src/commands/configuration.ts
+++ b/packages/cli/src/commands/configuration.ts
@@ -4,7 +4,7 @@
 import { CONFIGURATION_PUBLISH_COMMAND } from "./configuration_publish.ts";
 import { CONFIGURATION_STATUS_COMMAND } from "./configuration_status.ts";
 
-/** Publishes configuration and shows how far it is in force. */
+/** Publishes the configuration; shows its status, history and differences. */
 export const CONFIGURATION_COMMAND: Command = defineGroup({
   command: "config",
   describe: "The configuration as a whole",
--- a/packages/cli/src/commands/configuration_diff.ts
+++ b/packages/cli/src/commands/configuration_diff.ts
@@ -3,7 +3,7 @@
 import { loadConfigurationFile } from "../files/load_configuration_file.ts";
 import { type Command, defineCommand } from "./command.ts";
 
-/** Compares a file with what is in force. */
+/** Compares a file with the configuration in force. */
 export const CONFIGURATION_DIFF_COMMAND: Command = defineCommand({
   command: "diff <file>",
   describe: "Compare an INI file with what is in force",
--- a/packages/cli/src/commands/configuration_history.ts
+++ b/packages/cli/src/commands/configuration_history.ts
@@ -15,7 +15,7 @@
   })),
 });
 
-/** Shows the latest changes and what became of them. */
+/** Shows the latest changes and whether they took effect. */
 export const CONFIGURATION_HISTORY_COMMAND: Command = defineCommand({
   command: "history",
   describe: "Show the latest changes and what became of them",
--- a/packages/cli/src/commands/configuration_publish.ts
+++ b/packages/cli/src/commands/configuration_publish.ts
@@ -15,7 +15,7 @@
 import { type Command, type CommandResult, defineCommand } from "./command.ts";
 import { addWriteOptions, type WriteOptions } from "./write_options.ts";
 
-/** Publishes what a file says and is not yet in force. */
+/** Publishes the changes in a file that are not in force yet. */
 export const CONFIGURATION_PUBLISH_COMMAND: Command = defineCommand({
   command: "publish <file>",
   describe: "Publish what an INI file says and is not in force yet",
--- a/packages/cli/src/commands/configuration_status.ts
+++ b/packages/cli/src/commands/configuration_status.ts
@@ -15,7 +15,7 @@
   })),
 });
 
-/** Shows the offset in force at each node. */
+/** Shows the configuration offset in force at each node. */
 export const CONFIGURATION_STATUS_COMMAND: Command = defineCommand({
   command: "status",
   describe: "Show the offset in force at each node",
--- a/packages/cli/src/commands/drain.ts
+++ b/packages/cli/src/commands/drain.ts
@@ -7,7 +7,7 @@
   in_progress: z.number(),
 });
 
-/** Starts the drain of the node that is asked. */
+/** Starts to drain the node that the command calls. */
 export const DRAIN_COMMAND: Command = defineCommand({
   command: "drain",
   describe: "Drain the node that --node names: it takes no new work, and " +
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -37,7 +37,7 @@
   })),
 });
 
-/** What the nodes saw of a request, as a node answers it. */
+/** The steps of a request that the nodes recorded, as returned by a node. */
 export type ExplanationsResponse = z.output<typeof explanationsSchema>;
 
 /** Explains what happened to a recent request. */
--- a/packages/cli/src/commands/histograms.ts
+++ b/packages/cli/src/commands/histograms.ts
@@ -34,13 +34,13 @@
   })),
 });
 
-/** A histogram in figures and buckets, as a node answers it. */
+/** The statistics and buckets of a histogram, as returned by a node. */
 export type HistogramSummary = z.output<typeof summarySchema>;
 
-/** Histograms of all nodes, as a node answers them. */
+/** The merged histograms of all nodes, as returned by a node. */
 export type HistogramsResponse = z.output<typeof histogramsSchema>;
 
-/** Shows the histograms of all nodes, added up. */
+/** Shows the merged histograms of all nodes. */
 export const HISTOGRAMS_COMMAND: Command = defineCommand({
   command: "histograms",
   describe: "Show the histograms of all nodes, by class and tenant",
--- a/packages/cli/src/commands/target_options.ts
+++ b/packages/cli/src/commands/target_options.ts
@@ -3,24 +3,24 @@
 import { addWriteOptions, type WriteOptions } from "./write_options.ts";
 import type { GlobalOptions } from "./command.ts";
 
-/** The options that say a target. */
+/** The options that specify a latency target. */
 export interface TargetOptions extends WriteOptions {
   readonly "first-token": number;
   readonly "between-tokens": number | undefined;
   readonly "whole-answer": number | undefined;
 }
 
-/** A target, as a node answers it. */
+/** The schema of a latency target in responses of a node. */
 export const latencyTargetSchema = z.object({
   firstTokenMilliseconds: z.number(),
   betweenTokensMilliseconds: z.number().optional(),
   wholeAnswerMilliseconds: z.number().optional(),
 });
 
-/** A target, as a node answers it. */
+/** A latency target, as in responses of a node and in published changes. */
 export type LatencyTarget = z.output<typeof latencyTargetSchema>;
 
-/** The columns that show a target. */
+/** The names of the columns that show a latency target. */
 export const TARGET_COLUMN_NAMES = [
   "first token ms",
   "between tokens ms",
@@ -28,9 +28,9 @@
 ] as const;
 
 /**
- * Adds the options that say a target.
- * @param parser The parser.
- * @returns The parser with them.
+ * Adds the options that specify a latency target.
+ * @param parser The command's parser.
+ * @returns The parser with the options.
  */
 export function addTargetOptions(
   parser: Argv<GlobalOptions>,
@@ -52,9 +52,9 @@
 }
 
 /**
- * Makes a target from the options.
- * @param options The options.
- * @returns The target, as records carry it.
+ * Creates a latency target from the parsed options.
+ * @param options The parsed options.
+ * @returns The target, in the form of a published change.
  */
 export function toLatencyTarget(
   options: ArgumentsCamelCase<TargetOptions>,
@@ -69,7 +69,7 @@
 }
 
 /**
- * Gives a target as cells of {@link TARGET_COLUMN_NAMES}.
+ * Converts a latency target to the cells below {@link TARGET_COLUMN_NAMES}.
  * @param target The target.
  * @returns The cells.
  */
--- a/packages/cli/src/commands/targeted_group.ts
+++ b/packages/cli/src/commands/targeted_group.ts
@@ -12,22 +12,22 @@
 } from "./target_options.ts";
 import { addWriteOptions, publishChanges } from "./write_options.ts";
 
-/** Something that has a target, as a node lists it. */
+/** An item with a latency target, as listed by a node. */
 export interface TargetedRow {
   readonly name: string;
   readonly target: LatencyTarget;
-  /** The offset of its last change. */
+  /** The configuration offset of the item's last change. */
   readonly version: number;
   readonly author: string;
 }
 
-/** The words of things that have targets, and how they are listed. */
+/** A kind of item with latency targets: its names and how to list it. */
 export interface TargetedGroup<ListResponse extends object> {
   readonly singular: "class" | "service";
   readonly plural: "classes" | "services";
   readonly describe: string;
   readonly removeDescription: string;
-  /** Asks a node for all of them. */
+  /** Reads all items from a node. */
   readonly list: (
     client: NodeClient,
   ) => Promise<Result<ListResponse, CommandFailure>>;
@@ -35,8 +35,8 @@
 }
 
 /**
- * Defines the command that lists, sets and removes things that have targets.
- * @param group Their words, and how they are listed.
+ * Defines the command that lists, sets and removes items with latency targets.
+ * @param group The kind of item.
  * @returns The command.
  */
 export function defineTargetedGroup<Listed extends object>(
--- a/packages/cli/src/commands/write_options.ts
+++ b/packages/cli/src/commands/write_options.ts
@@ -6,7 +6,7 @@
 import type { CommandFailure } from "../command_failure.ts";
 import type { CommandResult, GlobalOptions } from "./command.ts";
 
-/** The options of commands that publish a change. */
+/** The options of commands that publish changes. */
 export interface WriteOptions extends GlobalOptions {
   readonly author: string;
   readonly id: string | undefined;
@@ -14,9 +14,9 @@
 }
 
 /**
- * Adds the options of commands that publish a change.
- * @param parser The parser.
- * @returns The parser with them.
+ * Adds the options of commands that publish changes.
+ * @param parser The command's parser.
+ * @returns The parser with the options.
  */
 export function addWriteOptions(
   parser: Argv<GlobalOptions>,
@@ -40,11 +40,11 @@
 }
 
 /**
- * Publishes changes as one record and says what became of them.
- * @param client The node.
- * @param options Who publishes, with which id and base.
+ * Publishes changes as one record and reports the result.
+ * @param client The node's client.
+ * @param options The author, and the id and base offset if given.
  * @param changes The changes.
- * @returns The answer for the operator.
+ * @returns The output for the operator, or a failure.
  */
 export async function publishChanges(
   client: NodeClient,
--- a/packages/cli/src/exit_code.ts
+++ b/packages/cli/src/exit_code.ts
@@ -1,4 +1,4 @@
-/** What the process tells its shell; docs/OPERATORS.md lists the same. */
+/** The exit codes of the process, as documented in docs/OPERATORS.md. */
 export const EXIT_CODE = {
   ok: 0,
   failed: 1,
--- a/packages/cli/src/files/configuration_file_schema.ts
+++ b/packages/cli/src/files/configuration_file_schema.ts
@@ -43,7 +43,7 @@
   error: "one of versions",
 });
 
-/** The kinds of section, and the form of the keys in each. */
+/** The schema of the keys in each kind of section. */
 export const SECTION_SCHEMAS = {
   class: z.strictObject(targetFields),
   service: z.strictObject(targetFields),
@@ -51,16 +51,16 @@
   adapter: adapterSchema,
 } as const;
 
-/** The form of a section that removes what it names. */
+/** The schema of a section that removes the item that it names. */
 export const REMOVAL_SCHEMA = removalSchema;
 
-/** The form of a section's name. */
+/** The schema of a section's name. */
 export const SECTION_NAME_SCHEMA = nameSchema;
 
 /** A kind of section. */
 export type SectionKind = keyof typeof SECTION_SCHEMAS;
 
-/** The keys that each kind of section may have. */
+/** The keys that each kind of section accepts. */
 export const SECTION_KEYS: Readonly<Record<SectionKind, readonly string[]>> = {
   class: [...Object.keys(targetFields), "remove"],
   service: [...Object.keys(targetFields), "remove"],
--- a/packages/cli/src/files/load_configuration_file.ts
+++ b/packages/cli/src/files/load_configuration_file.ts
@@ -15,7 +15,7 @@
 
 const SECTION_KINDS = Object.keys(SECTION_SCHEMAS) as readonly SectionKind[];
 
-/** One thing that is wrong with a configuration file. */
+/** One error in a configuration file. */
 export interface FileProblem {
   readonly file: string;
   readonly section: string;
@@ -32,9 +32,9 @@
 }
 
 /**
- * Reads a configuration file: sections such as `[class drafting]`.
- * @param file Its path.
- * @returns The changes that it asks for, or all its problems in one failure.
+ * Reads a configuration file with sections such as `[class drafting]`.
+ * @param file The file's path.
+ * @returns The changes that it describes, or all problems in one failure.
  */
 export function loadConfigurationFile(
   file: string,
@@ -58,10 +58,10 @@
 }
 
 /**
- * Checks a configuration file's text.
- * @param text INI.
- * @param file The file's name, for problems.
- * @returns The changes, or every problem at once.
+ * Parses and validates a configuration file's text.
+ * @param text The text, in INI format.
+ * @param file The file's name in problems.
+ * @returns The changes, or all problems.
  */
 export function parseConfigurationFile(
   text: string,
@@ -81,7 +81,7 @@
 }
 
 /**
- * Says what is wrong in one line.
+ * Formats a problem as one line.
  * @param problem The problem.
  * @returns The line.
  */
@@ -90,7 +90,10 @@
   return `${file}: [${section}] ${key}: seen "${seen}", allowed: ${allowed}.`;
 }
 
-/** The ini library nests sections at dots; names here may have dots. */
+/**
+ * Restores the section titles: the ini library nests sections at dots, but
+ * names in this file may contain dots.
+ */
 function flattenSections(
   raw: object,
   prefix = "",
--- a/packages/cli/src/logs/explain_request.ts
+++ b/packages/cli/src/logs/explain_request.ts
@@ -1,28 +1,28 @@
 import { RELAY_SENTENCE } from "@foxtailwind/core";
 import { type LogLine } from "./log_line.ts";
 
-/** What the logs tell of a request. */
+/** The explanation of a request's outcome, based on logs. */
 export interface LogExplanation {
   readonly request: string;
-  /** The node that took it. */
+  /** The node that accepted the request. */
   readonly node: string;
   readonly outcome: string;
   readonly status: number;
   readonly tookMilliseconds: number;
-  /** Why it ended so, in one sentence. */
+  /** Why the request ended with this outcome. */
   readonly cause: string;
-  /** The lines that show it, in order of time. */
+  /** The log lines that support the cause, sorted by time. */
   readonly evidence: readonly LogLine[];
 }
 
-/** How far before a request's arrival a cause may lie, in milliseconds. */
+/** How long before a request's arrival a cause may have occurred. */
 const LOOK_BACK_MILLISECONDS = 10_000;
-/** Requests that a server lost so near to each other have one cause. */
+/** Requests that a server lost within this time share one cause. */
 const CORRELATION_MILLISECONDS = 2_000;
 
 interface EndedRequest {
   readonly endLine: LogLine;
-  /** Lines from a while before the request's arrival to its end. */
+  /** The lines from some time before the request's arrival until its end. */
   readonly nearbyLines: readonly LogLine[];
   readonly arrivedAt: number;
 }
@@ -32,7 +32,7 @@
   readonly evidence: readonly LogLine[];
 }
 
-/** One engine that was asked for a place, as the request's line names it. */
+/** The answer of an engine's owner that was asked to place the request. */
 interface PlacementReply {
   readonly engine: string;
   readonly owner: string;
@@ -40,10 +40,11 @@
 }
 
 /**
- * Finds out from logs why a request ended as it did.
- * @param lines Lines of all nodes, in order of time.
+ * Explains from logs why a request ended with its outcome.
+ * @param lines The lines of all nodes, sorted by time.
  * @param request The request's id.
- * @returns What they tell, or nothing where no line says that it ended.
+ * @returns The explanation, or `undefined` if no line reports the request's
+ * end.
  */
 export function explainRequest(
   lines: readonly LogLine[],
@@ -116,7 +117,8 @@
   const limitedFor = readNumber(endLine, "limited_for");
   if (limitedFor === 0) return undefined;
   return {
-    cause: "All servers that could run it name limits; its turn was likely " +
+    cause:
+      "All servers that could run it announce limits; its turn was likely " +
       `after ${limitedFor} ms.`,
     evidence: [],
   };
@@ -141,7 +143,7 @@
   };
 }
 
-/** Why no engine had a place, or had one late. */
+/** Explains why no engine had a free place, or only late. */
 function explainPlacement(request: EndedRequest): Finding {
   const limits = explainLimits(request);
   if (limits !== undefined) return limits;
@@ -177,7 +179,7 @@
   const [granted] = replies;
   if (refused.length === 0 && granted !== undefined) {
     return {
-      cause: `Engine ${granted.engine} had to bring its adapter first.`,
+      cause: `Engine ${granted.engine} had to load its adapter first.`,
       evidence: [],
     };
   }
@@ -201,7 +203,7 @@
     return {
       cause:
         `Node ${unreachable.owner}, the owner of engine ${unreachable.engine}, ` +
-        "gave no answer in time.",
+        "did not answer in time.",
       evidence: logFailures,
     };
   }
@@ -218,11 +220,11 @@
   const head = `Engine ${readText(line, "engine")} had a new owner, node ` +
     readText(line, "owner");
   return wait > 0
-    ? `${head}, which may not order it for ${wait} ms.`
+    ? `${head}, which may not send it orders for ${wait} ms.`
     : `${head}.`;
 }
 
-/** Why a server's answer did not come whole, or came as a failure. */
+/** Explains why a server's response was incomplete or a failure. */
 function explainServerFailure(request: EndedRequest): Finding {
   const { endLine, nearbyLines } = request;
   const server = readText(endLine, "server");
@@ -244,13 +246,13 @@
   if (departures.length > 0 || otherLosses.length > 0) {
     return {
       cause:
-        `Server ${server} ended or fell silent: ${otherLosses.length} more ` +
-        "requests were lost there at that time.",
+        `Server ${server} ended or stopped answering: ${otherLosses.length} ` +
+        "more requests were lost there at that time.",
       evidence: [...departures, ...otherLosses],
     };
   }
   return {
-    cause: `Server ${server} gave no whole answer to this request alone.`,
+    cause: `Server ${server} sent no complete answer, to this request only.`,
     evidence: [],
   };
 }
--- a/packages/cli/src/logs/log_line.ts
+++ b/packages/cli/src/logs/log_line.ts
@@ -2,11 +2,11 @@
 
 /** One line of a node's log. */
 export interface LogLine {
-  /** The node, where its file tells, else the file. */
+  /** The node's id if the file identifies a single node, else the file. */
   readonly source: string;
-  /** Milliseconds since 1970, by the clock of its VM. */
+  /** Milliseconds since the Unix epoch, by the clock of the node's VM. */
   readonly time: number;
-  /** The sentence, without the part of the node that wrote it. */
+  /** The message without the prefix that names the component of the node. */
   readonly sentence: string;
   readonly fields: Readonly<Record<string, string | number | boolean>>;
 }
@@ -18,16 +18,16 @@
 const COMPONENT_PREFIX = /^[a-z]+: /;
 
 /**
- * Reads one line of a log.
+ * Parses one line of a log.
  * @param text The line.
- * @param source Where it stands.
- * @returns The line, or nothing where it is none of a node's.
+ * @param source The file that contains it.
+ * @returns The parsed line, or `undefined` if no node wrote it.
  */
 export function parseLogLine(
   text: string,
   source: string,
 ): LogLine | undefined {
-  // Whoever collects logs may put something before each line.
+  // Log collectors may add a prefix to each line.
   const start = text.indexOf("{");
   if (start === -1) return undefined;
   const parsed = lineSchema.safeParse(parseJson(text.slice(start)));
@@ -45,7 +45,7 @@
   try {
     return JSON.parse(text);
   } catch {
-    // Lines of other programs may stand between those of a node.
+    // A log may also contain lines of other programs.
     return undefined;
   }
 }
--- a/packages/cli/src/logs/read_logs.ts
+++ b/packages/cli/src/logs/read_logs.ts
@@ -7,16 +7,16 @@
 import { EXIT_CODE } from "../exit_code.ts";
 import { type LogLine, parseLogLine } from "./log_line.ts";
 
-/** The name that stands for standard input. */
+/** The file name that stands for standard input. */
 const STANDARD_INPUT = "-";
-/** Outcomes of other requests that may tell something of a server. */
+/** Outcomes of other requests that may indicate a failing server. */
 const RELEVANT_OUTCOMES = new Set(["lost", "broken_stream", "time_limit"]);
 
 /**
- * Reads what may matter for a request from nodes' logs.
- * @param files Paths; `-` is standard input.
+ * Reads the lines that may be relevant to a request from nodes' logs.
+ * @param files The paths; `-` is standard input.
  * @param request The request's id.
- * @returns The lines, in order of time.
+ * @returns The lines, sorted by time, or why a log cannot be read.
  */
 export async function readLogs(
   files: readonly string[],
@@ -57,7 +57,7 @@
       remedy: "Name readable log files, or - for standard input.",
     });
   }
-  // A file with the lines of several nodes doesn't tell whose each one is.
+  // In a file with lines of several nodes, a line does not name its node.
   const [node] = startedNodes;
   const source = startedNodes.size === 1 && node !== undefined ? node : name;
   if (lineCount > 0) {
@@ -77,7 +77,10 @@
   return createInterface({ input, crlfDelay: Infinity });
 }
 
-/** The ends of other requests are most of a log, and mostly tell nothing. */
+/**
+ * Drops most ends of other requests, which make up most of a log and rarely
+ * explain anything.
+ */
 function isRelevant({ sentence, fields }: LogLine, request: string): boolean {
   const belongsToOtherRequest = fields["request"] !== undefined &&
     fields["request"] !== request;
--- a/packages/cli/src/mod.ts
+++ b/packages/cli/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' command-line tool.
+ * The command-line tool for operators.
  * @module
  */
 export * from "./client/node_client.ts";
--- a/packages/cli/src/output/command_output.ts
+++ b/packages/cli/src/output/command_output.ts
@@ -1,4 +1,4 @@
-/** What a command has to say, for people and for programs. */
+/** The output of a command, for people and for programs. */
 export interface CommandOutput {
   /** Printed by default. */
   readonly text: string;
@@ -7,10 +7,10 @@
 }
 
 /**
- * Writes an output in the form asked for.
+ * Formats a command's output as text or JSON.
  * @param output The output.
- * @param json Whether JSON is asked for.
- * @returns The text, without a last line break.
+ * @param json Whether to format it as JSON.
+ * @returns The text, without a trailing line break.
  */
 export function formatOutput(output: CommandOutput, json: boolean): string {
   return json ? JSON.stringify(output.json, undefined, 2) : output.text;
--- a/packages/cli/src/output/explanation_text.ts
+++ b/packages/cli/src/output/explanation_text.ts
@@ -5,9 +5,9 @@
 const TIME_WIDTH_COLUMNS = 10;
 
 /**
- * Writes what the nodes saw of a request.
- * @param response What each node saw.
- * @returns The text, a paragraph for each node.
+ * Formats the steps of a request that the nodes recorded.
+ * @param response The steps that each node recorded.
+ * @returns The text, with one paragraph per node.
  */
 export function formatExplanations(response: ExplanationsResponse): string {
   const paragraphs = response.found.map(formatNode);
@@ -34,7 +34,7 @@
   return lines.join("\n");
 }
 
-/** Only the node that the caller faces learns of the end. */
+/** Only the node that the caller is connected to learns of the end. */
 function formatState(explanation: NodeExplanation["explanation"]): string {
   const facesCaller = explanation.steps.some((step) => step.kind === "arrived");
   if (!facesCaller) return "";
--- a/packages/cli/src/output/histogram_page.ts
+++ b/packages/cli/src/output/histogram_page.ts
@@ -27,9 +27,9 @@
 `;
 
 /**
- * Writes histograms as a page that needs nothing else.
+ * Formats histograms as an HTML page without external resources.
  * @param response The histograms.
- * @returns HTML.
+ * @returns The HTML.
  */
 export function formatHistogramPage(response: HistogramsResponse): string {
   const sections = response.rows.map((row) => {
--- a/packages/cli/src/output/histogram_text.ts
+++ b/packages/cli/src/output/histogram_text.ts
@@ -10,7 +10,7 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
- * Writes histograms as bars for a terminal.
+ * Formats histograms as bar charts for a terminal.
  * @param response The histograms.
  * @returns The text.
  */
@@ -32,9 +32,9 @@
 }
 
 /**
- * Says which nodes are in the figures.
+ * Describes the time window and which nodes the figures include.
  * @param response The histograms.
- * @returns One or two sentences.
+ * @returns The text.
  */
 export function formatNodeCoverage(response: HistogramsResponse): string {
   const unansweredNodes = response.nodes.filter((node) => !node.answered);
@@ -50,8 +50,8 @@
 }
 
 /**
- * Writes a time for people.
- * @param time Milliseconds.
+ * Formats a duration.
+ * @param time The duration, in milliseconds.
  * @returns The text, with its unit.
  */
 export function formatMilliseconds(time: number): string {
@@ -60,9 +60,9 @@
 }
 
 /**
- * Writes a share for people.
- * @param percent The share in percent.
- * @returns The text.
+ * Formats a percentage.
+ * @param percent The percentage.
+ * @returns The text, with its unit.
  */
 export function formatPercent(percent: number): string {
   return `${Math.round(percent)} %`;
--- a/packages/cli/src/output/log_explanation_text.ts
+++ b/packages/cli/src/output/log_explanation_text.ts
@@ -2,13 +2,13 @@
 import type { LogLine } from "../logs/log_line.ts";
 
 const TIME_WIDTH_COLUMNS = 10;
-/** Said of the request before, or the same in every line. */
+/** Fields that are shown above or are the same in every line. */
 const OMITTED_FIELDS = new Set(["level", "request"]);
 
 /**
- * Writes what logs tell of a request.
- * @param explanation What they tell.
- * @returns The text: the end, the cause, and the lines that show it.
+ * Formats the explanation of a request, based on logs.
+ * @param explanation The explanation.
+ * @returns The text: the outcome, the cause, and the lines that support it.
  */
 export function formatLogExplanation(explanation: LogExplanation): string {
   const { request, node, outcome, status, tookMilliseconds } = explanation;
--- a/packages/cli/src/output/table.ts
+++ b/packages/cli/src/output/table.ts
@@ -18,13 +18,13 @@
   "middle": "  ",
 } as const;
 
-/** What a cell of a table can hold. */
+/** The value of a table's cell. */
 export type Cell = string | number | boolean | undefined;
 
 /**
- * Writes a table without borders, so that it also suits line-based tools.
- * @param columnNames The columns' names.
- * @param rows The rows; an undefined cell shows as `-`.
+ * Formats a table without borders, so that line-based tools can process it.
+ * @param columnNames The names of the columns.
+ * @param rows The rows; an undefined cell is shown as `-`.
  * @returns The table's text.
  */
 export function formatTable(
