--- a/packages/cli/src/command_line.ts
+++ b/packages/cli/src/command_line.ts
@@ -52,9 +52,9 @@
   },
 ): Promise<ExitCode> {
   const context = options.context ?? PROCESS_CONTEXT;
-  const exit: { code: ExitCode } = { code: EXIT_CODE.ok };
+  const exitStatus: { code: ExitCode } = { code: EXIT_CODE.ok };
   const reportFailure = (failure: CommandFailure, json: boolean) => {
-    exit.code = failure.code;
+    exitStatus.code = failure.code;
     const text = json
       ? JSON.stringify({ error: failure })
       : formatCommandFailure(failure);
@@ -93,7 +93,7 @@
       }
     },
   );
-  return exit.code;
+  return exitStatus.code;
 }
 
 function runAction(
--- a/packages/cli/src/output/histogram_text.ts
+++ b/packages/cli/src/output/histogram_text.ts
@@ -43,10 +43,10 @@
   const sentence = `Window: ${window}. ` +
     `${answeredCount} of ${response.nodes.length} nodes answered.`;
   if (unansweredNodes.length === 0) return sentence;
-  const reasons = unansweredNodes.map((node) =>
+  const nodesWithReasons = unansweredNodes.map((node) =>
     `${node.node} (${node.reason ?? ""})`
   );
-  return `${sentence} No answer: ${reasons.join(", ")}.`;
+  return `${sentence} No answer: ${nodesWithReasons.join(", ")}.`;
 }
 
 /**
