--- a/packages/cli/src/client/node_client.ts
+++ b/packages/cli/src/client/node_client.ts
@@ -3,58 +3,59 @@
 import type { z } from "zod";
 import type { CommandFailure } from "../command_failure.ts";
 import { EXIT_CODE } from "../exit_code.ts";
-import { failureOfProblem } from "./problem.ts";
+import { failureFromProblem } from "./problem.ts";
 
 const TIMEOUT_MILLISECONDS = 15_000;
-const CREATED_CLASS = 2;
-const STATUS_CLASS = 100;
+const SUCCESS_STATUS_CLASS = 2;
+const STATUSES_PER_CLASS = 100;
 
-/** A call to a node's operators' interface. */
-export interface NodeCall<Answer> {
+/** A call to the operators' API of a node. */
+export interface NodeCall<ResponseBody> {
   readonly method: "GET" | "POST" | "PUT" | "DELETE";
   /** The path below `/v1/operators/`. */
   readonly path: string;
   readonly body?: unknown;
-  readonly answer: z.ZodType<Answer>;
+  readonly responseSchema: z.ZodType<ResponseBody>;
 }
 
-/** Calls the operators' interface of one node. */
+/** Client for the operators' API of one node. */
 export class NodeClient {
   readonly #origin: string;
 
-  /** @param address IP literal and port, with or without `http://`. */
+  /** @param address The IP literal and port, with or without `http://`. */
   constructor(address: string) {
     this.#origin = address.startsWith("http://")
       ? address
       : `http://${address}`;
   }
 
-  /** The node's `http://` address. */
+  /** The node's address with `http://`. */
   get origin(): string {
     return this.#origin;
   }
 
   /**
-   * Reads something.
+   * Sends a GET request.
    * @param path The path below `/v1/operators/`.
-   * @param answer The form of the answer.
-   * @returns The checked answer, or why there is none.
+   * @param responseSchema The schema of the response body.
+   * @returns The validated response body, or a failure.
    */
-  get<Answer>(
+  get<ResponseBody>(
     path: string,
-    answer: z.ZodType<Answer>,
-  ): Promise<Result<Answer, CommandFailure>> {
-    return this.call({ method: "GET", path, answer });
+    responseSchema: z.ZodType<ResponseBody>,
+  ): Promise<Result<ResponseBody, CommandFailure>> {
+    return this.call({ method: "GET", path, responseSchema });
   }
 
   /**
-   * Calls the node once; changes go through `publishSettled` instead.
+   * Calls the node once, without retries. To publish changes, use
+   * `publishUntilConfirmed`.
    * @param call The call.
-   * @returns The checked answer, or why there is none.
+   * @returns The validated response body, or a failure.
    */
-  async call<Answer>(
-    call: NodeCall<Answer>,
-  ): Promise<Result<Answer, CommandFailure>> {
+  async call<ResponseBody>(
+    call: NodeCall<ResponseBody>,
+  ): Promise<Result<ResponseBody, CommandFailure>> {
     try {
       const response = await request(
         `${this.#origin}/v1/operators/${call.path}`,
@@ -69,27 +70,31 @@
         },
       );
       const body = parseBody(await response.body.text());
-      if (Math.floor(response.statusCode / STATUS_CLASS) !== CREATED_CLASS) {
-        return err(failureOfProblem(response.statusCode, body));
+      if (
+        Math.floor(response.statusCode / STATUSES_PER_CLASS) !==
+          SUCCESS_STATUS_CLASS
+      ) {
+        return err(failureFromProblem(response.statusCode, body));
       }
-      const answer = call.answer.safeParse(body);
-      if (answer.success) return ok(answer.data);
+      const parsed = call.responseSchema.safeParse(body);
+      if (parsed.success) return ok(parsed.data);
       return err({
         code: EXIT_CODE.failed,
         message: `The answer of ${this.#origin} cannot be read.`,
         remedy: "Use the foxtailwind command of the node's own release.",
       });
     } catch (error) {
-      return err(this.#unreachable(call.method, error));
+      return err(this.#transportFailure(call.method, error));
     }
   }
 
-  #unreachable(method: string, error: unknown): CommandFailure {
+  #transportFailure(method: string, error: unknown): CommandFailure {
     const cause = error instanceof Error ? error.message : String(error);
-    const lost = method !== "GET" && !/ECONNREFUSED|EHOSTUNREACH/.test(cause);
+    const isOutcomeUnknown = method !== "GET" &&
+      !/ECONNREFUSED|EHOSTUNREACH/.test(cause);
     return {
-      code: lost ? EXIT_CODE.unknown : EXIT_CODE.unreachable,
-      message: lost
+      code: isOutcomeUnknown ? EXIT_CODE.unknown : EXIT_CODE.unreachable,
+      message: isOutcomeUnknown
         ? `The answer of ${this.#origin} was lost (${cause}).`
         : `No answer from ${this.#origin} (${cause}).`,
       remedy: "Name another node with --node, or check that the node runs.",
--- a/packages/cli/src/client/publish.ts
+++ b/packages/cli/src/client/publish.ts
@@ -6,80 +6,83 @@
 import { EXIT_CODE } from "../exit_code.ts";
 import type { NodeClient } from "./node_client.ts";
 
-const SETTLE_ATTEMPTS = 4;
-const SETTLE_PAUSE_MILLISECONDS = 500;
+const MAXIMUM_ATTEMPTS = 4;
+const RETRY_DELAY_MILLISECONDS = 500;
 
-const publishAnswerSchema = z.object({
+const publishResponseSchema = z.object({
   id: z.string(),
   offset: z.number(),
   repeated: z.boolean(),
 });
 
-const inForceSchema = z.object({ offset: z.number() });
+const currentOffsetSchema = z.object({ offset: z.number() });
 
-/** An accepted change. */
-export type PublishAnswer = z.output<typeof publishAnswerSchema>;
+/** The response to an accepted change. */
+export type PublishResponse = z.output<typeof publishResponseSchema>;
 
-/** What to publish as one record. */
-export interface PublishOrder {
+/** Changes to publish as one record. */
+export interface PublishRequest {
   readonly changes: readonly object[];
   readonly author: string;
-  /** Chosen by the operator to settle an earlier try, or made here. */
+  /**
+   * Given by the operator to learn the outcome of an earlier attempt; generated
+   * if absent.
+   */
   readonly id?: string;
-  /** The offset of the configuration that the operator looked at. */
+  /** The offset of the configuration that the changes are based on. */
   readonly base: number;
 }
 
 /**
- * Publishes a record and learns what became of it. Where an answer is lost it
- * sends the same id again: a repeated id is the same change, so this asks
- * what became of it, and cannot publish twice.
- * @param client The node.
- * @param order What to publish.
- * @returns Where the record was accepted, or why it was not.
+ * Publishes a record and retries with the same id while the outcome is unknown.
+ * A repeated id denotes the same change, so a retry returns the outcome of the
+ * first attempt and cannot publish twice.
+ * @param client The node's client.
+ * @param request The record to publish.
+ * @returns The offset at which the record was accepted, or why it was not.
  */
-export async function publishSettled(
+export async function publishUntilConfirmed(
   client: NodeClient,
-  order: PublishOrder,
-): Promise<Result<PublishAnswer, CommandFailure>> {
-  const id = order.id ?? randomUUID();
-  const body = { ...order, id };
-  let answer = await postRecord(client, body);
-  for (let attempt = 1; attempt < SETTLE_ATTEMPTS; attempt += 1) {
-    if (answer.isOk() || answer.error.code !== EXIT_CODE.unknown) break;
-    await sleep(SETTLE_PAUSE_MILLISECONDS);
-    answer = await postRecord(client, body);
+  request: PublishRequest,
+): Promise<Result<PublishResponse, CommandFailure>> {
+  const id = request.id ?? randomUUID();
+  const body = { ...request, id };
+  let response = await postRecord(client, body);
+  for (let attempt = 1; attempt < MAXIMUM_ATTEMPTS; attempt += 1) {
+    if (response.isOk() || response.error.code !== EXIT_CODE.unknown) break;
+    await sleep(RETRY_DELAY_MILLISECONDS);
+    response = await postRecord(client, body);
   }
-  return answer.mapErr((failure) =>
-    withSettleRemedy({ ...failure, change: id }, order.base)
+  return response.mapErr((failure) =>
+    withRetryRemedy({ ...failure, change: id }, request.base)
   );
 }
 
 /**
- * Reads the offset that is in force at a node, to be a change's base.
- * @param client The node.
- * @returns The offset.
+ * Reads the configuration offset in force at a node, as the base of a change.
+ * @param client The node's client.
+ * @returns The offset, or a failure.
  */
-export async function readBase(
+export async function readCurrentOffset(
   client: NodeClient,
 ): Promise<Result<number, CommandFailure>> {
-  const answer = await client.get("configuration", inForceSchema);
-  return answer.map(({ offset }) => offset);
+  const response = await client.get("configuration", currentOffsetSchema);
+  return response.map(({ offset }) => offset);
 }
 
 function postRecord(
   client: NodeClient,
   body: object,
-): Promise<Result<PublishAnswer, CommandFailure>> {
+): Promise<Result<PublishResponse, CommandFailure>> {
   return client.call({
     method: "POST",
     path: "configuration",
     body,
-    answer: publishAnswerSchema,
+    responseSchema: publishResponseSchema,
   });
 }
 
-function withSettleRemedy(
+function withRetryRemedy(
   failure: CommandFailure & { readonly change: string },
   base: number,
 ): CommandFailure {
--- a/packages/cli/src/commands/adapters.ts
+++ b/packages/cli/src/commands/adapters.ts
@@ -1,7 +1,7 @@
 import * as z from "zod";
 import { formatTable } from "../output/table.ts";
 import { type Command, defineCommand, defineGroup } from "./command.ts";
-import { publishChanges, writeOptions } from "./write_options.ts";
+import { addWriteOptions, publishChanges } from "./write_options.ts";
 
 const DEFAULT_LIMIT = 100;
 
@@ -18,7 +18,7 @@
   })),
 });
 
-const list = defineCommand({
+const LIST_COMMAND = defineCommand({
   command: "list",
   describe: "List the adapters, their versions and the current one",
   options: (parser) =>
@@ -36,12 +36,15 @@
       limit: String(options.limit),
       ...(options.model !== undefined && { model: options.model }),
     });
-    const answer = await client.get(`adapters?${query.toString()}`, listSchema);
-    return answer.map((found) => ({
-      json: found,
+    const response = await client.get(
+      `adapters?${query.toString()}`,
+      listSchema,
+    );
+    return response.map((body) => ({
+      json: body,
       text: formatTable(
         ["adapter", "model", "versions", "current", "changed at", "by"],
-        found.adapters.map((row) => [
+        body.adapters.map((row) => [
           row.adapter,
           row.model,
           row.versions.join(" "),
@@ -49,16 +52,16 @@
           row.version,
           row.author,
         ]),
-      ) + `\n${found.adapters.length} of ${found.total}.`,
+      ) + `\n${body.adapters.length} of ${body.total}.`,
     }));
   },
 });
 
-const set = defineCommand({
+const SET_COMMAND = defineCommand({
   command: "set <adapter>",
   describe: "Make an adapter, or change its versions or the current one",
   options: (parser) =>
-    writeOptions(parser)
+    addWriteOptions(parser)
       .positional("adapter", { type: "string", demandOption: true })
       .option("model", {
         type: "string",
@@ -88,11 +91,11 @@
     }),
 });
 
-const remove = defineCommand({
+const REMOVE_COMMAND = defineCommand({
   command: "remove <adapter>",
   describe: "Remove an adapter; requests in progress are finished",
   options: (parser) =>
-    writeOptions(parser).positional("adapter", {
+    addWriteOptions(parser).positional("adapter", {
       type: "string",
       demandOption: true,
     }),
@@ -106,5 +109,5 @@
 export const ADAPTERS_COMMAND: Command = defineGroup({
   command: "adapters",
   describe: "Adapters and their versions",
-  commands: [list, set, remove],
+  commands: [LIST_COMMAND, SET_COMMAND, REMOVE_COMMAND],
 });
--- a/packages/cli/src/commands/command.ts
+++ b/packages/cli/src/commands/command.ts
@@ -10,37 +10,37 @@
   readonly json: boolean;
 }
 
-/** What a command's work comes to. */
+/** The output of a command, or why it failed. */
 export type CommandResult = Result<CommandOutput, CommandFailure>;
 
-/** The work of a command. */
-export type CommandWork =
+/** The action of a command, bound to its options. */
+export type CommandAction =
   | {
     readonly kind: "at_node";
     readonly run: (client: NodeClient) => Promise<CommandResult>;
   }
-  /** Needs no node. */
+  /** Runs without calling a node. */
   | { readonly kind: "here"; readonly run: () => Promise<CommandResult> };
 
-/** Runs the work of a command and reports what it came to. */
-export type Execute = (
+/** Runs the action of a command and prints its result. */
+export type ExecuteAction = (
   options: GlobalOptions,
-  work: CommandWork,
+  work: CommandAction,
 ) => Promise<void>;
 
-/** A command, ready to be added to the parser. */
+/** A command that can be added to the parser. */
 export interface Command {
-  /** The word that calls it. */
-  readonly word: string;
+  /** The argument that selects the command. */
+  readonly name: string;
   readonly register: (
     parser: Argv<GlobalOptions>,
-    execute: Execute,
+    execute: ExecuteAction,
   ) => Argv<GlobalOptions>;
 }
 
-/** A command's words, its options and its work. */
+/** The definition of a command: its arguments, options and action. */
 export interface CommandDefinition<Options> {
-  /** As yargs writes it, such as `set <class>`. */
+  /** The command in the syntax of yargs, such as `set <class>`. */
   readonly command: string;
   readonly describe: string;
   readonly options: (parser: Argv<GlobalOptions>) => Argv<Options>;
@@ -48,35 +48,35 @@
     options: ArgumentsCamelCase<Options>,
     client: NodeClient,
   ) => Promise<CommandResult>;
-  /** The work, where these options ask for some that needs no node. */
-  readonly runHere?: (
+  /** Returns the result if these options need no node, else `undefined`. */
+  readonly runWithoutNode?: (
     options: ArgumentsCamelCase<Options>,
   ) => Promise<CommandResult> | undefined;
 }
 
 /**
  * Defines a command.
- * @param definition Its words, options and work.
+ * @param definition The command's arguments, options and action.
  * @returns The command.
  */
 export function defineCommand<Options extends GlobalOptions>(
   definition: CommandDefinition<Options>,
 ): Command {
-  const { command, describe, options, run, runHere } = definition;
+  const { command, describe, options, run, runWithoutNode } = definition;
   return {
-    word: command.split(" ")[0] ?? command,
+    name: command.split(" ")[0] ?? command,
     register: (parser, execute) =>
       parser.command(
         command,
         describe,
         (inner) => options(inner),
-        (given) => {
-          const here = runHere?.(given);
+        (parsedOptions) => {
+          const local = runWithoutNode?.(parsedOptions);
           return execute(
-            given,
-            here === undefined
-              ? { kind: "at_node", run: (client) => run(given, client) }
-              : { kind: "here", run: () => here },
+            parsedOptions,
+            local === undefined
+              ? { kind: "at_node", run: (client) => run(parsedOptions, client) }
+              : { kind: "here", run: () => local },
           );
         },
       ),
@@ -84,8 +84,8 @@
 }
 
 /**
- * Defines a command that only holds others, such as `classes`.
- * @param group Its word, what it is about, and the commands in it.
+ * Defines a command that only groups subcommands, such as `classes`.
+ * @param group The group's name, description and subcommands.
  * @returns The command.
  */
 export function defineGroup(group: {
@@ -94,7 +94,7 @@
   readonly commands: readonly Command[];
 }): Command {
   return {
-    word: group.command,
+    name: group.command,
     register: (parser, execute) =>
       parser.command(group.command, group.describe, (inner) => {
         for (const command of group.commands) command.register(inner, execute);
--- a/packages/cli/src/commands/configuration_diff.ts
+++ b/packages/cli/src/commands/configuration_diff.ts
@@ -3,7 +3,7 @@
 import { loadConfigurationFile } from "../files/load_configuration_file.ts";
 import { type Command, defineCommand } from "./command.ts";
 
-/** Compares a file with what is in force. */
+/** Compares a file with the configuration in force. */
 export const CONFIGURATION_DIFF_COMMAND: Command = defineCommand({
   command: "diff <file>",
   describe: "Compare an INI file with what is in force",
@@ -12,8 +12,8 @@
   async run(options, client) {
     const changes = loadConfigurationFile(options.file);
     if (changes.isErr()) return err(changes.error);
-    const found = await readDifferences(client, changes.value);
-    return found.map((differences) => ({
+    const response = await readDifferences(client, changes.value);
+    return response.map((differences) => ({
       json: differences,
       text: formatDifferences(differences),
     }));
--- a/packages/cli/src/commands/drain.ts
+++ b/packages/cli/src/commands/drain.ts
@@ -7,19 +7,19 @@
   in_progress: z.number(),
 });
 
-/** Starts the drain of the node that is asked. */
+/** Starts to drain the node that the command calls. */
 export const DRAIN_COMMAND: Command = defineCommand({
   command: "drain",
   describe: "Drain the node that --node names: it takes no new work, and " +
     "finishes what is in progress",
   options: (parser) => parser,
   async run(_options, client) {
-    const answer = await client.call({
+    const response = await client.call({
       method: "POST",
       path: "drain",
-      answer: drainSchema,
+      responseSchema: drainSchema,
     });
-    return answer.map((drain) => ({
+    return response.map((drain) => ({
       json: drain,
       text:
         `${drain.node} is ${drain.state}, ${drain.in_progress} in progress.`,
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -37,8 +37,8 @@
   })),
 });
 
-/** What the nodes saw of a request, as a node answers it. */
-export type ExplanationsAnswer = z.output<typeof explanationsSchema>;
+/** The steps of a request that the nodes recorded, as returned by a node. */
+export type ExplanationsResponse = z.output<typeof explanationsSchema>;
 
 /** Explains what happened to a recent request. */
 export const EXPLAIN_COMMAND: Command = defineCommand({
@@ -55,31 +55,31 @@
         array: true,
         describe: "Read these nodes' logs instead (- for standard input)",
       }),
-  runHere: ({ request, log }) =>
+  runWithoutNode: ({ request, log }) =>
     log === undefined ? undefined : explainFromLogs(log, request),
   async run(options, client) {
-    const answer = await client.get(
+    const response = await client.get(
       `explanations/${encodeURIComponent(options.request)}`,
       explanationsSchema,
     );
-    return answer.map((found) => ({
-      json: found,
-      text: formatExplanations(found),
+    return response.map((body) => ({
+      json: body,
+      text: formatExplanations(body),
     }));
   },
 });
 
 async function explainFromLogs(
   files: readonly string[],
-  request: string,
+  requestId: string,
 ): Promise<CommandResult> {
-  const lines = await readLogs(files, request);
+  const lines = await readLogs(files, requestId);
   if (lines.isErr()) return err(lines.error);
-  const explanation = explainRequest(lines.value, request);
+  const explanation = explainRequest(lines.value, requestId);
   if (explanation === undefined) {
     return err({
       code: EXIT_CODE.notFound,
-      message: `No line says that request ${request} ended.`,
+      message: `No line says that request ${requestId} ended.`,
       remedy: "Give the logs of all nodes, from before the request's arrival.",
     });
   }
--- a/packages/cli/src/commands/histograms.ts
+++ b/packages/cli/src/commands/histograms.ts
@@ -34,13 +34,13 @@
   })),
 });
 
-/** A histogram in figures and buckets, as a node answers it. */
-export type HistogramSummaryAnswer = z.output<typeof summarySchema>;
+/** The statistics and buckets of a histogram, as returned by a node. */
+export type HistogramSummary = z.output<typeof summarySchema>;
 
-/** Histograms of all nodes, as a node answers them. */
-export type HistogramsAnswer = z.output<typeof histogramsSchema>;
+/** The merged histograms of all nodes, as returned by a node. */
+export type HistogramsResponse = z.output<typeof histogramsSchema>;
 
-/** Shows the histograms of all nodes, added up. */
+/** Shows the merged histograms of all nodes. */
 export const HISTOGRAMS_COMMAND: Command = defineCommand({
   command: "histograms",
   describe: "Show the histograms of all nodes, by class and tenant",
@@ -63,20 +63,20 @@
         describe: "Print a page that needs nothing else",
       }),
   async run(options, client) {
-    const answer = await client.get(
+    const response = await client.get(
       `histograms?window=${options.window}`,
       histogramsSchema,
     );
-    return answer.map((found) => {
-      const rows = found.rows.filter((row) =>
+    return response.map((body) => {
+      const rows = body.rows.filter((row) =>
         (options.class ?? row.class) === row.class &&
         (options.tenants || row.tenant === "(all)")
       );
-      const shown = { ...found, rows };
+      const filtered = { ...body, rows };
       const text = options.html
-        ? formatHistogramPage(shown)
-        : formatHistogramText(shown);
-      return { json: shown, text };
+        ? formatHistogramPage(filtered)
+        : formatHistogramText(filtered);
+      return { json: filtered, text };
     });
   },
 });
--- a/packages/cli/src/commands/target_options.ts
+++ b/packages/cli/src/commands/target_options.ts
@@ -1,41 +1,41 @@
 import type { ArgumentsCamelCase, Argv } from "yargs";
 import * as z from "zod";
-import { type WriteOptions, writeOptions } from "./write_options.ts";
+import { addWriteOptions, type WriteOptions } from "./write_options.ts";
 import type { GlobalOptions } from "./command.ts";
 
-/** The options that say a target. */
+/** The options that specify a latency target. */
 export interface TargetOptions extends WriteOptions {
   readonly "first-token": number;
   readonly "between-tokens": number | undefined;
   readonly "whole-answer": number | undefined;
 }
 
-/** A target, as a node answers it. */
-export const targetAnswerSchema = z.object({
+/** The schema of a latency target in responses of a node. */
+export const latencyTargetSchema = z.object({
   firstTokenMilliseconds: z.number(),
   betweenTokensMilliseconds: z.number().optional(),
   wholeAnswerMilliseconds: z.number().optional(),
 });
 
-/** A target, as a node answers it. */
-export type TargetAnswer = z.output<typeof targetAnswerSchema>;
+/** A latency target, as in responses of a node and in published changes. */
+export type LatencyTarget = z.output<typeof latencyTargetSchema>;
 
-/** The columns that show a target. */
-export const TARGET_COLUMNS = [
+/** The names of the columns that show a latency target. */
+export const TARGET_COLUMN_NAMES = [
   "first token ms",
   "between tokens ms",
   "whole answer ms",
 ] as const;
 
 /**
- * Adds the options that say a target.
- * @param parser The parser.
- * @returns The parser with them.
+ * Adds the options that specify a latency target.
+ * @param parser The command's parser.
+ * @returns The parser with the options.
  */
-export function targetOptions(
+export function addTargetOptions(
   parser: Argv<GlobalOptions>,
 ): Argv<TargetOptions> {
-  return writeOptions(parser)
+  return addWriteOptions(parser)
     .option("first-token", {
       type: "number",
       demandOption: true,
@@ -52,13 +52,13 @@
 }
 
 /**
- * Makes a target from the options.
- * @param options The options.
- * @returns The target, as records carry it.
+ * Creates a latency target from the parsed options.
+ * @param options The parsed options.
+ * @returns The target, in the form of a published change.
  */
-export function targetOf(
+export function toLatencyTarget(
   options: ArgumentsCamelCase<TargetOptions>,
-): TargetAnswer {
+): LatencyTarget {
   return {
     firstTokenMilliseconds: options.firstToken,
     ...(options.betweenTokens !== undefined &&
@@ -69,12 +69,12 @@
 }
 
 /**
- * Gives a target as cells of {@link TARGET_COLUMNS}.
+ * Converts a latency target to the cells below {@link TARGET_COLUMN_NAMES}.
  * @param target The target.
  * @returns The cells.
  */
-export function targetCells(
-  target: TargetAnswer,
+export function toTargetCells(
+  target: LatencyTarget,
 ): readonly (number | undefined)[] {
   return [
     target.firstTokenMilliseconds,
--- a/packages/cli/src/commands/write_options.ts
+++ b/packages/cli/src/commands/write_options.ts
@@ -2,11 +2,11 @@
 import { err, ok } from "neverthrow";
 import type { Argv } from "yargs";
 import type { NodeClient } from "../client/node_client.ts";
-import { publishSettled, readBase } from "../client/publish.ts";
+import { publishUntilConfirmed, readCurrentOffset } from "../client/publish.ts";
 import type { CommandFailure } from "../command_failure.ts";
 import type { CommandResult, GlobalOptions } from "./command.ts";
 
-/** The options of commands that publish a change. */
+/** The options of commands that publish changes. */
 export interface WriteOptions extends GlobalOptions {
   readonly author: string;
   readonly id: string | undefined;
@@ -14,11 +14,11 @@
 }
 
 /**
- * Adds the options of commands that publish a change.
- * @param parser The parser.
- * @returns The parser with them.
+ * Adds the options of commands that publish changes.
+ * @param parser The command's parser.
+ * @returns The parser with the options.
  */
-export function writeOptions(
+export function addWriteOptions(
   parser: Argv<GlobalOptions>,
 ): Argv<WriteOptions> {
   return parser
@@ -40,11 +40,11 @@
 }
 
 /**
- * Publishes changes as one record and says what became of them.
- * @param client The node.
- * @param options Who publishes, with which id and base.
+ * Publishes changes as one record and reports the result.
+ * @param client The node's client.
+ * @param options The author, and the id and base offset if given.
  * @param changes The changes.
- * @returns The answer for the operator.
+ * @returns The output for the operator, or a failure.
  */
 export async function publishChanges(
   client: NodeClient,
@@ -53,16 +53,16 @@
 ): Promise<CommandResult> {
   const { author, id } = options;
   const base = options.base === undefined
-    ? await readBase(client)
+    ? await readCurrentOffset(client)
     : ok<number, CommandFailure>(options.base);
   if (base.isErr()) return err(base.error);
-  const answer = await publishSettled(client, {
+  const response = await publishUntilConfirmed(client, {
     changes,
     author,
     base: base.value,
     ...(id !== undefined && { id }),
   });
-  return answer.map((accepted) => ({
+  return response.map((accepted) => ({
     json: accepted,
     text: `Accepted at offset ${accepted.offset} (change ${accepted.id}).`,
   }));
--- a/packages/cli/src/logs/read_logs.ts
+++ b/packages/cli/src/logs/read_logs.ts
@@ -7,16 +7,16 @@
 import { EXIT_CODE } from "../exit_code.ts";
 import { type LogLine, parseLogLine } from "./log_line.ts";
 
-/** The name that stands for standard input. */
+/** The file name that stands for standard input. */
 const STANDARD_INPUT = "-";
-/** Outcomes of other requests that may tell something of a server. */
-const TELLING = new Set(["lost", "broken_stream", "time_limit"]);
+/** Outcomes of other requests that may indicate a failing server. */
+const RELEVANT_OUTCOMES = new Set(["lost", "broken_stream", "time_limit"]);
 
 /**
- * Reads what may matter for a request from nodes' logs.
- * @param files Paths; `-` is standard input.
+ * Reads the lines that may be relevant to a request from nodes' logs.
+ * @param files The paths; `-` is standard input.
  * @param request The request's id.
- * @returns The lines, in order of time.
+ * @returns The lines, sorted by time, or why a log cannot be read.
  */
 export async function readLogs(
   files: readonly string[],
@@ -35,19 +35,19 @@
   file: string,
   request: string,
 ): Promise<Result<readonly LogLine[], CommandFailure>> {
-  const kept: LogLine[] = [];
-  const nodes = new Set<string>();
+  const relevantLines: LogLine[] = [];
+  const startedNodes = new Set<string>();
   const name = file === STANDARD_INPUT ? "standard input" : file;
-  let count = 0;
+  let lineCount = 0;
   try {
     for await (const text of openLog(file)) {
       const line = parseLogLine(text, name);
       if (line === undefined) continue;
-      count += 1;
+      lineCount += 1;
       const { node } = line.fields;
-      const isNaming = line.sentence === RELAY_SENTENCE.started;
-      if (isNaming && typeof node === "string") nodes.add(node);
-      if (mayMatter(line, request)) kept.push(line);
+      const isNodeStart = line.sentence === RELAY_SENTENCE.started;
+      if (isNodeStart && typeof node === "string") startedNodes.add(node);
+      if (isRelevant(line, request)) relevantLines.push(line);
     }
   } catch (error) {
     const cause = error instanceof Error ? error.message : String(error);
@@ -57,10 +57,12 @@
       remedy: "Name readable log files, or - for standard input.",
     });
   }
-  // A file with the lines of several nodes doesn't tell whose each one is.
-  const [node] = nodes;
-  const source = nodes.size === 1 && node !== undefined ? node : name;
-  if (count > 0) return ok(kept.map((line) => ({ ...line, source })));
+  // In a file with lines of several nodes, a line does not name its node.
+  const [node] = startedNodes;
+  const source = startedNodes.size === 1 && node !== undefined ? node : name;
+  if (lineCount > 0) {
+    return ok(relevantLines.map((line) => ({ ...line, source })));
+  }
   return err({
     code: EXIT_CODE.usage,
     message: `${file} has no line of a node's log.`,
@@ -75,11 +77,14 @@
   return createInterface({ input, crlfDelay: Infinity });
 }
 
-/** The ends of other requests are most of a log, and mostly tell nothing. */
-function mayMatter({ sentence, fields }: LogLine, request: string): boolean {
-  const isOther = fields["request"] !== undefined &&
+/**
+ * Drops most ends of other requests, which make up most of a log and rarely
+ * explain anything.
+ */
+function isRelevant({ sentence, fields }: LogLine, request: string): boolean {
+  const belongsToOtherRequest = fields["request"] !== undefined &&
     fields["request"] !== request;
-  if (!isOther) return true;
+  if (!belongsToOtherRequest) return true;
   return sentence === RELAY_SENTENCE.requestEnded &&
-    TELLING.has(String(fields["outcome"]));
+    RELEVANT_OUTCOMES.has(String(fields["outcome"]));
 }
--- a/packages/cli/tests/command_line_test.ts
+++ b/packages/cli/tests/command_line_test.ts
@@ -7,22 +7,22 @@
 import type { AddressInfo } from "node:net";
 import { tmpdir } from "node:os";
 import path from "node:path";
-import { normalise } from "./shell_page.ts";
+import { normalise } from "./console_page.ts";
 
 async function run(words: readonly string[], node?: string) {
-  const said = { out: "", error: "" };
+  const written = { out: "", error: "" };
   const code = await runCommandLine(words, {
     commands: COMMANDS,
-    surroundings: {
+    context: {
       environment: { FOXTAILWIND_NODE: node },
-      writeOut: (text) => void (said.out += text),
-      writeError: (text) => void (said.error += text),
+      writeOut: (text) => void (written.out += text),
+      writeError: (text) => void (written.error += text),
     },
   });
   return {
     code,
-    out: normalise(said.out),
-    error: normalise(said.error),
+    out: normalise(written.out),
+    error: normalise(written.error),
   };
 }
 
@@ -32,8 +32,10 @@
   return { cluster, node: cluster.nodes[0]?.addresses.http ?? "" };
 }
 
-/** How many records the stream of the configuration has had. */
-async function appended(cluster: InProcessCluster): Promise<number> {
+/** Returns the number of records appended to the configuration stream. */
+async function countAppendedRecords(
+  cluster: InProcessCluster,
+): Promise<number> {
   const page = await cluster.nodes[0]?.daemon.log.read(CONFIGURATION_STREAM, {
     from: logOffset(0),
     limit: 1,
@@ -42,7 +44,7 @@
   return page?._unsafeUnwrap().tail ?? -1;
 }
 
-function write(t: ExecutionContext, text: string): string {
+function writeConfigurationFile(t: ExecutionContext, text: string): string {
   const folder = mkdtempSync(path.join(tmpdir(), "foxtailwind-cli-"));
   t.teardown(() => {
     rmSync(folder, { recursive: true });
@@ -63,7 +65,7 @@
   }
 });
 
-test("usage errors name the remedy and exit with 2", async (t) => {
+test("usage errors name a remedy and exit with code 2", async (t) => {
   t.snapshot([
     await run(["clases", "list"]),
     await run(["classes"]),
@@ -78,13 +80,13 @@
   ]);
 });
 
-test("a node that cannot be reached is told apart from a lost answer", async (t) => {
+test("a node that cannot be reached has its own exit code", async (t) => {
   t.is((await run(["nodes"], "127.0.0.1:1")).code, EXIT_CODE.unreachable);
 });
 
-test("every problem of a configuration file is told at once", async (t) => {
+test("all problems of a configuration file are reported at once", async (t) => {
   const { cluster, node } = await startNode(t);
-  const file = write(
+  const file = writeConfigurationFile(
     t,
     `loose = 1
 [class drafting]
@@ -105,24 +107,24 @@
   const result = await run(["config", "publish", file], node);
   t.is(result.code, EXIT_CODE.usage);
   t.snapshot(result.error.replaceAll(file, "changes.ini"));
-  t.is(await appended(cluster), 0);
+  t.is(await countAppendedRecords(cluster), 0);
 });
 
 test("a dry run publishes nothing, and a second publish changes nothing", async (t) => {
   const { cluster, node } = await startNode(t);
-  const file = write(
+  const file = writeConfigurationFile(
     t,
     "[class drafting]\nfirst_token_milliseconds = 800\n[tenant kauri.fresh]\n",
   );
   const dry = await run(["config", "publish", file, "--dry-run"], node);
-  t.is(await appended(cluster), 0);
+  t.is(await countAppendedRecords(cluster), 0);
   const published = await run(["config", "publish", file], node);
   const again = await run(["config", "publish", file], node);
-  t.is(await appended(cluster), 1);
+  t.is(await countAppendedRecords(cluster), 1);
   t.snapshot([dry, published, again]);
 });
 
-test("a lost answer is settled by the id and not published twice", async (t) => {
+test("a change whose answer is lost is retried by id, not published twice", async (t) => {
   const { cluster, node } = await startNode(t);
   let posts = 0;
   const losing = createServer((request, response) => {
@@ -156,7 +158,7 @@
     error: "",
   });
   t.is(posts, 2);
-  t.is(await appended(cluster), 1);
+  t.is(await countAppendedRecords(cluster), 1);
 });
 
 test("completion prints a shell script", async (t) => {
--- a/packages/edges/src/http/bounded_signal.ts
+++ b/packages/edges/src/http/bounded_signal.ts
@@ -1,37 +1,38 @@
 import { afterPendingInput } from "./after_pending_input.ts";
 
 /**
- * A signal that ends with another one, or at a limit once what came in time is
- * read. `AbortSignal.any` does not keep the timeouts that it follows: where one
- * is collected as garbage before its time, the signal never ends.
+ * An abort signal that follows a parent signal and also aborts at a time limit,
+ * once all input that arrived in time has been read. `AbortSignal.any` does not
+ * keep timeout signals alive: if one is garbage-collected before it fires, the
+ * combined signal never aborts.
  */
 export class BoundedSignal {
-  readonly #over = new AbortController();
+  readonly #controller = new AbortController();
   readonly #parent: AbortSignal;
   readonly #timer: NodeJS.Timeout;
-  readonly #end = (): void => {
-    this.#over.abort();
+  readonly #abort = (): void => {
+    this.#controller.abort();
   };
 
   /**
-   * @param parent The signal that it ends with.
-   * @param limit The time from now, in milliseconds.
+   * @param parent The signal to follow.
+   * @param limitMilliseconds The time limit, from now.
    */
-  constructor(parent: AbortSignal, limit: number) {
+  constructor(parent: AbortSignal, limitMilliseconds: number) {
     this.#parent = parent;
-    this.#timer = setTimeout(afterPendingInput, limit, this.#end);
-    if (parent.aborted) this.#end();
-    else parent.addEventListener("abort", this.#end);
+    this.#timer = setTimeout(afterPendingInput, limitMilliseconds, this.#abort);
+    if (parent.aborted) this.#abort();
+    else parent.addEventListener("abort", this.#abort);
   }
 
-  /** The signal. */
+  /** Aborts with the parent or at the time limit. */
   get signal(): AbortSignal {
-    return this.#over.signal;
+    return this.#controller.signal;
   }
 
-  /** Lets go of the limit and of the other signal; nothing is ended by that. */
+  /** Stops the timer and stops following the parent, without aborting. */
   release(): void {
     clearTimeout(this.#timer);
-    this.#parent.removeEventListener("abort", this.#end);
+    this.#parent.removeEventListener("abort", this.#abort);
   }
 }
--- a/packages/edges/src/http/exchange.ts
+++ b/packages/edges/src/http/exchange.ts
@@ -3,10 +3,10 @@
 import { err, ok, type Result } from "neverthrow";
 import type { Dispatcher } from "undici";
 import { afterPendingInput } from "./after_pending_input.ts";
-import { failureOfEnd, hasFurtherAnswer } from "./connection_ends.ts";
-import { transportFailure } from "./transport_failure.ts";
+import { failureOfEnd, hasExtraResponse } from "./connection_ends.ts";
+import { failureFromTransportError } from "./transport_error.ts";
 
-/** One HTTP request and what bounds it. */
+/** One HTTP request and its limits. */
 export interface ExchangeOptions {
   readonly step: FailureStep;
   readonly peer: string;
@@ -17,24 +17,25 @@
   readonly body?: string | Uint8Array;
   readonly timeoutMilliseconds: number;
   readonly signal?: AbortSignal;
-  /** Larger answers are broken off as failed; 16 MB by default. */
+  /** A larger response is aborted and fails; 16 MiB by default. */
   readonly maximumAnswerBytes?: number;
 }
 
-/** A whole HTTP answer, whatever its status. */
+/** A complete HTTP response of any status. */
 export interface ExchangeAnswer {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: Buffer;
 }
 
-const MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024;
+const DEFAULT_MAXIMUM_RESPONSE_BYTES = 16 * 1024 * 1024;
 
 /**
- * Sends one request, without any retry, and gathers its whole answer.
- * @param dispatcher Carries the connection.
- * @param options The request.
- * @returns The answer, or a failure whose outcome tells if it may have run.
+ * Sends one request, without retries, and buffers its complete response.
+ * @param dispatcher Manages the connections.
+ * @param options The request and its limits.
+ * @returns The response, or a failure whose outcome tells whether the request
+ * may have run.
  */
 export function exchange(
   dispatcher: Dispatcher,
@@ -51,14 +52,16 @@
   readonly #resolve: (result: Result<ExchangeAnswer, Failure>) => void;
   readonly #chunks: Buffer[] = [];
   readonly #onAbort = (): void => {
-    this.#giveUp(errorWithCode("The call was cancelled", "UND_ERR_ABORTED"));
+    this.#abandon(
+      createErrorWithCode("The call was cancelled", "UND_ERR_ABORTED"),
+    );
   };
   #timer: NodeJS.Timeout | undefined;
   #controller: Dispatcher.DispatchController | undefined;
-  /** Whether the whole answer has come, and is being judged. */
-  #hasEnded = false;
-  #settled = false;
-  #bytes = 0;
+  /** Whether the response has ended and only its validity is still unknown. */
+  #hasReceivedEnd = false;
+  #isSettled = false;
+  #receivedBytes = 0;
   #status = 0;
   #headers: IncomingHttpHeaders = {};
 
@@ -79,9 +82,12 @@
     signal?.addEventListener("abort", this.#onAbort, { once: true });
     this.#timer = setTimeout(() => {
       afterPendingInput(() => {
-        if (this.#hasEnded) return;
-        this.#giveUp(
-          errorWithCode("The answer took too long", "UND_ERR_HEADERS_TIMEOUT"),
+        if (this.#hasReceivedEnd) return;
+        this.#abandon(
+          createErrorWithCode(
+            "The response timed out",
+            "UND_ERR_HEADERS_TIMEOUT",
+          ),
         );
       });
     }, this.#options.timeoutMilliseconds);
@@ -97,8 +103,10 @@
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
-    if (this.#settled) {
-      controller.abort(errorWithCode("The call was given up", "ABANDONED"));
+    if (this.#isSettled) {
+      controller.abort(
+        createErrorWithCode("The call was abandoned", "ABANDONED"),
+      );
       return;
     }
     this.#controller = controller;
@@ -117,33 +125,43 @@
     controller: Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
-    this.#bytes += chunk.length;
-    const { maximumAnswerBytes = MAXIMUM_ANSWER_BYTES } = this.#options;
-    if (this.#bytes > maximumAnswerBytes) {
-      controller.abort(errorWithCode("The answer is too large", "TOO_LARGE"));
+    this.#receivedBytes += chunk.length;
+    const { maximumAnswerBytes = DEFAULT_MAXIMUM_RESPONSE_BYTES } =
+      this.#options;
+    if (this.#receivedBytes > maximumAnswerBytes) {
+      controller.abort(
+        createErrorWithCode("The response is too large", "TOO_LARGE"),
+      );
       return;
     }
     this.#chunks.push(chunk);
   }
 
   onResponseEnd(): void {
-    this.#hasEnded = true;
-    void this.#judgeEnd(failureOfEnd(), hasFurtherAnswer());
+    this.#hasReceivedEnd = true;
+    void this.#checkEnd(failureOfEnd(), hasExtraResponse());
   }
 
   onResponseError(_controller: unknown, error: Error): void {
-    this.#hasEnded = true;
+    this.#hasReceivedEnd = true;
     this.#fail(error);
   }
 
-  async #judgeEnd(
-    brokeOff: Promise<boolean> | undefined,
-    isRepeated: Promise<boolean>,
+  async #checkEnd(
+    connectionFailed: Promise<boolean> | undefined,
+    isFollowedByResponse: Promise<boolean>,
   ): Promise<void> {
-    if (await brokeOff === true) {
-      this.#fail(errorWithCode("The answer broke off", "RESET"));
-    } else if (await isRepeated) {
-      this.#fail(errorWithCode("Two answers came", "OUT_OF_STEP"));
+    if (await connectionFailed === true) {
+      this.#fail(
+        createErrorWithCode("The connection was reset", "RESET"),
+      );
+    } else if (await isFollowedByResponse) {
+      this.#fail(
+        createErrorWithCode(
+          "The connection delivered more than one response",
+          "EXTRA_RESPONSE",
+        ),
+      );
     } else {
       this.#succeed();
     }
@@ -157,7 +175,7 @@
     }));
   }
 
-  #giveUp(error: Error): void {
+  #abandon(error: Error): void {
     this.#fail(error);
     this.#controller?.abort(error);
   }
@@ -165,18 +183,20 @@
   #fail(error: Error): void {
     const { step, peer } = this.#options;
     const started = this.#controller !== undefined;
-    this.#settle(err(transportFailure(error, { step, peer, started })));
+    this.#settle(
+      err(failureFromTransportError(error, { step, peer, started })),
+    );
   }
 
   #settle(result: Result<ExchangeAnswer, Failure>): void {
-    if (this.#settled) return;
-    this.#settled = true;
+    if (this.#isSettled) return;
+    this.#isSettled = true;
     clearTimeout(this.#timer);
     this.#options.signal?.removeEventListener("abort", this.#onAbort);
     this.#resolve(result);
   }
 }
 
-function errorWithCode(message: string, code: string): Error {
+function createErrorWithCode(message: string, code: string): Error {
   return Object.assign(new Error(message), { code });
 }
--- a/packages/edges/src/http/generation_exchange.ts
+++ b/packages/edges/src/http/generation_exchange.ts
@@ -17,46 +17,49 @@
 import { FrameReader } from "./frame_reader.ts";
 import { isGenerationFrame, parseEndLine } from "./generation_line.ts";
 import { LineSplitter, LineTooLongError } from "./line_splitter.ts";
-import { refusalFailure } from "./stated_failure.ts";
-import { transportFailure } from "./transport_failure.ts";
+import { failureFromResponse } from "./stated_failure.ts";
+import { failureFromTransportError } from "./transport_error.ts";
 
-/** What one generation over HTTP needs. */
+/** Options of a generation over HTTP. */
 export interface GenerationExchangeOptions {
   readonly client: HttpClientOptions;
-  /** Without any byte for so long, the stream counts as broken. */
+  /** The stream fails if no byte arrives for this long. */
   readonly idleTimeoutMilliseconds: number;
-  /** Asks the engine to cancel; resolves once the engine has answered. */
+  /** Asks the engine to cancel; resolves once the call to it has ended. */
   readonly askToCancel: () => Promise<unknown>;
-  /** How long the stream may go on after the engine has answered that. */
+  /** How long the stream may continue after `askToCancel` has resolved. */
   readonly cancelGraceMilliseconds: number;
 }
 
 const MAXIMUM_LINE_BYTES = 4 * 1024 * 1024;
-const MAXIMUM_REFUSAL_BYTES = 64 * 1024;
-const SUCCESS_STATUS = 200;
+const MAXIMUM_ERROR_BODY_LENGTH = 64 * 1024;
+const STATUS_OK = 200;
 const JSON_HEADERS = { "content-type": "application/json" } as const;
 
-/** One generation: reads its lines as they come, without promises. */
+/**
+ * Runs one generation and reads its lines as they arrive, in callbacks instead
+ * of promises.
+ */
 export class GenerationExchange
   implements Dispatcher.DispatchHandler, GenerationHandle {
   readonly #call: GenerateCall;
   readonly #sink: GenerationSink;
   readonly #options: GenerationExchangeOptions;
-  readonly #reader = new FrameReader();
-  readonly #lines = new LineSplitter((line) => {
+  readonly #frameReader = new FrameReader();
+  readonly #lineSplitter = new LineSplitter((line) => {
     this.#onLine(line);
   }, MAXIMUM_LINE_BYTES);
   #controller: Dispatcher.DispatchController | undefined;
   #status = 0;
-  #refusal = "";
-  #paused = false;
-  #cancelled = false;
-  #ended = false;
+  #errorBody = "";
+  #isPaused = false;
+  #isCancelled = false;
+  #hasEnded = false;
 
   /**
-   * @param call What to generate.
+   * @param call The request for generation.
    * @param sink Receives the frames and the end.
-   * @param options The engine and the limits.
+   * @param options The engine's connection and the limits.
    */
   constructor(
     call: GenerateCall,
@@ -83,37 +86,41 @@
   }
 
   pause(): void {
-    this.#paused = true;
+    this.#isPaused = true;
     this.#controller?.pause();
   }
 
   unpause(): void {
-    this.#paused = false;
+    this.#isPaused = false;
     this.#controller?.resume();
   }
 
   cancel(): void {
-    if (this.#ended || this.#cancelled) return;
-    this.#cancelled = true;
+    if (this.#hasEnded || this.#isCancelled) return;
+    this.#isCancelled = true;
     if (this.#controller === undefined) {
-      this.#fail("cancelled", "not_run", "The generation was never sent");
+      this.#fail(
+        "cancelled",
+        "not_run",
+        "The generation was cancelled before it was sent",
+      );
       return;
     }
     this.unpause();
     void this.#options.askToCancel().then(() => {
       setTimeout(() => {
-        this.#endCancelled();
+        this.#abortAfterCancel();
       }, this.#options.cancelGraceMilliseconds).unref();
     });
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
-    if (this.#ended) {
-      controller.abort(new Error("The generation was cancelled before"));
+    if (this.#hasEnded) {
+      controller.abort(new Error("The generation was already cancelled"));
       return;
     }
     this.#controller = controller;
-    if (this.#paused) controller.pause();
+    if (this.#isPaused) controller.pause();
   }
 
   onResponseStart(
@@ -127,30 +134,34 @@
     controller: Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
-    if (this.#status === SUCCESS_STATUS) {
-      this.#lines.push(chunk);
+    if (this.#status === STATUS_OK) {
+      this.#lineSplitter.push(chunk);
       return;
     }
-    this.#refusal += chunk.toString();
-    if (this.#refusal.length > MAXIMUM_REFUSAL_BYTES) {
-      controller.abort(new Error("The refusal is too large"));
+    this.#errorBody += chunk.toString();
+    if (this.#errorBody.length > MAXIMUM_ERROR_BODY_LENGTH) {
+      controller.abort(new Error("The error response is too large"));
     }
   }
 
   onResponseEnd(): void {
-    if (this.#ended) return;
-    if (this.#status === SUCCESS_STATUS) {
-      this.#fail("unavailable", "unknown", "The stream stopped before its end");
+    if (this.#hasEnded) return;
+    if (this.#status === STATUS_OK) {
+      this.#fail(
+        "unavailable",
+        "unknown",
+        "The stream ended without an end line",
+      );
       return;
     }
-    const answer = { status: this.#status, body: this.#refusal };
+    const response = { status: this.#status, body: this.#errorBody };
     const { peer } = this.#options.client;
-    this.#end(err(refusalFailure(answer, { step: this.#step(), peer })));
+    this.#end(err(failureFromResponse(response, { step: this.#step(), peer })));
   }
 
   onResponseError(_controller: unknown, error: Error): void {
-    if (error instanceof InvariantViolation) rethrowOnLoop(error);
-    if (this.#ended) return;
+    if (error instanceof InvariantViolation) rethrowInMicrotask(error);
+    if (this.#hasEnded) return;
     if (error instanceof LineTooLongError) {
       this.#fail("corrupt", "unknown", error.message);
       return;
@@ -158,34 +169,40 @@
     const { peer } = this.#options.client;
     const started = this.#controller !== undefined;
     this.#end(
-      err(transportFailure(error, { step: this.#step(), peer, started })),
+      err(
+        failureFromTransportError(error, { step: this.#step(), peer, started }),
+      ),
     );
   }
 
   #onLine(line: string): void {
-    if (this.#ended) return;
-    const value = this.#reader.read(line);
+    if (this.#hasEnded) return;
+    const value = this.#frameReader.read(line);
     if (isGenerationFrame(value)) {
       this.#sink.onFrame(value);
       return;
     }
-    const ending = parseEndLine(value);
-    if (ending === undefined) {
-      this.#fail("corrupt", "unknown", "Cannot read a line of the stream");
+    const endLine = parseEndLine(value);
+    if (endLine === undefined) {
+      this.#fail("corrupt", "unknown", "Cannot parse a line of the stream");
       this.#controller?.abort(new Error("The stream is corrupt"));
       return;
     }
-    if (ending.kind === "end") {
-      this.#end(ok(ending.end));
+    if (endLine.kind === "end") {
+      this.#end(ok(endLine.end));
       return;
     }
     const { peer } = this.#options.client;
-    this.#end(err({ ...ending.failure, step: this.#step(), peer }));
+    this.#end(err({ ...endLine.failure, step: this.#step(), peer }));
   }
 
-  #endCancelled(): void {
-    if (this.#ended) return;
-    this.#fail("cancelled", "unknown", "The stream went on after its cancel");
+  #abortAfterCancel(): void {
+    if (this.#hasEnded) return;
+    this.#fail(
+      "cancelled",
+      "unknown",
+      "The stream did not end after it was cancelled",
+    );
     this.#controller?.abort(new Error("The generation was cancelled"));
   }
 
@@ -195,8 +212,8 @@
   }
 
   #end(result: Result<GenerationEnd, Failure>): void {
-    if (this.#ended) return;
-    this.#ended = true;
+    if (this.#hasEnded) return;
+    this.#hasEnded = true;
     this.#sink.onEnd(result);
   }
 
@@ -205,8 +222,11 @@
   }
 }
 
-/** The transport catches what a sink throws; a broken invariant must show. */
-function rethrowOnLoop(error: InvariantViolation): void {
+/**
+ * undici catches what a sink throws. An invariant violation is rethrown outside
+ * of its call stack, so that it surfaces as an uncaught exception.
+ */
+function rethrowInMicrotask(error: InvariantViolation): void {
   queueMicrotask(() => {
     throw error;
   });
--- a/packages/edges/src/http/http_service_client.ts
+++ b/packages/edges/src/http/http_service_client.ts
@@ -10,19 +10,19 @@
 } from "../service_client.ts";
 import { exchange, type ExchangeAnswer } from "./exchange.ts";
 
-/** What the client of the plain services needs. */
+/** Options of the client of the plain services. */
 export interface HttpServiceClientOptions {
-  /** Carries the connections to all servers. */
+  /** Manages the connections to all servers. */
   readonly dispatcher: Dispatcher;
 }
 
-/** A server answers with this header while it is leaving. */
+/** The response header of a server that is leaving. */
 export const LEAVING_HEADER = "foxtailwind-leaving";
 
-/** A server may state by this header whether the call ran. */
+/** The response header by which a server may report whether the call ran. */
 export const OUTCOME_HEADER = "foxtailwind-outcome";
 
-const HOP_HEADERS: ReadonlySet<string> = new Set([
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "content-length",
   "expect",
@@ -35,11 +35,11 @@
   "upgrade",
 ]);
 
-/** The edge to the plain services over HTTP. */
+/** HTTP client for the plain services. */
 export class HttpServiceClient extends ServiceClient {
   readonly #options: HttpServiceClientOptions;
 
-  /** @param options The connections. */
+  /** @param options The connections to the servers. */
   constructor(options: HttpServiceClientOptions) {
     super();
     this.#options = options;
@@ -49,7 +49,7 @@
     call: ServiceCall,
     signal: AbortSignal,
   ): Promise<Result<ServiceAnswer, Failure>> {
-    const answer = await exchange(this.#options.dispatcher, {
+    const response = await exchange(this.#options.dispatcher, {
       step: "call_service",
       peer: call.server,
       origin: `http://${call.address}`,
@@ -60,22 +60,22 @@
       timeoutMilliseconds: call.timeoutMilliseconds,
       signal,
     });
-    return answer.map(toServiceAnswer);
+    return response.map(toServiceResponse);
   }
 }
 
-function toServiceAnswer(answer: ExchangeAnswer): ServiceAnswer {
-  const statedOutcome = readOutcome(answer.headers[OUTCOME_HEADER]);
+function toServiceResponse(response: ExchangeAnswer): ServiceAnswer {
+  const outcome = parseOutcome(response.headers[OUTCOME_HEADER]);
   return {
-    status: answer.status,
-    headers: toHeaderList(answer.headers),
-    body: answer.body,
-    leaving: answer.headers[LEAVING_HEADER] !== undefined,
-    ...(statedOutcome === undefined ? {} : { statedOutcome }),
+    status: response.status,
+    headers: toHeaderList(response.headers),
+    body: response.body,
+    leaving: response.headers[LEAVING_HEADER] !== undefined,
+    ...(outcome === undefined ? {} : { statedOutcome: outcome }),
   };
 }
 
-function readOutcome(
+function parseOutcome(
   value: string | string[] | undefined,
 ): RunOutcome | undefined {
   return value === "not_run" || value === "unknown" || value === "ran"
@@ -83,31 +83,31 @@
     : undefined;
 }
 
-/** Headers that concern one connection only do not pass on. */
+/** Drops the hop-by-hop headers, which are not forwarded. */
 function toHeaderRecord(
   headers: readonly Header[],
 ): Record<string, string | string[]> {
   const record: Record<string, string[]> = {};
   for (const { name, value } of headers) {
     const key = name.toLowerCase();
-    if (HOP_HEADERS.has(key)) continue;
+    if (HOP_BY_HOP_HEADERS.has(key)) continue;
     (record[key] ??= []).push(value);
   }
   return record;
 }
 
 function toHeaderList(headers: IncomingHttpHeaders): readonly Header[] {
-  const named = namedByConnection(headers.connection);
+  const connectionHeaders = parseConnectionHeader(headers.connection);
   return Object.entries(headers).flatMap(([name, value]) => {
-    if (HOP_HEADERS.has(name) && name !== "content-length") return [];
-    if (named.has(name)) return [];
+    if (HOP_BY_HOP_HEADERS.has(name) && name !== "content-length") return [];
+    if (connectionHeaders.has(name)) return [];
     const values = Array.isArray(value) ? value : [value ?? ""];
-    return values.map((one) => ({ name, value: one }));
+    return values.map((headerValue) => ({ name, value: headerValue }));
   });
 }
 
-/** `Connection` names further headers that concern one connection only. */
-function namedByConnection(value: string | undefined): ReadonlySet<string> {
+/** Returns the further hop-by-hop headers that `Connection` lists. */
+function parseConnectionHeader(value: string | undefined): ReadonlySet<string> {
   const tokens = (value ?? "").split(",");
   return new Set(tokens.map((token) => token.trim().toLowerCase()));
 }
--- a/packages/edges/src/http/http_weight_store_client.ts
+++ b/packages/edges/src/http/http_weight_store_client.ts
@@ -9,7 +9,7 @@
 } from "../weight_store_client.ts";
 import type { HttpClientOptions } from "./client_options.ts";
 import { adapterReferenceSchema } from "./engine_schemas.ts";
-import { callJson } from "./json_call.ts";
+import { callJson } from "./call_json.ts";
 
 const weightsSchema = z.object({
   adapter: adapterReferenceSchema,
@@ -20,11 +20,11 @@
   concurrentLoads: z.number().int().positive(),
 });
 
-/** The edge to one weight store over HTTP. */
+/** HTTP client for one weight store. */
 export class HttpWeightStoreClient extends WeightStoreClient {
   readonly #options: HttpClientOptions;
 
-  /** @param options The store's address, connections and limits. */
+  /** @param options The store's address, connections and timeouts. */
   constructor(options: HttpClientOptions) {
     super();
     this.#options = options;
@@ -37,7 +37,7 @@
       step: "read_weight_store",
       method: "GET",
       path: adapterWeightsPath(adapter),
-      answer: weightsSchema,
+      responseSchema: weightsSchema,
     });
   }
 
@@ -46,15 +46,15 @@
       step: "read_weight_store",
       method: "GET",
       path: "/v1/limits",
-      answer: limitsSchema,
+      responseSchema: limitsSchema,
     });
   }
 }
 
 /**
- * Names an adapter version at a weight store.
+ * Builds the path of an adapter version at a weight store.
  * @param reference The adapter and its version.
- * @returns The path that describes it; its weights lie below `/weights`.
+ * @returns The path of its metadata; append `/weights` for the weights.
  */
 export function adapterWeightsPath(reference: AdapterReference): string {
   const adapter = encodeURIComponent(reference.adapter);
--- a/packages/edges/src/http/line_splitter.ts
+++ b/packages/edges/src/http/line_splitter.ts
@@ -1,6 +1,6 @@
-const LINE_FEED = 10;
+const LINE_FEED_BYTE = 10;
 
-/** A line grew past the limit; the stream cannot be read on. */
+/** Thrown when a line exceeds the limit; the stream cannot be read further. */
 export class LineTooLongError extends Error {
   constructor(limit: number) {
     super(`Cannot read the stream: a line is longer than ${limit} bytes`);
@@ -9,18 +9,18 @@
 }
 
 /**
- * Splits a byte stream into lines. Only whole lines are decoded, so a
- * character that is cut by a chunk border comes out whole.
+ * Splits a byte stream into lines. Only complete lines are decoded, so that a
+ * character split across two chunks is decoded correctly.
  */
 export class LineSplitter {
   readonly #onLine: (line: string) => void;
   readonly #maximumBytes: number;
-  #held: Buffer[] = [];
-  #heldBytes = 0;
+  #pendingChunks: Buffer[] = [];
+  #pendingBytes = 0;
 
   /**
-   * @param onLine Receives each line that is not empty, without its end.
-   * @param maximumBytes The longest line that is accepted.
+   * @param onLine Receives each non-empty line, without its line feed.
+   * @param maximumBytes The maximum length of a line.
    */
   constructor(onLine: (line: string) => void, maximumBytes: number) {
     this.#onLine = onLine;
@@ -28,38 +28,43 @@
   }
 
   /**
-   * Takes the next chunk and hands on each line that it completes.
-   * @param chunk The bytes; they are held on to, not copied.
+   * Adds the next chunk and emits each line that it completes.
+   * @param chunk The bytes. They are kept by reference, not copied.
    */
   push(chunk: Buffer): void {
-    const lastEnd = chunk.lastIndexOf(LINE_FEED);
-    if (lastEnd < 0) {
-      this.#hold(chunk);
+    const lastLineFeed = chunk.lastIndexOf(LINE_FEED_BYTE);
+    if (lastLineFeed < 0) {
+      this.#keepPending(chunk);
       return;
     }
-    const text = this.#takeHeldWith(chunk, lastEnd);
-    if (lastEnd + 1 < chunk.length) this.#hold(chunk.subarray(lastEnd + 1));
+    const text = this.#takePendingText(chunk, lastLineFeed);
+    if (lastLineFeed + 1 < chunk.length) {
+      this.#keepPending(chunk.subarray(lastLineFeed + 1));
+    }
     this.#emitLines(text);
   }
 
-  /** Bytes of the line that is not yet complete. */
+  /** The number of buffered bytes of the incomplete line. */
   get pendingBytes(): number {
-    return this.#heldBytes;
+    return this.#pendingBytes;
   }
 
-  #hold(rest: Buffer): void {
-    this.#heldBytes += rest.length;
-    if (this.#heldBytes > this.#maximumBytes) {
+  #keepPending(chunk: Buffer): void {
+    this.#pendingBytes += chunk.length;
+    if (this.#pendingBytes > this.#maximumBytes) {
       throw new LineTooLongError(this.#maximumBytes);
     }
-    this.#held.push(rest);
+    this.#pendingChunks.push(chunk);
   }
 
-  #takeHeldWith(chunk: Buffer, end: number): string {
-    if (this.#heldBytes === 0) return chunk.toString("utf8", 0, end);
-    const bytes = Buffer.concat([...this.#held, chunk.subarray(0, end)]);
-    this.#held = [];
-    this.#heldBytes = 0;
+  #takePendingText(chunk: Buffer, end: number): string {
+    if (this.#pendingBytes === 0) return chunk.toString("utf8", 0, end);
+    const bytes = Buffer.concat([
+      ...this.#pendingChunks,
+      chunk.subarray(0, end),
+    ]);
+    this.#pendingChunks = [];
+    this.#pendingBytes = 0;
     return bytes.toString("utf8");
   }
 
--- a/packages/edges/tests/helpers/collecting_sink.ts
+++ b/packages/edges/tests/helpers/collecting_sink.ts
@@ -6,14 +6,16 @@
 } from "@foxtailwind/edges";
 import type { Result } from "neverthrow";
 
-/** Gathers a generation. */
+/** Collects the frames and the end of a generation. */
 export class CollectingSink extends GenerationSink {
   readonly frames: GenerationFrame[] = [];
   readonly ended: Promise<Result<GenerationEnd, Failure>>;
   ends = 0;
   #resolveEnd: (result: Result<GenerationEnd, Failure>) => void = () =>
     undefined;
-  #wanted: { readonly count: number; readonly reached: () => void } | undefined;
+  #pendingWait:
+    | { readonly count: number; readonly reached: () => void }
+    | undefined;
 
   constructor() {
     super();
@@ -24,7 +26,9 @@
 
   override onFrame(frame: GenerationFrame): void {
     this.frames.push(frame);
-    if (this.frames.length === this.#wanted?.count) this.#wanted.reached();
+    if (this.frames.length === this.#pendingWait?.count) {
+      this.#pendingWait.reached();
+    }
   }
 
   override onEnd(result: Result<GenerationEnd, Failure>): void {
@@ -32,16 +36,16 @@
     this.#resolveEnd(result);
   }
 
-  /** All tokens in the order of their arrival. */
+  /** All tokens, in the order of arrival. */
   get text(): string {
     return this.frames.flatMap(({ tokens }) => tokens).join("");
   }
 
-  /** Waits until so many frames have come. */
+  /** Waits until this many frames have arrived. */
   async gather(count: number): Promise<void> {
     if (this.frames.length >= count) return;
     const reached = new Promise<boolean>((resolve) => {
-      this.#wanted = {
+      this.#pendingWait = {
         count,
         reached: () => {
           resolve(true);
@@ -52,6 +56,8 @@
       reached,
       this.ended.then(() => false),
     ]);
-    if (!isReached) throw new Error(`Cannot gather ${count} frames: it ended`);
+    if (!isReached) {
+      throw new Error(`The generation ended before ${count} frames arrived`);
+    }
   }
 }
--- a/packages/edges/tests/http/http_service_client_test.ts
+++ b/packages/edges/tests/http/http_service_client_test.ts
@@ -8,13 +8,13 @@
 import type { Socket } from "node:net";
 import { findClosedAddress, startRawServer } from "../helpers/raw_server.ts";
 
-function clientOf(t: ExecutionContext): HttpServiceClient {
+function createClient(t: ExecutionContext): HttpServiceClient {
   const dispatcher = createDispatcher();
   t.teardown(() => dispatcher.destroy());
   return new HttpServiceClient({ dispatcher });
 }
 
-function callTo(address: string): ServiceCall {
+function createCall(address: string): ServiceCall {
   return {
     server: backendServerId("server-1"),
     address: new URL(address).host,
@@ -30,47 +30,56 @@
   };
 }
 
-test("an answer of any status is passed on with its headers", async (t) => {
+test("a response of any status is returned with its headers", async (t) => {
   const server = await startRawServer((request, response) => {
     response.writeHead(418, { "foxtailwind-leaving": "true" });
     response.end(`${request.url ?? ""} ${String(request.headers["x-many"])}`);
   });
   t.teardown(server.close);
   const signal = new AbortController().signal;
-  const result = await clientOf(t).call(callTo(server.address), signal);
+  const result = await createClient(t).call(createCall(server.address), signal);
   const answer = result._unsafeUnwrap();
   t.like(answer, { status: 418, leaving: true });
   t.is(Buffer.from(answer.body).toString(), "/bookings?day=1 one, two");
 });
 
-test("only a call whose connection failed has not run", async (t) => {
+test("only a call whose connection could not be opened has not run", async (t) => {
   const signal = new AbortController().signal;
-  const closed = callTo(await findClosedAddress());
-  const refused = await clientOf(t).call(closed, signal);
+  const closed = createCall(await findClosedAddress());
+  const refused = await createClient(t).call(closed, signal);
   t.is(refused._unsafeUnwrapErr().outcome, "not_run");
   const server = await startRawServer((request) => request.socket.destroy());
   t.teardown(server.close);
-  const dropped = await clientOf(t).call(callTo(server.address), signal);
+  const dropped = await createClient(t).call(
+    createCall(server.address),
+    signal,
+  );
   t.is(dropped._unsafeUnwrapErr().outcome, "unknown");
 });
 
-test("a call given up is unknown once it was sent", async (t) => {
+test("an aborted call has an unknown outcome once it was sent", async (t) => {
   const abort = new AbortController();
   const server = await startRawServer(() => {
     abort.abort();
   });
   t.teardown(server.close);
-  const late = await clientOf(t).call(callTo(server.address), abort.signal);
+  const late = await createClient(t).call(
+    createCall(server.address),
+    abort.signal,
+  );
   t.like(late._unsafeUnwrapErr(), { reason: "cancelled", outcome: "unknown" });
-  const early = await clientOf(t).call(callTo(server.address), abort.signal);
+  const early = await createClient(t).call(
+    createCall(server.address),
+    abort.signal,
+  );
   t.like(early._unsafeUnwrapErr(), { reason: "cancelled", outcome: "not_run" });
 });
 
-test("an answer that takes too long is a timeout", async (t) => {
+test("a response that takes too long fails with a timeout", async (t) => {
   const server = await startRawServer(() => undefined);
   t.teardown(server.close);
-  const call = { ...callTo(server.address), timeoutMilliseconds: 50 };
-  const result = await clientOf(t).call(call, new AbortController().signal);
+  const call = { ...createCall(server.address), timeoutMilliseconds: 50 };
+  const result = await createClient(t).call(call, new AbortController().signal);
   t.like(result._unsafeUnwrapErr(), { reason: "timeout", outcome: "unknown" });
 });
 
@@ -84,35 +93,38 @@
 };
 
 for (const [moment, crash] of Object.entries(CRASHES)) {
-  test(`an answer without a length that is reset ${moment} is not taken as whole`, async (t) => {
+  test(`a response without a length that is reset ${moment} is not complete`, async (t) => {
     const server = await startRawServer(({ socket }) => {
       socket.write("HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf a bo");
       crash(socket);
     });
     t.teardown(server.close);
     const signal = new AbortController().signal;
-    const result = await clientOf(t).call(callTo(server.address), signal);
+    const result = await createClient(t).call(
+      createCall(server.address),
+      signal,
+    );
     t.is(result._unsafeUnwrapErr().outcome, "unknown");
   });
 }
 
-test("an answer that comes twice is not taken for the next call's", async (t) => {
+test("a duplicate response is not returned for the next call", async (t) => {
   let arrivals = 0;
   const server = await startRawServer(({ socket }) => {
     arrivals += 1;
     const answer = (body: string) =>
       `HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n${body}`;
-    // The second call finds the first one's answer once more.
+    // The second call finds a duplicate of the first response.
     if (arrivals === 1) socket.write(answer("first"));
     else socket.write(answer("first") + answer("again"));
   });
   t.teardown(server.close);
-  const client = clientOf(t);
+  const client = createClient(t);
   const { signal } = new AbortController();
   const bodies: string[] = [];
   for (const path of ["/one", "/two"]) {
     const result = await client.call(
-      { ...callTo(server.address), path, headers: [] },
+      { ...createCall(server.address), path, headers: [] },
       signal,
     );
     const body = result.map((answer) => Buffer.from(answer.body).toString());
