--- a/packages/node/src/routing/address_directory.ts
+++ b/packages/node/src/routing/address_directory.ts
@@ -60,12 +60,12 @@
   readonly lifetime: Duration;
 }
 
-const HIGHEST_SEED = 2 ** 31;
+const SEED_LIMIT = 2 ** 31;
 
 /** Chooses the addresses that callers are told. */
 export class AddressDirectory {
   readonly #parts: AddressDirectoryParts;
-  readonly #random = randomSource(randomInt(HIGHEST_SEED));
+  readonly #random = randomSource(randomInt(SEED_LIMIT));
 
   /** @param parts What the directory works with. */
   constructor(parts: AddressDirectoryParts) {
--- a/packages/node/src/routing/service_channel.ts
+++ b/packages/node/src/routing/service_channel.ts
@@ -33,18 +33,18 @@
   readonly logger: PartLogger;
 }
 
-interface HeldCall {
+interface PendingCall {
   readonly request: ServiceRequest;
-  readonly settle: (result: ServiceResult) => void;
+  readonly resolve: (result: ServiceResult) => void;
   readonly answers: Map<number, ServiceAnswer>;
-  readonly aborts: Map<number, AbortController>;
+  readonly abortControllers: Map<number, AbortController>;
 }
 
 /** Carries out the routing decisions for one service. */
 export class ServiceChannel {
   readonly #parts: ServiceChannelParts;
   readonly #router: ServiceRouter;
-  readonly #held = new Map<RequestId, HeldCall>();
+  readonly #pendingCalls = new Map<RequestId, PendingCall>();
   #addresses: ReadonlyMap<BackendServerId, string> = new Map();
   #timer: NodeJS.Timeout | undefined;
 
@@ -56,7 +56,7 @@
 
   /** Whether nothing is in progress. */
   get isIdle(): boolean {
-    return this.#held.size === 0;
+    return this.#pendingCalls.size === 0;
   }
 
   /**
@@ -68,7 +68,7 @@
       servers.map(({ server, address }) => [server, address]),
     );
     this.#router.updateServers(this.#parts.clock.now(), servers);
-    this.#act();
+    this.#executeOrders();
   }
 
   /**
@@ -90,17 +90,17 @@
     request: ServiceRequest,
   ): Promise<ServiceResult> {
     return new Promise((resolve) => {
-      this.#held.set(call.id, {
+      this.#pendingCalls.set(call.id, {
         request,
-        settle: resolve,
+        resolve,
         answers: new Map(),
-        aborts: new Map(),
+        abortControllers: new Map(),
       });
       this.#router.submit(this.#parts.clock.now(), {
         call: call.id,
         repeatable: call.repeatable,
       });
-      this.#act();
+      this.#executeOrders();
     });
   }
 
@@ -109,61 +109,63 @@
    * @param id The call.
    */
   cancel(id: RequestId): void {
-    const held = this.#held.get(id);
-    if (held === undefined) return;
+    const pending = this.#pendingCalls.get(id);
+    if (pending === undefined) return;
     this.#router.cancel(id);
-    this.#act();
-    this.#held.delete(id);
-    held.settle(err(callerLeft(held.request.service)));
+    this.#executeOrders();
+    this.#pendingCalls.delete(id);
+    pending.resolve(err(callerLeftFailure(pending.request.service)));
   }
 
-  #act(): void {
+  #executeOrders(): void {
     const now = this.#parts.clock.now();
-    for (const order of this.#router.decide(now)) this.#carryOut(order);
+    for (const order of this.#router.decide(now)) this.#execute(order);
     clearTimeout(this.#timer);
-    const wake = this.#router.nextDecisionAt();
-    if (wake === undefined) return;
-    const delay = Math.max(1, Math.ceil(wake - now));
+    const nextDecisionAt = this.#router.nextDecisionAt();
+    if (nextDecisionAt === undefined) return;
+    const delay = Math.max(1, Math.ceil(nextDecisionAt - now));
     this.#timer = setTimeout(() => {
-      this.#act();
+      this.#executeOrders();
     }, delay);
   }
 
-  #carryOut(order: ServiceOrder): void {
-    const held = this.#held.get(order.call);
-    if (held === undefined) return;
+  #execute(order: ServiceOrder): void {
+    const pending = this.#pendingCalls.get(order.call);
+    if (pending === undefined) return;
     switch (order.kind) {
       case "dispatch":
-        void this.#send(held, order);
+        void this.#send(pending, order);
         break;
       case "abandon":
-        held.aborts.get(order.attempt)?.abort();
+        pending.abortControllers.get(order.attempt)?.abort();
         break;
       case "answer":
-        this.#finish(order.call, held, order.attempt);
+        this.#answer(order.call, pending, order.attempt);
         break;
       case "fail":
-        this.#held.delete(order.call);
-        held.settle(err(order.failure));
+        this.#pendingCalls.delete(order.call);
+        pending.resolve(err(order.failure));
         break;
     }
   }
 
-  #finish(id: RequestId, held: HeldCall, attempt: number): void {
-    this.#held.delete(id);
-    const answer = held.answers.get(attempt);
-    held.settle(
-      answer === undefined ? err(lostAnswer(held.request.service)) : ok(answer),
+  #answer(id: RequestId, pending: PendingCall, attempt: number): void {
+    this.#pendingCalls.delete(id);
+    const answer = pending.answers.get(attempt);
+    pending.resolve(
+      answer === undefined
+        ? err(missingAnswerFailure(pending.request.service))
+        : ok(answer),
     );
   }
 
   async #send(
-    held: HeldCall,
+    pending: PendingCall,
     order: Extract<ServiceOrder, { readonly kind: "dispatch" }>,
   ): Promise<void> {
-    const { request } = held;
+    const { request } = pending;
     const abort = new AbortController();
-    held.aborts.set(order.attempt, abort);
+    pending.abortControllers.set(order.attempt, abort);
     const answer = await this.#parts.client.call({
       server: order.server,
       address: this.#addresses.get(order.server) ?? "",
@@ -173,11 +175,11 @@
       body: request.body,
       timeoutMilliseconds: Math.ceil(order.timeout),
     }, abort.signal);
-    if (answer.isOk()) held.answers.set(order.attempt, answer.value);
-    this.#ended(order, toAttemptResult(answer));
+    if (answer.isOk()) pending.answers.set(order.attempt, answer.value);
+    this.#handleAttemptEnd(order, toAttemptResult(answer));
   }
 
-  #ended(attempt: AttemptReference, result: AttemptResult): void {
+  #handleAttemptEnd(attempt: AttemptReference, result: AttemptResult): void {
     if (result.kind === "failed" && result.failure.reason !== "cancelled") {
       this.#parts.logger.warn("An attempt failed.", {
         request: attempt.call,
@@ -188,7 +190,7 @@
     }
     const now = this.#parts.clock.now();
     this.#router.attemptEnded(now, attempt, result);
-    this.#act();
+    this.#executeOrders();
   }
 }
 
@@ -204,7 +206,7 @@
   );
 }
 
-function callerLeft(service: string): Failure {
+function callerLeftFailure(service: string): Failure {
   return {
     reason: "cancelled",
     step: "call_service",
@@ -214,7 +216,7 @@
   };
 }
 
-function lostAnswer(service: string): Failure {
+function missingAnswerFailure(service: string): Failure {
   return {
     reason: "unavailable",
     step: "call_service",
--- a/packages/node/src/routing/service_dispatcher.ts
+++ b/packages/node/src/routing/service_dispatcher.ts
@@ -41,7 +41,7 @@
   readonly signal?: AbortSignal;
 }
 
-const HIGHEST_SEED = 2 ** 31;
+const SEED_LIMIT = 2 ** 31;
 
 /** Brings calls to the plain services, over one channel for each service. */
 export class ServiceDispatcher extends ServiceCallRunner {
@@ -78,7 +78,7 @@
     const { services } = this.#parts.configuration;
     const channel = this.#channels.get(service);
     if (channel === undefined) {
-      return err(unreachable(service, services.has(service)));
+      return err(noServerFailure(service, services.has(service)));
     }
     channel.setTarget(services.get(service));
     const { id, repeatable, signal } = options;
@@ -104,21 +104,21 @@
         address: vm.address,
       });
     }
-    this.#forgetIdle(byService);
+    this.#removeUnlisted(byService);
     for (const [service, servers] of byService) {
-      this.#channel(service).updateServers(servers);
+      this.#getOrCreateChannel(service).updateServers(servers);
     }
   }
 
-  #forgetIdle(shown: ReadonlyMap<ServiceId, unknown>): void {
+  #removeUnlisted(listed: ReadonlyMap<ServiceId, unknown>): void {
     for (const [service, channel] of this.#channels) {
-      if (shown.has(service)) continue;
+      if (listed.has(service)) continue;
       if (channel.isIdle) this.#channels.delete(service);
       else channel.updateServers([]);
     }
   }
 
-  #channel(service: ServiceId): ServiceChannel {
+  #getOrCreateChannel(service: ServiceId): ServiceChannel {
     const known = this.#channels.get(service);
     if (known !== undefined) return known;
     const { client, clock, logger, failureDomain } = this.#parts;
@@ -126,7 +126,7 @@
       router: {
         service,
         failureDomain,
-        random: randomSource(randomInt(HIGHEST_SEED)),
+        random: randomSource(randomInt(SEED_LIMIT)),
         policy: SERVICE_POLICY,
       },
       client,
@@ -140,7 +140,7 @@
 
 const RETRY_AFTER_MILLISECONDS = 1_000;
 
-function unreachable(service: ServiceId, isConfigured: boolean): Failure {
+function noServerFailure(service: ServiceId, isConfigured: boolean): Failure {
   return {
     reason: isConfigured ? "unavailable" : "not_found",
     step: "call_service",
--- a/packages/node/src/serving/adapter_aggregates.ts
+++ b/packages/node/src/serving/adapter_aggregates.ts
@@ -14,22 +14,22 @@
 } from "@foxtailwind/core";
 
 const INITIAL_LOAD_TIME = milliseconds(500);
-const NEW_SAMPLE_SHARE = 0.1;
+const LOAD_TIME_SAMPLE_WEIGHT = 0.1;
 
 /** Before the weight store has said what it allows. */
-export const CAUTIOUS_LIMITS: LoadLimits = {
+export const INITIAL_LIMITS: LoadLimits = {
   loadsPerSecond: 1,
   concurrentLoads: 1,
 };
 
 /** What this node expects of loads, by its own and the permit holder's word. */
-export class MeasuredLoadOutlook implements LoadEstimates {
-  limits: LoadLimits = CAUTIOUS_LIMITS;
+export class MeasuredLoadEstimates implements LoadEstimates {
+  limits: LoadLimits = INITIAL_LIMITS;
   /** How many permits are out in the whole deployment. */
   outstanding = 0;
   readonly #loadTime = new SmoothedDuration(
     INITIAL_LOAD_TIME,
-    NEW_SAMPLE_SHARE,
+    LOAD_TIME_SAMPLE_WEIGHT,
   );
 
   get loadTime(): Duration {
@@ -59,14 +59,14 @@
   readonly demand = new DemandTracker();
   readonly index = new ResidenceIndex();
   readonly prefixes = new PrefixHistory();
-  readonly loads = new MeasuredLoadOutlook();
+  readonly loads = new MeasuredLoadEstimates();
   readonly router: AdapterRouter;
   readonly value: AdapterValueEstimator;
-  readonly scout: PrefetchPlanner;
+  readonly prefetchPlanner: PrefetchPlanner;
 
   constructor() {
     this.router = new AdapterRouter(this);
     this.value = new AdapterValueEstimator(this);
-    this.scout = new PrefetchPlanner(this);
+    this.prefetchPlanner = new PrefetchPlanner(this);
   }
 }
--- a/packages/node/src/serving/engine_assignment.ts
+++ b/packages/node/src/serving/engine_assignment.ts
@@ -23,7 +23,7 @@
 }
 
 /** Assigns engines by rendezvous hashing over the live nodes. */
-export class ComputedAssignment extends EngineAssignment {
+export class RendezvousAssignment extends EngineAssignment {
   readonly #directory: VmDirectory;
 
   /** @param directory Lists the live nodes. */
--- a/packages/node/src/serving/engine_generations.ts
+++ b/packages/node/src/serving/engine_generations.ts
@@ -12,41 +12,41 @@
 import { err, type Result } from "neverthrow";
 import { contentOf } from "../crashes/mod.ts";
 import type { EngineGenerationsParts } from "./engine_generations_parts.ts";
-import { EngineLook } from "./engine_look.ts";
+import { EngineLivenessCheck } from "./engine_look.ts";
 import { isRefusal } from "./engine_watch.ts";
-import { describeGeneration } from "./generation_estimates.ts";
+import { toQueuedRequest } from "./generation_estimates.ts";
 import {
-  callerLeft,
+  callerLeftFailure,
   isAdapterMissing,
   mayStillRun,
-  superseded,
-  targetMissed,
+  supersededFailure,
+  targetMissedFailure,
 } from "./generation_outcomes.ts";
 import {
   DispatchedSink,
-  type HeldRequest,
-  heldRequest,
-  HeldRequests,
-  type ReturnedRequest,
+  type PendingGeneration,
+  pendingGeneration,
+  PendingGenerations,
+  type RequestWithSink,
 } from "./held_requests.ts";
 
-const MOST_RESYNCS = 3;
+const MAXIMUM_ADAPTER_MISSES = 3;
 
 /** The requests at one engine, from their queueing to their end. */
 export class EngineGenerations {
   readonly #parts: EngineGenerationsParts;
-  readonly #held = new HeldRequests();
-  readonly #look: EngineLook;
+  readonly #pending = new PendingGenerations();
+  readonly #livenessCheck: EngineLivenessCheck;
 
   /** @param parts What the generations work with. */
   constructor(parts: EngineGenerationsParts) {
     this.#parts = parts;
-    this.#look = new EngineLook(parts);
+    this.#livenessCheck = new EngineLivenessCheck(parts);
   }
 
   /** The requests that were not dispatched. */
-  get undispatched(): readonly HeldRequest[] {
-    return this.#held.undispatched;
+  get undispatched(): readonly PendingGeneration[] {
+    return this.#pending.undispatched;
   }
 
   /**
@@ -54,8 +54,8 @@
    * @param request The request's id.
    * @returns Whether it waits or runs.
    */
-  holds(request: RequestId): boolean {
-    return this.#held.find(request) !== undefined;
+  has(request: RequestId): boolean {
+    return this.#pending.find(request) !== undefined;
   }
 
   /**
@@ -64,32 +64,34 @@
    * @returns Their ids.
    */
   waitingFor(key: AdapterKey): readonly RequestId[] {
-    return this.#held.waitingFor(key);
+    return this.#pending.waitingFor(key);
   }
 
   /**
    * Lets a request go on that the engine or this queue has already.
-   * @param returned The request, and what receives its answer.
+   * @param resumed The request, and what receives its answer.
    * @returns The handle of the generation, or nothing where it is new.
    */
-  takeOver(returned: ReturnedRequest): GenerationHandle | undefined {
-    const { generation, sink } = returned;
-    const earlier = this.#held.find(generation.request);
-    if (earlier !== undefined) return this.#supersede(earlier, returned);
-    if (!this.#parts.follower.adopt(generation.request)) return undefined;
-    return this.#adopt(heldRequest(generation, sink));
+  resume(resumed: RequestWithSink): GenerationHandle | undefined {
+    const { generation, sink } = resumed;
+    const earlier = this.#pending.find(generation.request);
+    if (earlier !== undefined) return this.#supersede(earlier, resumed);
+    if (!this.#parts.stateTracker.removeOrphan(generation.request)) {
+      return undefined;
+    }
+    return this.#resumeOrphan(pendingGeneration(generation, sink));
   }
 
   /**
    * Puts a request into the engine's queue, also one that was there before.
-   * @param held The request.
+   * @param pending The request.
    * @returns The handle of the generation.
    */
-  queue(held: HeldRequest): GenerationHandle {
-    const { generation } = held;
+  queue(pending: PendingGeneration): GenerationHandle {
+    const { generation } = pending;
     const now = this.#now();
     const controller = this.#parts.controller();
-    this.#held.add(held);
+    this.#pending.add(pending);
     this.#parts.observer.record(now, {
       kind: "queued",
       request: generation.request,
@@ -98,19 +100,19 @@
       class: generation.class,
       tenant: generation.tenant,
     });
-    controller.submit(now, describeGeneration(now, generation));
-    return this.#handleOf(held);
+    controller.submit(now, toQueuedRequest(now, generation));
+    return this.#handleOf(pending);
   }
 
   /**
    * Takes out the requests that wait, to be brought to another controller.
    * @returns The requests.
    */
-  handBack(): readonly ReturnedRequest[] {
-    const waiting = this.#held.undispatched;
+  withdrawWaiting(): readonly RequestWithSink[] {
+    const waiting = this.#pending.undispatched;
     for (const { generation } of waiting) {
       this.#parts.controller().withdraw(generation.request);
-      this.#held.remove(generation.request);
+      this.#pending.remove(generation.request);
     }
     return waiting;
   }
@@ -123,7 +125,7 @@
   refuse(request: RequestId, retryAfter: Duration): void {
     this.#end(
       request,
-      err(targetMissed(this.#parts.engine, retryAfter)),
+      err(targetMissedFailure(this.#parts.engine, retryAfter)),
     );
   }
 
@@ -135,10 +137,10 @@
     decision: Extract<EngineDecision, { readonly kind: "dispatch" }>,
   ): void {
     const { request, queueWait, loadStall, priority } = decision;
-    const held = this.#held.find(request);
-    if (held === undefined) return;
+    const pending = this.#pending.find(request);
+    if (pending === undefined) return;
     // It gave way before, and the engine still has it.
-    if (held.handle !== undefined) return;
+    if (pending.handle !== undefined) return;
     const { engine, observer } = this.#parts;
     observer.record(this.#now(), {
       kind: "dispatched",
@@ -147,33 +149,33 @@
       queueWait,
       loadStall,
     });
-    this.#held.leaveLine(held);
-    held.priority = priority;
-    this.#generate(held);
+    this.#pending.stopWaiting(pending);
+    pending.priority = priority;
+    this.#generate(pending);
   }
 
-  #generate(held: HeldRequest): void {
-    const { generation, priority, sink } = held;
+  #generate(pending: PendingGeneration): void {
+    const { generation, priority, sink } = pending;
     const { request } = generation;
     const controller = this.#parts.controller();
-    let firstAt: Instant | undefined;
+    let firstTokenAt: Instant | undefined;
     const listener = new DispatchedSink(sink, {
       firstToken: () => {
-        firstAt = this.#now();
-        controller.firstToken(firstAt, request);
+        firstTokenAt = this.#now();
+        controller.firstToken(firstTokenAt, request);
       },
       ended: (result, generatedTokens) => {
-        if (this.#held.find(request) !== held) return;
+        if (this.#pending.find(request) !== pending) return;
         if (mayStillRun(result)) {
-          this.#parts.follower.orphan(request);
+          this.#parts.stateTracker.addOrphan(request);
           const now = this.#now();
-          const ranFor = firstAt && elapsed(firstAt, now);
+          const ranFor = firstTokenAt && elapsed(firstTokenAt, now);
           this.#parts.suspects.broke(now, contentOf(generation), ranFor);
         } else controller.requestEnded(this.#now(), request, generatedTokens);
-        this.#generated(held, result);
+        this.#handleEnd(pending, result);
       },
     });
-    held.handle = this.#parts.client.generate({
+    pending.handle = this.#parts.client.generate({
       request,
       attempt: generation.attempt ?? attemptNumber(1),
       model: generation.model,
@@ -183,7 +185,7 @@
       priority,
       fromSequence: generation.fromSequence ?? 0,
     }, listener);
-    if (held.paused) held.handle.pause();
+    if (pending.paused) pending.handle.pause();
   }
 
   /**
@@ -191,90 +193,95 @@
    * whose path has broken, so that the request runs once all the same.
    */
   #supersede(
-    earlier: HeldRequest,
-    { generation, sink }: ReturnedRequest,
+    earlier: PendingGeneration,
+    { generation, sink }: RequestWithSink,
   ): GenerationHandle {
-    const held: HeldRequest = { ...earlier, generation, sink };
-    this.#held.add(held);
+    const pending: PendingGeneration = { ...earlier, generation, sink };
+    this.#pending.add(pending);
     if (earlier.handle !== undefined) {
-      this.#held.leaveLine(held);
-      this.#generate(held);
+      this.#pending.stopWaiting(pending);
+      this.#generate(pending);
     }
-    earlier.sink.onEnd(err(superseded(this.#parts.engine)));
-    return this.#handleOf(held);
+    earlier.sink.onEnd(err(supersededFailure(this.#parts.engine)));
+    return this.#handleOf(pending);
   }
 
   /** A request whose stream broke still has its place and its pin. */
-  #adopt(held: HeldRequest): GenerationHandle {
-    this.#held.add(held);
-    this.#held.leaveLine(held);
-    this.#generate(held);
-    return this.#handleOf(held);
+  #resumeOrphan(pending: PendingGeneration): GenerationHandle {
+    this.#pending.add(pending);
+    this.#pending.stopWaiting(pending);
+    this.#generate(pending);
+    return this.#handleOf(pending);
   }
 
-  #generated(held: HeldRequest, result: Result<GenerationEnd, Failure>): void {
-    if (isAdapterMissing(result) && held.resyncs < MOST_RESYNCS) {
-      void this.#resyncAndRetry(held);
+  #handleEnd(
+    pending: PendingGeneration,
+    result: Result<GenerationEnd, Failure>,
+  ): void {
+    if (
+      isAdapterMissing(result) && pending.adapterMisses < MAXIMUM_ADAPTER_MISSES
+    ) {
+      void this.#refreshStateAndRetry(pending);
       return;
     }
     // Before the end, so that another attempt finds another engine.
     if (result.isErr() && isRefusal(result.error)) {
-      this.#parts.follower.onRefused();
+      this.#parts.stateTracker.onRefused();
     }
-    this.#end(held.generation.request, result);
-    if (result.isErr()) void this.#look.look();
-    this.#parts.changed();
+    this.#end(pending.generation.request, result);
+    if (result.isErr()) void this.#livenessCheck.run();
+    this.#parts.onChange();
   }
 
   /** The engine refused to run it, so that it may be dispatched again. */
-  async #resyncAndRetry(refused: HeldRequest): Promise<void> {
+  async #refreshStateAndRetry(refused: PendingGeneration): Promise<void> {
     const { request, adapter } = refused.generation;
     const controller = this.#parts.controller();
     refused.handle = undefined;
-    refused.resyncs += 1;
-    await this.#parts.watch.readState();
-    const held = this.#held.find(request);
-    if (held === undefined) return;
+    refused.adapterMisses += 1;
+    await this.#parts.poller.readState();
+    const pending = this.#pending.find(request);
+    if (pending === undefined) return;
     const wasRestarted = this.#parts.controller() !== controller;
     if (!wasRestarted) controller.adapterMissing(this.#now(), adapter);
-    if (held.isCancelled) {
+    if (pending.isCancelled) {
       controller.withdraw(request);
-      this.#end(request, err(callerLeft(this.#parts.engine)));
-    } else if (!wasRestarted) this.queue(held);
-    this.#parts.changed();
+      this.#end(request, err(callerLeftFailure(this.#parts.engine)));
+    } else if (!wasRestarted) this.queue(pending);
+    this.#parts.onChange();
   }
 
-  #handleOf(held: HeldRequest): GenerationHandle {
+  #handleOf(pending: PendingGeneration): GenerationHandle {
     return {
       pause() {
-        held.paused = true;
-        held.handle?.pause();
+        pending.paused = true;
+        pending.handle?.pause();
       },
       unpause() {
-        held.paused = false;
-        held.handle?.unpause();
+        pending.paused = false;
+        pending.handle?.unpause();
       },
       cancel: () => {
-        this.#cancel(held.generation.request);
+        this.#cancel(pending.generation.request);
       },
     };
   }
 
   #cancel(request: RequestId): void {
-    const held = this.#held.find(request);
-    if (held === undefined) return;
-    if (held.handle !== undefined) {
-      held.handle.cancel();
+    const pending = this.#pending.find(request);
+    if (pending === undefined) return;
+    if (pending.handle !== undefined) {
+      pending.handle.cancel();
       return;
     }
-    held.isCancelled = true;
+    pending.isCancelled = true;
     if (this.#parts.controller().withdraw(request)) {
-      this.#end(request, err(callerLeft(this.#parts.engine)));
+      this.#end(request, err(callerLeftFailure(this.#parts.engine)));
     }
   }
 
   #end(request: RequestId, result: Result<GenerationEnd, Failure>): void {
-    this.#held.remove(request)?.sink.onEnd(result);
+    this.#pending.remove(request)?.sink.onEnd(result);
   }
 
   #now(): Instant {
--- a/packages/node/src/serving/engine_generations_parts.ts
+++ b/packages/node/src/serving/engine_generations_parts.ts
@@ -6,8 +6,8 @@
 import type { EngineClient } from "@foxtailwind/edges";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { EngineSuspects } from "../crashes/mod.ts";
-import type { EngineStateFollower } from "./engine_state_follower.ts";
-import type { EngineWatch } from "./engine_watch.ts";
+import type { EngineStateTracker } from "./engine_state_follower.ts";
+import type { EnginePoller } from "./engine_watch.ts";
 
 /** What the generations of an engine work with. */
 export interface EngineGenerationsParts {
@@ -17,10 +17,10 @@
   readonly observer: RequestObserver;
   /** The controller in charge; a restart of the engine brings another. */
   readonly controller: () => EngineController;
-  readonly follower: EngineStateFollower;
-  readonly watch: EngineWatch;
+  readonly stateTracker: EngineStateTracker;
+  readonly poller: EnginePoller;
   /** Takes the streams that broke off. */
   readonly suspects: EngineSuspects;
   /** Tells that the controller may have something new to decide. */
-  readonly changed: () => void;
+  readonly onChange: () => void;
 }
--- a/packages/node/src/serving/engine_loads.ts
+++ b/packages/node/src/serving/engine_loads.ts
@@ -40,11 +40,11 @@
     waiting: readonly RequestId[],
   ): Promise<boolean> {
     const { aggregates, clock } = this.#parts;
-    const start = clock.now();
+    const startedAt = clock.now();
     this.#recordStart(decision, waiting);
     const result = await this.#orders.load(decision.adapter);
     const loaded = result.isOk();
-    if (loaded) aggregates.loads.observe(elapsed(start, clock.now()));
+    if (loaded) aggregates.loads.observe(elapsed(startedAt, clock.now()));
     else this.#warn("A load failed.", decision.adapter, result.error.reason);
     this.#recordEnd(waiting, loaded);
     return loaded;
@@ -94,8 +94,8 @@
     }
   }
 
-  #warn(sentence: string, adapter: AdapterReference, reason: string): void {
+  #warn(message: string, adapter: AdapterReference, reason: string): void {
     const { engine, logger } = this.#parts;
-    logger.warn(sentence, { engine, adapter: adapter.adapter, reason });
+    logger.warn(message, { engine, adapter: adapter.adapter, reason });
   }
 }
--- a/packages/node/src/serving/engine_look.ts
+++ b/packages/node/src/serving/engine_look.ts
@@ -1,52 +1,52 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { EngineSuspects } from "../crashes/mod.ts";
-import type { EngineWatch } from "./engine_watch.ts";
+import type { EnginePoller } from "./engine_watch.ts";
 
 /** Between two questions to an engine that may have ended, in milliseconds. */
-const PAUSE_MILLISECONDS = 50;
+const PROBE_INTERVAL_MILLISECONDS = 50;
 
 /** What a look at an engine works with. */
-export interface EngineLookParts {
+export interface EngineLivenessCheckParts {
   readonly clock: SteadyClock;
-  readonly watch: EngineWatch;
+  readonly poller: EnginePoller;
   readonly suspects: EngineSuspects;
 }
 
 /** Asks an engine whether it still runs, one question after the other. */
-export class EngineLook {
-  readonly #parts: EngineLookParts;
-  #isLooking = false;
-  #isDue = false;
+export class EngineLivenessCheck {
+  readonly #parts: EngineLivenessCheckParts;
+  #isRunning = false;
+  #isRequested = false;
 
   /** @param parts What it works with. */
-  constructor(parts: EngineLookParts) {
+  constructor(parts: EngineLivenessCheckParts) {
     this.#parts = parts;
   }
 
   /** Asks until it is known whether the engine ended with broken streams. */
-  async look(): Promise<void> {
-    this.#isDue = true;
-    if (this.#isLooking) return;
-    this.#isLooking = true;
-    while (this.#isDue) {
-      this.#isDue = false;
-      await this.#ask();
-      if (!this.#isUnknown()) continue;
-      this.#isDue = true;
-      await sleep(PAUSE_MILLISECONDS);
+  async run(): Promise<void> {
+    this.#isRequested = true;
+    if (this.#isRunning) return;
+    this.#isRunning = true;
+    while (this.#isRequested) {
+      this.#isRequested = false;
+      await this.#probe();
+      if (!this.#isUndetermined()) continue;
+      this.#isRequested = true;
+      await sleep(PROBE_INTERVAL_MILLISECONDS);
     }
-    this.#isLooking = false;
+    this.#isRunning = false;
   }
 
-  #isUnknown(): boolean {
-    const { clock, watch, suspects } = this.#parts;
-    return !watch.isStopped() && suspects.arePending(clock.now());
+  #isUndetermined(): boolean {
+    const { clock, poller, suspects } = this.#parts;
+    return !poller.isStopped() && suspects.arePending(clock.now());
   }
 
-  async #ask(): Promise<void> {
-    const { clock, watch, suspects } = this.#parts;
-    const askedAt = clock.now();
-    if (await watch.readState()) suspects.lives(askedAt);
+  async #probe(): Promise<void> {
+    const { clock, poller, suspects } = this.#parts;
+    const probedAt = clock.now();
+    if (await poller.readState()) suspects.lives(probedAt);
   }
 }
--- a/packages/node/src/serving/engine_orders.ts
+++ b/packages/node/src/serving/engine_orders.ts
@@ -12,7 +12,7 @@
 
 /** Until then the engine may act on an order; orders must end sooner. */
 const ORDER_EXPIRY_MILLISECONDS = 5_000;
-const READ_AGAIN_MILLISECONDS = 250;
+const STATE_POLL_INTERVAL_MILLISECONDS = 250;
 
 /** What orders are given with. */
 export interface EngineOrdersParts {
@@ -43,7 +43,7 @@
    * @returns Nothing once it is resident, or why it is not.
    */
   load(adapter: AdapterReference): Promise<Result<void, Failure>> {
-    return this.#give("load_adapter", adapter, true);
+    return this.#execute("load_adapter", adapter, true);
   }
 
   /**
@@ -52,7 +52,7 @@
    * @returns Nothing once it has left, or why it has not.
    */
   evict(adapter: AdapterReference): Promise<Result<void, Failure>> {
-    return this.#give("evict_adapter", adapter, false);
+    return this.#execute("evict_adapter", adapter, false);
   }
 
   /** Stops reading the engine's state. */
@@ -60,16 +60,16 @@
     this.#stopped = true;
   }
 
-  async #give(
+  async #execute(
     kind: "load_adapter" | "evict_adapter",
     adapter: AdapterReference,
-    wantsResident: boolean,
+    expectsResident: boolean,
   ): Promise<Result<void, Failure>> {
     const { client, clock, right, engine } = this.#parts;
     const expiry = this.#parts.expiresInMilliseconds ??
       ORDER_EXPIRY_MILLISECONDS;
-    const given = clock.now();
-    const fencing = right.current(engine, given);
+    const startedAt = clock.now();
+    const fencing = right.current(engine, startedAt);
     if (fencing.isErr()) return err(fencing.error);
     const result = await client.order({
       kind,
@@ -78,10 +78,10 @@
       expiresInMilliseconds: expiry,
     });
     if (result.isOk() || result.error.outcome === "not_run") return result;
-    const passed = clock.now() - given;
-    await sleep(Math.max(0, expiry - passed));
+    const elapsedMilliseconds = clock.now() - startedAt;
+    await sleep(Math.max(0, expiry - elapsedMilliseconds));
     const resident = await this.#isResident(adapter);
-    return resident === wantsResident ? ok() : err(result.error);
+    return resident === expectsResident ? ok() : err(result.error);
   }
 
   /** Asks until the engine answers and the adapter's load is not under way. */
@@ -94,7 +94,7 @@
       if (state.isOk() && !isLoading) {
         return state.value.resident.some((other) => adapterKey(other) === key);
       }
-      await sleep(READ_AGAIN_MILLISECONDS);
+      await sleep(STATE_POLL_INTERVAL_MILLISECONDS);
     }
     return false;
   }
--- a/packages/node/src/serving/engine_runner.ts
+++ b/packages/node/src/serving/engine_runner.ts
@@ -23,16 +23,16 @@
 import type { AdapterAggregates } from "./adapter_aggregates.ts";
 import { EngineGenerations } from "./engine_generations.ts";
 import { EngineLoads } from "./engine_loads.ts";
-import { EngineStateFollower } from "./engine_state_follower.ts";
-import { EngineWatch } from "./engine_watch.ts";
+import { EngineStateTracker } from "./engine_state_follower.ts";
+import { EnginePoller } from "./engine_watch.ts";
 import type { EngineViews } from "./engine_views.ts";
 import type { GenerationRequest } from "./generation_request.ts";
-import { heldRequest, type ReturnedRequest } from "./held_requests.ts";
+import { pendingGeneration, type RequestWithSink } from "./held_requests.ts";
 import type { OrderRight } from "./order_right.ts";
 import type { LoadPermits } from "./permits/load_permits.ts";
-import { WishOffer } from "./permits/wish_offer.ts";
+import { WishPublisher } from "./permits/wish_offer.ts";
 
-const TICK_MILLISECONDS = 50;
+const DECISION_INTERVAL_MILLISECONDS = 50;
 
 /** What a runner works with. */
 export interface EngineRunnerParts {
@@ -54,59 +54,59 @@
   readonly #generations: EngineGenerations;
   readonly #loads: EngineLoads;
   readonly #model: ModelId;
-  readonly #follower: EngineStateFollower;
-  readonly #watch: EngineWatch;
+  readonly #stateTracker: EngineStateTracker;
+  readonly #poller: EnginePoller;
   readonly #timer: NodeJS.Timeout;
-  readonly #wishes: WishOffer;
+  readonly #wishPublisher: WishPublisher;
   readonly #suspects: EngineSuspects;
   #controller: EngineController;
   #controlledSince: Instant = CLOCK_START;
   #isReachable = true;
 
-  private constructor(parts: EngineRunnerParts, found: EngineState) {
+  private constructor(parts: EngineRunnerParts, initialState: EngineState) {
     this.#parts = parts;
     this.#loads = new EngineLoads(parts);
-    this.#model = found.model;
-    this.#wishes = new WishOffer(parts);
+    this.#model = initialState.model;
+    this.#wishPublisher = new WishPublisher(parts);
     this.#suspects = new EngineSuspects(parts.engine, parts.crashes);
-    this.#controller = this.#control(found);
-    this.#follower = new EngineStateFollower({
+    this.#controller = this.#createController(initialState);
+    this.#stateTracker = new EngineStateTracker({
       ...parts,
       prefixes: parts.aggregates.prefixes,
       controller: () => this.#controller,
       controlledSince: () => this.#controlledSince,
-      isHeld: (request) => this.#generations.holds(request),
-      restarted: (state, over) => {
-        this.#suspects.ended(this.#now(), over);
-        this.#restarted(state);
+      isHeld: (request) => this.#generations.has(request),
+      onRestart: (state, previousBootId) => {
+        this.#suspects.ended(this.#now(), previousBootId);
+        this.#handleRestart(state);
       },
-      reachable: (isReachable) => {
+      setReachable: (isReachable) => {
         this.#setReachable(isReachable);
       },
     });
-    this.#watch = new EngineWatch({
+    this.#poller = new EnginePoller({
       engine: parts.engine,
       client: parts.client,
-      watcher: this.#follower,
-      bootId: found.bootId,
+      listener: this.#stateTracker,
+      bootId: initialState.bootId,
     });
     this.#generations = new EngineGenerations({
       ...parts,
       controller: () => this.#controller,
-      follower: this.#follower,
-      watch: this.#watch,
+      stateTracker: this.#stateTracker,
+      poller: this.#poller,
       suspects: this.#suspects,
-      changed: () => {
-        this.#act();
+      onChange: () => {
+        this.#executeDecisions();
       },
     });
     parts.permits.register(parts.engine, (adapter) => {
       this.#usePermit(adapter);
     });
     this.#timer = setInterval(() => {
-      this.#act();
-    }, TICK_MILLISECONDS);
-    void this.#watch.run();
+      this.#executeDecisions();
+    }, DECISION_INTERVAL_MILLISECONDS);
+    void this.#poller.run();
   }
 
   /**
@@ -137,11 +137,11 @@
     const { engine, logger, views } = this.#parts;
     if (isReachable) views.put(this.#controller);
     else {
-      views.drop(this.#controller);
-      this.#suspects.ended(this.#now(), this.#watch.bootId);
+      views.remove(this.#controller);
+      this.#suspects.ended(this.#now(), this.#poller.bootId);
     }
-    const word = isReachable ? "is reached again" : "refuses connections";
-    logger.warn(`An engine ${word}.`, { engine });
+    const change = isReachable ? "is reached again" : "refuses connections";
+    logger.warn(`An engine ${change}.`, { engine });
   }
 
   /**
@@ -154,11 +154,11 @@
     generation: GenerationRequest,
     sink: GenerationSink,
   ): GenerationHandle {
-    const handle = this.#generations.takeOver({ generation, sink });
+    const handle = this.#generations.resume({ generation, sink });
     if (handle !== undefined) return handle;
-    this.#noteDemand(generation);
-    const queued = this.#generations.queue(heldRequest(generation, sink));
-    this.#act();
+    this.#recordDemand(generation);
+    const queued = this.#generations.queue(pendingGeneration(generation, sink));
+    this.#executeDecisions();
     return queued;
   }
 
@@ -166,81 +166,81 @@
    * Stops controlling the engine; requests in progress go on.
    * @returns The requests that wait, to be brought to another controller.
    */
-  stop(): readonly ReturnedRequest[] {
+  stop(): readonly RequestWithSink[] {
     clearInterval(this.#timer);
-    this.#watch.stop();
+    this.#poller.stop();
     this.#loads.stop();
     this.#parts.permits.unregister(this.#parts.engine);
-    this.#parts.views.drop(this.#controller);
-    const waiting = this.#generations.handBack();
+    this.#parts.views.remove(this.#controller);
+    const waiting = this.#generations.withdrawWaiting();
     this.#controller.close();
     return waiting;
   }
 
-  #restarted(state: EngineState): void {
+  #handleRestart(state: EngineState): void {
     const { engine, logger, views } = this.#parts;
     logger.warn("An engine has restarted.", { engine });
     const waiting = this.#generations.undispatched;
-    views.drop(this.#controller);
+    views.remove(this.#controller);
     this.#controller.close();
-    this.#controller = this.#control(state);
-    for (const held of waiting) this.#generations.queue(held);
-    this.#act();
+    this.#controller = this.#createController(state);
+    for (const pending of waiting) this.#generations.queue(pending);
+    this.#executeDecisions();
   }
 
-  #control(found: EngineState): EngineController {
+  #createController(state: EngineState): EngineController {
     const { aggregates, engine, views } = this.#parts;
     const controller = new EngineController({
       engine,
-      capacity: found,
+      capacity: state,
       index: aggregates.index,
       demand: aggregates.demand,
       loads: aggregates.loads,
     });
     this.#controlledSince = this.#now();
-    controller.adoptState(this.#controlledSince, found);
+    controller.adoptState(this.#controlledSince, state);
     views.put(controller);
     return controller;
   }
 
-  #noteDemand({ adapter, firstTokenTarget }: GenerationRequest): void {
+  #recordDemand({ adapter, firstTokenTarget }: GenerationRequest): void {
     const key = adapterKey(adapter);
     const arrival = { key, adapter, target: firstTokenTarget };
     this.#parts.aggregates.demand.recordArrival(this.#now(), arrival);
   }
 
-  #act(): void {
+  #executeDecisions(): void {
     const now = this.#now();
     for (const decision of this.#controller.decide(now)) {
-      this.#carryOut(decision);
+      this.#execute(decision);
     }
-    this.#offerWishes();
+    this.#publishWishes();
   }
 
-  #offerWishes(): void {
+  #publishWishes(): void {
     const { aggregates, engine, views } = this.#parts;
     const now = this.#now();
-    aggregates.scout.update(now, views.running(this.#model));
-    const prefetch = aggregates.scout.candidates(now, engine);
-    this.#wishes.offer(now, this.#controller.wishes(now, prefetch));
+    aggregates.prefetchPlanner.update(now, views.running(this.#model));
+    const prefetch = aggregates.prefetchPlanner.candidates(now, engine);
+    this.#wishPublisher.publish(now, this.#controller.wishes(now, prefetch));
   }
 
   #usePermit(adapter: AdapterReference): void {
     if (!this.#controller.usePermit(this.#now(), adapter)) {
-      this.#permitEnded(adapter, false);
+      this.#releasePermit(adapter, false);
       return;
     }
     for (const decision of this.#controller.decide(this.#now())) {
-      this.#carryOut(decision);
+      this.#execute(decision);
     }
   }
 
-  #permitEnded(adapter: AdapterReference, loaded: boolean): void {
+  #releasePermit(adapter: AdapterReference, loaded: boolean): void {
     const { engine, permits } = this.#parts;
-    permits.ended({ engine, adapter, loaded });
+    permits.release({ engine, adapter, loaded });
   }
 
-  #carryOut(decision: EngineDecision): void {
+  #execute(decision: EngineDecision): void {
     switch (decision.kind) {
       case "dispatch":
         this.#generations.dispatch(decision);
@@ -260,7 +260,7 @@
         this.#evict(decision.adapter);
         break;
       case "return_permit":
-        this.#permitEnded(decision.adapter, false);
+        this.#releasePermit(decision.adapter, false);
         break;
       case "refuse":
         this.#generations.refuse(decision.request, decision.retryAfter);
@@ -273,9 +273,9 @@
     const waiting = this.#generations.waitingFor(adapterKey(decision.adapter));
     void this.#loads.load(decision, waiting).then((loaded) => {
       const { adapter } = decision;
-      this.#permitEnded(adapter, loaded);
+      this.#releasePermit(adapter, loaded);
       controller.loadEnded(this.#now(), { adapter, loaded });
-      this.#act();
+      this.#executeDecisions();
     });
   }
 
@@ -283,7 +283,7 @@
     const controller = this.#controller;
     void this.#loads.evict(adapter).then((evicted) => {
       controller.evictionEnded(this.#now(), { adapter, evicted });
-      this.#act();
+      this.#executeDecisions();
     });
   }
 
--- a/packages/node/src/serving/engine_runners.ts
+++ b/packages/node/src/serving/engine_runners.ts
@@ -6,7 +6,7 @@
 import type { EngineClient } from "@foxtailwind/edges";
 import type { VmOfRole } from "../platform/vm_directory.ts";
 import { EngineRunner, type EngineRunnerParts } from "./engine_runner.ts";
-import type { ReturnedRequest } from "./held_requests.ts";
+import type { RequestWithSink } from "./held_requests.ts";
 
 /** What runners are started with. */
 export interface EngineRunnersParts
@@ -81,7 +81,7 @@
    * @param engine The engine.
    * @returns The requests that waited.
    */
-  stop(engine: EngineId): readonly ReturnedRequest[] {
+  stop(engine: EngineId): readonly RequestWithSink[] {
     this.#starting.delete(engine);
     const runner = this.#runners.get(engine);
     if (runner === undefined) return [];
--- a/packages/node/src/serving/engine_state_follower.ts
+++ b/packages/node/src/serving/engine_state_follower.ts
@@ -14,13 +14,13 @@
   EngineState,
 } from "@foxtailwind/edges";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import { EngineWatcher } from "./engine_watch.ts";
+import { EnginePollListener } from "./engine_watch.ts";
 
 /** A request that the controller before sent may be so long on its way. */
-const LONGEST_FLIGHT_MILLISECONDS = 1_000;
+const MAXIMUM_TRANSIT_MILLISECONDS = 1_000;
 
 /** What a follower works with. */
-export interface EngineStateFollowerParts {
+export interface EngineStateTrackerParts {
   readonly engine: EngineId;
   readonly clock: SteadyClock;
   readonly observer: RequestObserver;
@@ -28,19 +28,19 @@
   readonly controller: () => EngineController;
   readonly controlledSince: () => Instant;
   readonly isHeld: (request: RequestId) => boolean;
-  readonly restarted: (state: EngineState, over: string) => void;
+  readonly onRestart: (state: EngineState, over: string) => void;
   /** Learns whether the engine takes connections. */
-  readonly reachable: (isReachable: boolean) => void;
+  readonly setReachable: (isReachable: boolean) => void;
 }
 
 /** Brings what an engine publishes to its controller. */
-export class EngineStateFollower extends EngineWatcher {
-  readonly #parts: EngineStateFollowerParts;
+export class EngineStateTracker extends EnginePollListener {
+  readonly #parts: EngineStateTrackerParts;
   /** Requests whose stream broke: the engine may still run them. */
   readonly #orphans = new Set<RequestId>();
 
   /** @param parts What to work with. */
-  constructor(parts: EngineStateFollowerParts) {
+  constructor(parts: EngineStateTrackerParts) {
     super();
     this.#parts = parts;
   }
@@ -55,7 +55,7 @@
    * shows that it runs no more.
    * @param request The request.
    */
-  orphan(request: RequestId): void {
+  addOrphan(request: RequestId): void {
     this.#orphans.add(request);
   }
 
@@ -64,16 +64,16 @@
    * @param request The request.
    * @returns Whether it still has its place and its pin.
    */
-  adopt(request: RequestId): boolean {
+  removeOrphan(request: RequestId): boolean {
     return this.#orphans.delete(request);
   }
 
   override onRefused(): void {
-    this.#parts.reachable(false);
+    this.#parts.setReachable(false);
   }
 
   override onReport(report: EngineLoadReport): void {
-    this.#parts.reachable(true);
+    this.#parts.setReachable(true);
     const { clock, engine, observer } = this.#parts;
     observer.recordBatch(clock.now(), { engine, fill: report.batchFill });
     this.#parts.controller().reported(clock.now(), {
@@ -94,10 +94,10 @@
   }
 
   override onState(state: EngineState): void {
-    this.#endOrphans(state);
+    this.#releaseEndedOrphans(state);
     const { clock, controlledSince, isHeld } = this.#parts;
     const now = clock.now();
-    if (now < controlledSince() + LONGEST_FLIGHT_MILLISECONDS) return;
+    if (now < controlledSince() + MAXIMUM_TRANSIT_MILLISECONDS) return;
     const inUse = state.running.filter(({ request }) => !isHeld(request))
       .map((running) => adapterKey(running.adapter));
     this.#parts.controller().reconcile(now, {
@@ -107,12 +107,12 @@
     });
   }
 
-  override onRestart(state: EngineState, over: string): void {
+  override onRestart(state: EngineState, previousBootId: string): void {
     this.#orphans.clear();
-    this.#parts.restarted(state, over);
+    this.#parts.onRestart(state, previousBootId);
   }
 
-  #endOrphans(state: EngineState): void {
+  #releaseEndedOrphans(state: EngineState): void {
     const running = new Set(state.running.map(({ request }) => request));
     const now = this.#parts.clock.now();
     for (const request of this.#orphans) {
--- a/packages/node/src/serving/engine_views.ts
+++ b/packages/node/src/serving/engine_views.ts
@@ -38,7 +38,7 @@
    * Takes a view out, unless it has been replaced.
    * @param view The view.
    */
-  drop(view: EngineView): void {
+  remove(view: EngineView): void {
     if (this.#views.get(view.engine) !== view) return;
     this.#views.delete(view.engine);
     this.#byModel = undefined;
@@ -50,11 +50,11 @@
    * @returns Their views.
    */
   running(model: ModelId): ViewMap {
-    this.#byModel ??= this.#arrange();
+    this.#byModel ??= this.#groupByModel();
     return this.#byModel.get(model) ?? NO_VIEWS;
   }
 
-  #arrange(): ReadonlyMap<ModelId, ViewMap> {
+  #groupByModel(): ReadonlyMap<ModelId, ViewMap> {
     const byModel = new Map<ModelId, Map<EngineId, EngineView>>();
     for (const vm of this.#directory.live("engine")) {
       const view = this.#views.get(engineId(vm.id));
--- a/packages/node/src/serving/engine_watch.ts
+++ b/packages/node/src/serving/engine_watch.ts
@@ -7,10 +7,10 @@
 } from "@foxtailwind/edges";
 import { setTimeout as sleep } from "node:timers/promises";
 
-const POLL_MILLISECONDS = 500;
+const POLL_INTERVAL_MILLISECONDS = 500;
 
 /** Learns what an engine publishes. */
-export abstract class EngineWatcher {
+export abstract class EnginePollListener {
   /** @param report The engine's load, which lags. */
   abstract onReport(report: EngineLoadReport): void;
 
@@ -21,9 +21,9 @@
   abstract onCacheEvents(events: readonly CacheEvent[]): void;
   /**
    * @param state The engine's state after it has started anew.
-   * @param over The run before.
+   * @param previousBootId The run before.
    */
-  abstract onRestart(state: EngineState, over: string): void;
+  abstract onRestart(state: EngineState, previousBootId: string): void;
   /** @param state The engine's state, read while it is needed. */
   abstract onState(state: EngineState): void;
   /** Whether the engine's state is to be read at the next poll. */
@@ -31,23 +31,23 @@
 }
 
 /** What a watch needs. */
-export interface EngineWatchParts {
+export interface EnginePollerParts {
   readonly engine: EngineId;
   readonly client: EngineClient;
-  readonly watcher: EngineWatcher;
+  readonly listener: EnginePollListener;
   /** The run of the engine that is known already. */
   readonly bootId: string;
 }
 
 /** Polls an engine's reports and cache events, and notices its restart. */
-export class EngineWatch {
-  readonly #parts: EngineWatchParts;
+export class EnginePoller {
+  readonly #parts: EnginePollerParts;
   #bootId: string;
   #lastSequence = 0;
   #stopped = false;
 
   /** @param parts What the watch needs. */
-  constructor(parts: EngineWatchParts) {
+  constructor(parts: EnginePollerParts) {
     this.#parts = parts;
     this.#bootId = parts.bootId;
   }
@@ -56,7 +56,7 @@
   async run(): Promise<void> {
     do {
       await this.#poll();
-      await sleep(POLL_MILLISECONDS);
+      await sleep(POLL_INTERVAL_MILLISECONDS);
     } while (!this.isStopped());
   }
 
@@ -73,17 +73,17 @@
     const state = await this.#parts.client.readState();
     if (this.#stopped) return false;
     if (state.isErr()) {
-      this.#failed(state.error);
+      this.#handleFailure(state.error);
       return false;
     }
     if (state.value.bootId !== this.#bootId) {
-      const over = this.#bootId;
+      const previousBootId = this.#bootId;
       this.#bootId = state.value.bootId;
       this.#lastSequence = 0;
-      this.#parts.watcher.onRestart(state.value, over);
+      this.#parts.listener.onRestart(state.value, previousBootId);
       return false;
     }
-    this.#parts.watcher.onState(state.value);
+    this.#parts.listener.onState(state.value);
     return true;
   }
 
@@ -97,28 +97,28 @@
     return this.#stopped;
   }
 
-  #failed(failure: Failure): void {
-    if (isRefusal(failure)) this.#parts.watcher.onRefused();
+  #handleFailure(failure: Failure): void {
+    if (isRefusal(failure)) this.#parts.listener.onRefused();
   }
 
   async #poll(): Promise<void> {
-    const { client, watcher } = this.#parts;
+    const { client, listener } = this.#parts;
     const report = await client.readLoad();
     if (this.isStopped()) return;
     if (report.isErr()) {
-      this.#failed(report.error);
+      this.#handleFailure(report.error);
       return;
     }
     if (report.value.bootId !== this.#bootId) {
       await this.readState();
       return;
     }
-    watcher.onReport(report.value);
-    if (watcher.needsState) await this.readState();
+    listener.onReport(report.value);
+    if (listener.needsState) await this.readState();
     const events = await client.readCacheEvents(this.#lastSequence);
     if (events.isErr() || this.isStopped()) return;
     this.#lastSequence = events.value.at(-1)?.sequence ?? this.#lastSequence;
-    if (events.value.length > 0) watcher.onCacheEvents(events.value);
+    if (events.value.length > 0) listener.onCacheEvents(events.value);
   }
 }
 
--- a/packages/node/src/serving/generation_estimates.ts
+++ b/packages/node/src/serving/generation_estimates.ts
@@ -14,11 +14,11 @@
  * @param generation The request.
  * @returns What decisions need of it.
  */
-export function describeGeneration(
+export function toQueuedRequest(
   now: Instant,
   generation: GenerationRequest,
 ): QueuedRequest {
-  const prefix = sharedPrefix(generation);
+  const prefixHash = sharedPrefixHash(generation);
   return {
     request: generation.request,
     adapter: generation.adapter,
@@ -28,12 +28,12 @@
     waitedBefore: milliseconds(now - generation.arrivedAt),
     promptTokens: estimatePromptTokens(generation),
     maximumTokens: generation.maximumTokens,
-    ...(prefix === undefined ? {} : { prefixHash: prefix }),
+    ...(prefixHash === undefined ? {} : { prefixHash }),
   };
 }
 
 /** The first message is what requests have in common. */
-function sharedPrefix(generation: GenerationRequest): string | undefined {
+function sharedPrefixHash(generation: GenerationRequest): string | undefined {
   if (generation.messages.length < 2) return undefined;
   return hashPromptPrefixes(generation.messages.slice(0, 1))[0]?.hash;
 }
--- a/packages/node/src/serving/generation_outcomes.ts
+++ b/packages/node/src/serving/generation_outcomes.ts
@@ -29,7 +29,7 @@
  * @param engine The engine.
  * @returns The failure.
  */
-export function superseded(engine: EngineId): Failure {
+export function supersededFailure(engine: EngineId): Failure {
   return {
     reason: "cancelled",
     step: "dispatch",
@@ -44,7 +44,7 @@
  * @param engine The engine.
  * @returns The failure.
  */
-export function callerLeft(engine: EngineId): Failure {
+export function callerLeftFailure(engine: EngineId): Failure {
   return {
     reason: "cancelled",
     step: "dispatch",
@@ -60,7 +60,10 @@
  * @param retryAfter When its caller may come back.
  * @returns The failure.
  */
-export function targetMissed(engine: EngineId, retryAfter: Duration): Failure {
+export function targetMissedFailure(
+  engine: EngineId,
+  retryAfter: Duration,
+): Failure {
   return {
     reason: "overloaded",
     step: "dispatch",
--- a/packages/node/src/serving/generation_router.ts
+++ b/packages/node/src/serving/generation_router.ts
@@ -29,15 +29,15 @@
 import type { EngineAssignment } from "./engine_assignment.ts";
 import { EngineRunners } from "./engine_runners.ts";
 import { EngineViews } from "./engine_views.ts";
-import { describeGeneration } from "./generation_estimates.ts";
+import { toQueuedRequest } from "./generation_estimates.ts";
 import type { GenerationRequest } from "./generation_request.ts";
 import type { OrderRight } from "./order_right.ts";
 import type { LoadPermits } from "./permits/load_permits.ts";
 import {
-  cannotMeetTarget,
-  leftUnplaced,
-  noEngine,
-  unroutable,
+  callerLeftFailure,
+  noEngineFailure,
+  targetUnreachableFailure,
+  unroutableFailure,
 } from "./routing_failures.ts";
 import { UnplacedRequests } from "./unplaced_requests.ts";
 import { SummaryWatcher } from "./summaries/summary_watcher.ts";
@@ -64,14 +64,14 @@
   readonly #parts: GenerationRouterParts;
   readonly #views: EngineViews;
   readonly #runners: EngineRunners;
-  readonly #watcher: SummaryWatcher;
+  readonly #summaryWatcher: SummaryWatcher;
   readonly #unplaced: UnplacedRequests;
 
   /** @param parts What the router works with. */
   constructor(parts: GenerationRouterParts) {
     this.#parts = parts;
     this.#views = new EngineViews(parts.directory);
-    this.#watcher = new SummaryWatcher({
+    this.#summaryWatcher = new SummaryWatcher({
       ...parts,
       views: this.#views,
       isOwn: (engine) => this.#runners.find(engine) !== undefined,
@@ -80,20 +80,20 @@
       ...parts,
       views: this.#views,
       beforeStart: (engine) => {
-        this.#watcher.forget(engine);
+        this.#summaryWatcher.forget(engine);
       },
     });
     this.#unplaced = new UnplacedRequests(parts.clock, {
       place: (generation, sink) => this.#place(generation, sink),
-      expired: (generation, sink) => {
-        sink.onEnd(err(noEngine(this.#parts.self, generation.model)));
+      onExpired: (generation, sink) => {
+        sink.onEnd(err(noEngineFailure(this.#parts.self, generation.model)));
       },
-      cancelled: (sink) => {
-        sink.onEnd(err(leftUnplaced(parts.self)));
+      onCancelled: (sink) => {
+        sink.onEnd(err(callerLeftFailure(parts.self)));
       },
     });
     parts.assignment.onChange(() => {
-      this.#followAssignment();
+      this.#applyAssignment();
     });
   }
 
@@ -109,7 +109,7 @@
 
   /** Starts to learn of the engines that other nodes control. */
   start(): void {
-    this.#watcher.start();
+    this.#summaryWatcher.start();
   }
 
   /**
@@ -126,13 +126,16 @@
     const placed = this.#place(generation, sink);
     if (placed !== undefined) return placed;
     const { clock, directory } = this.#parts;
-    const isServed = directory.live("engine")
+    const hasEngine = directory.live("engine")
       .some((vm) => vm.role.model === generation.model);
-    if (!isServed) {
-      sink.onEnd(err(noEngine(this.#parts.self, generation.model)));
-      return FINISHED;
+    if (!hasEngine) {
+      sink.onEnd(err(noEngineFailure(this.#parts.self, generation.model)));
+      return FINISHED_HANDLE;
     }
-    const wait = Math.min(generation.firstTokenTarget, LONGEST_UNPLACED);
+    const wait = Math.min(
+      generation.firstTokenTarget,
+      MAXIMUM_UNPLACED_MILLISECONDS,
+    );
     return this.#unplaced.add(
       generation,
       sink,
@@ -155,9 +158,14 @@
     const runner = this.#runners.find(engine);
     if (runner === undefined) {
       sink.onEnd(
-        err(unroutable(this.#parts.self, `Engine ${engine} is not held here.`)),
+        err(
+          unroutableFailure(
+            this.#parts.self,
+            `Engine ${engine} is not held here.`,
+          ),
+        ),
       );
-      return FINISHED;
+      return FINISHED_HANDLE;
     }
     return runner.submit(generation, sink);
   }
@@ -200,7 +208,7 @@
   /** Stops deciding for all engines. */
   stop(): void {
     this.#unplaced.stop();
-    this.#watcher.stop();
+    this.#summaryWatcher.stop();
     this.#runners.stopAll();
   }
 
@@ -212,21 +220,23 @@
     const now = clock.now();
     const choice = aggregates.router.route(
       now,
-      describeGeneration(now, generation),
+      toQueuedRequest(now, generation),
       this.#views.running(generation.model),
     );
     switch (choice.kind) {
       case "engine":
-        return this.#bring(generation, sink, choice);
+        return this.#send(generation, sink, choice);
       case "refuse":
-        sink.onEnd(err(cannotMeetTarget(this.#parts.self, choice.retryAfter)));
-        return FINISHED;
+        sink.onEnd(
+          err(targetUnreachableFailure(this.#parts.self, choice.retryAfter)),
+        );
+        return FINISHED_HANDLE;
       case "no_engine":
         return undefined;
     }
   }
 
-  #bring(
+  #send(
     generation: GenerationRequest,
     sink: GenerationSink,
     choice: Extract<RouteChoice, { readonly kind: "engine" }>,
@@ -247,12 +257,14 @@
     const peer = this.#parts.directory.live("entry")
       .find((vm) => vm.id === node);
     if (peer === undefined) {
-      sink.onEnd(err(unroutable(this.#parts.self, `Node ${node} is gone.`)));
-      return FINISHED;
+      sink.onEnd(
+        err(unroutableFailure(this.#parts.self, `Node ${node} is gone.`)),
+      );
+      return FINISHED_HANDLE;
     }
     const { adapter, firstTokenTarget } = generation;
     const key = adapterKey(adapter);
-    this.#watcher.viewOf(engine)?.recordSent(key);
+    this.#summaryWatcher.viewOf(engine)?.recordSent(key);
     const arrival = { key, adapter, target: firstTokenTarget };
     aggregates.demand.recordArrival(now, arrival);
     return peers.generate(peer, { engine, generation, now }, sink);
@@ -260,27 +272,27 @@
 
   #controllerOf(engine: EngineId): NodeId | undefined {
     if (this.#runners.find(engine) !== undefined) return this.#parts.self;
-    const node = this.#watcher.nodeOf(engine);
+    const node = this.#summaryWatcher.nodeOf(engine);
     if (node !== undefined) return nodeId(node);
     return this.#parts.assignment.controllerOf(engine);
   }
 
-  #followAssignment(): void {
+  #applyAssignment(): void {
     const { assignment, directory, self } = this.#parts;
     for (const vm of directory.live("engine")) {
       const engine = engineId(vm.id);
-      const isOwn = assignment.controllerOf(engine) === self;
-      const isHeld = this.#runners.find(engine) !== undefined;
-      if (isOwn && !isHeld) void this.startControlling(vm);
-      if (!isOwn && isHeld) this.stopControlling(engine);
+      const isAssignedHere = assignment.controllerOf(engine) === self;
+      const isControlledHere = this.#runners.find(engine) !== undefined;
+      if (isAssignedHere && !isControlledHere) void this.startControlling(vm);
+      if (!isAssignedHere && isControlledHere) this.stopControlling(engine);
     }
   }
 }
 
 /** A change of an engine's controller should not take longer. */
-const LONGEST_UNPLACED = 2_000;
+const MAXIMUM_UNPLACED_MILLISECONDS = 2_000;
 
-const FINISHED: GenerationHandle = {
+const FINISHED_HANDLE: GenerationHandle = {
   pause() {},
   unpause() {},
   cancel() {},
--- a/packages/node/src/serving/held_requests.ts
+++ b/packages/node/src/serving/held_requests.ts
@@ -14,13 +14,13 @@
 import type { GenerationRequest } from "./generation_request.ts";
 
 /** A request that a runner gives back, to be brought elsewhere. */
-export interface ReturnedRequest {
+export interface RequestWithSink {
   readonly generation: GenerationRequest;
   readonly sink: GenerationSink;
 }
 
 /** A request at an engine's runner. */
-export interface HeldRequest {
+export interface PendingGeneration {
   readonly generation: GenerationRequest;
   readonly sink: GenerationSink;
   handle: GenerationHandle | undefined;
@@ -29,7 +29,7 @@
   /** The caller has left. */
   isCancelled: boolean;
   /** How often the engine did not have its adapter. */
-  resyncs: number;
+  adapterMisses: number;
   /** How it stands in the engine's batch; higher goes first. */
   priority: number;
 }
@@ -40,17 +40,17 @@
  * @param sink Receives the answer.
  * @returns The request, not dispatched.
  */
-export function heldRequest(
+export function pendingGeneration(
   generation: GenerationRequest,
   sink: GenerationSink,
-): HeldRequest {
+): PendingGeneration {
   return {
     generation,
     sink,
     handle: undefined,
     paused: false,
     isCancelled: false,
-    resyncs: 0,
+    adapterMisses: 0,
     priority: 0,
   };
 }
@@ -68,7 +68,7 @@
 export class DispatchedSink extends GenerationSink {
   readonly #sink: GenerationSink;
   readonly #listener: DispatchListener;
-  #tokens = 0;
+  #generatedTokens = 0;
 
   /**
    * @param sink Receives the frames.
@@ -81,25 +81,25 @@
   }
 
   override onFrame(frame: GenerationFrame): void {
-    if (this.#tokens === 0) this.#listener.firstToken();
-    this.#tokens += frame.tokens.length;
+    if (this.#generatedTokens === 0) this.#listener.firstToken();
+    this.#generatedTokens += frame.tokens.length;
     this.#sink.onFrame(frame);
   }
 
   override onEnd(result: Result<GenerationEnd, Failure>): void {
-    this.#listener.ended(result, this.#tokens);
+    this.#listener.ended(result, this.#generatedTokens);
   }
 }
 
 /** The requests of one runner, also by adapter while they wait. */
-export class HeldRequests {
-  readonly #held = new Map<RequestId, HeldRequest>();
-  readonly #waiting = new Map<AdapterKey, Set<RequestId>>();
+export class PendingGenerations {
+  readonly #pending = new Map<RequestId, PendingGeneration>();
+  readonly #waitingByAdapter = new Map<AdapterKey, Set<RequestId>>();
 
   /** The requests that were not dispatched. */
-  get undispatched(): readonly HeldRequest[] {
-    return [...this.#held.values()]
-      .filter((held) => held.handle === undefined);
+  get undispatched(): readonly PendingGeneration[] {
+    return [...this.#pending.values()]
+      .filter((pending) => pending.handle === undefined);
   }
 
   /**
@@ -107,33 +107,33 @@
    * @param request The request's id.
    * @returns The request, or nothing.
    */
-  find(request: RequestId): HeldRequest | undefined {
-    return this.#held.get(request);
+  find(request: RequestId): PendingGeneration | undefined {
+    return this.#pending.get(request);
   }
 
   /**
    * Adds a request.
-   * @param held The request.
+   * @param pending The request.
    */
-  add(held: HeldRequest): void {
-    const { request, adapter } = held.generation;
-    this.#held.set(request, held);
+  add(pending: PendingGeneration): void {
+    const { request, adapter } = pending.generation;
+    this.#pending.set(request, pending);
     const key = adapterKey(adapter);
-    const line = this.#waiting.get(key) ?? new Set();
-    line.add(request);
-    this.#waiting.set(key, line);
+    const waiting = this.#waitingByAdapter.get(key) ?? new Set();
+    waiting.add(request);
+    this.#waitingByAdapter.set(key, waiting);
   }
 
   /**
    * Takes note that a request waits no longer.
-   * @param held The request.
+   * @param pending The request.
    */
-  leaveLine(held: HeldRequest): void {
-    const { request, adapter } = held.generation;
+  stopWaiting(pending: PendingGeneration): void {
+    const { request, adapter } = pending.generation;
     const key = adapterKey(adapter);
-    const line = this.#waiting.get(key);
-    line?.delete(request);
-    if (line?.size === 0) this.#waiting.delete(key);
+    const waiting = this.#waitingByAdapter.get(key);
+    waiting?.delete(request);
+    if (waiting?.size === 0) this.#waitingByAdapter.delete(key);
   }
 
   /**
@@ -141,12 +141,12 @@
    * @param request The request's id.
    * @returns The request, or nothing.
    */
-  remove(request: RequestId): HeldRequest | undefined {
-    const held = this.#held.get(request);
-    if (held === undefined) return undefined;
-    this.leaveLine(held);
-    this.#held.delete(request);
-    return held;
+  remove(request: RequestId): PendingGeneration | undefined {
+    const pending = this.#pending.get(request);
+    if (pending === undefined) return undefined;
+    this.stopWaiting(pending);
+    this.#pending.delete(request);
+    return pending;
   }
 
   /**
@@ -155,6 +155,6 @@
    * @returns Their ids.
    */
   waitingFor(key: AdapterKey): readonly RequestId[] {
-    return [...this.#waiting.get(key) ?? []];
+    return [...this.#waitingByAdapter.get(key) ?? []];
   }
 }
--- a/packages/node/src/serving/permits/load_permits.ts
+++ b/packages/node/src/serving/permits/load_permits.ts
@@ -29,11 +29,11 @@
    * @param engine The engine.
    * @param wishes The most urgent ones.
    */
-  abstract offer(engine: EngineId, wishes: readonly LoadWish[]): void;
+  abstract setWishes(engine: EngineId, wishes: readonly LoadWish[]): void;
 
   /**
    * Gives a permit back after its load, or unused.
    * @param load The load, and whether the adapter was loaded.
    */
-  abstract ended(load: PermittedLoad & { readonly loaded: boolean }): void;
+  abstract release(load: PermittedLoad & { readonly loaded: boolean }): void;
 }
--- a/packages/node/src/serving/permits/node_load_permits.ts
+++ b/packages/node/src/serving/permits/node_load_permits.ts
@@ -12,7 +12,7 @@
 import type { PartLogger } from "../../logging/part_logger.ts";
 import type { PeerChannels } from "../../peers/peer_channels.ts";
 import type { VmDirectory } from "../../platform/vm_directory.ts";
-import type { MeasuredLoadOutlook } from "../adapter_aggregates.ts";
+import type { MeasuredLoadEstimates } from "../adapter_aggregates.ts";
 import {
   LoadPermits,
   type PermitListener,
@@ -22,11 +22,11 @@
 import { PermitLink } from "./permit_link.ts";
 import { StaticPermits } from "./static_permits.ts";
 
-const LIMITS_MILLISECONDS = 5_000;
+const LIMITS_REFRESH_MILLISECONDS = 5_000;
 const TICK_MILLISECONDS = 500;
 /** Without the holder for so long, the static share is used. */
-const UNREACHABLE_MILLISECONDS = 2_000;
-const HOLDER = "holder";
+const HOLDER_TIMEOUT_MILLISECONDS = 2_000;
+const HOLDER_KEY_PREFIX = "holder";
 
 /** What a node's side of the permits works with. */
 export interface NodeLoadPermitsParts {
@@ -37,7 +37,7 @@
   readonly channels: PeerChannels;
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
-  readonly outlook: MeasuredLoadOutlook;
+  readonly loadEstimates: MeasuredLoadEstimates;
 }
 
 /**
@@ -48,11 +48,11 @@
 export class NodeLoadPermits extends LoadPermits {
   readonly #parts: NodeLoadPermitsParts;
   readonly #listeners = new Map<EngineId, PermitListener>();
-  readonly #loads = new Map<string, PermittedLoad>();
-  readonly #static: StaticPermits;
+  readonly #permittedLoads = new Map<string, PermittedLoad>();
+  readonly #staticPermits: StaticPermits;
   #holder: PermitHolder | undefined;
   #link: PermitLink | undefined;
-  #reachedAt: number;
+  #holderReachedAt: number;
   #limitsReadAt = -Infinity;
   #timer: NodeJS.Timeout | undefined;
 
@@ -60,8 +60,8 @@
   constructor(parts: NodeLoadPermitsParts) {
     super();
     this.#parts = parts;
-    this.#static = new StaticPermits(parts.clock);
-    this.#reachedAt = parts.clock.now();
+    this.#staticPermits = new StaticPermits(parts.clock);
+    this.#holderReachedAt = parts.clock.now();
   }
 
   /** The permits, where this node holds them. */
@@ -71,7 +71,7 @@
 
   /** What the weight store allows, as last read. */
   get limits(): LoadLimits {
-    return this.#parts.outlook.limits;
+    return this.#parts.loadEstimates.limits;
   }
 
   /** Starts to read the limits and to follow the choice of the holder. */
@@ -97,47 +97,47 @@
   override register(engine: EngineId, listener: PermitListener): void {
     this.#listeners.set(engine, (adapter) => {
       const load = { engine, adapter };
-      this.#loads.set(loadName(load), load);
+      this.#permittedLoads.set(loadKey(load), load);
       listener(adapter);
     });
   }
 
   override unregister(engine: EngineId): void {
     this.#listeners.delete(engine);
-    this.#holder?.withdraw(engine);
-    this.#link?.offer(engine, []);
+    this.#holder?.removeEngine(engine);
+    this.#link?.setWishes(engine, []);
   }
 
-  override offer(engine: EngineId, wishes: readonly LoadWish[]): void {
+  override setWishes(engine: EngineId, wishes: readonly LoadWish[]): void {
     const listener = this.#listeners.get(engine);
     if (listener === undefined) return;
     if (this.#holder !== undefined) {
-      this.#reached();
-      this.#parts.outlook.outstanding = this.#holder.outstanding;
-      this.#holder.offer(engine, wishes, listener);
+      this.#markHolderReached();
+      this.#parts.loadEstimates.outstanding = this.#holder.outstanding;
+      this.#holder.setWishes(engine, wishes, listener);
       return;
     }
-    this.#link?.offer(engine, wishes);
-    if (this.#isReachable()) return;
-    this.#static.offer(engine, wishes, {
+    this.#link?.setWishes(engine, wishes);
+    if (this.#isHolderReachable()) return;
+    this.#staticPermits.setWishes(engine, wishes, {
       limits: this.limits,
       engines: this.#parts.directory.live("engine").length,
       listener,
     });
   }
 
-  override ended(load: PermittedLoad & { readonly loaded: boolean }): void {
-    this.#loads.delete(loadName(load));
-    this.#holder?.ended(load);
-    this.#link?.ended(load);
-    this.#static.ended(load);
+  override release(load: PermittedLoad & { readonly loaded: boolean }): void {
+    this.#permittedLoads.delete(loadKey(load));
+    this.#holder?.release(load);
+    this.#link?.release(load);
+    this.#staticPermits.release(load);
   }
 
   #tick(): void {
     this.#chooseHolder();
-    for (const load of this.#loads.values()) {
-      this.#holder?.renewed(load);
-      this.#link?.renewed(load);
+    for (const load of this.#permittedLoads.values()) {
+      this.#holder?.renew(load);
+      this.#link?.renew(load);
     }
     void this.#readLimits();
   }
@@ -145,7 +145,7 @@
   #chooseHolder(): void {
     const { self, store, directory, clock, logger } = this.#parts;
     const nodes = directory.live("entry");
-    const key = `${HOLDER}/${store}`;
+    const key = `${HOLDER_KEY_PREFIX}/${store}`;
     const chosen = rendezvousChoice(key, nodes.map((vm) => vm.id));
     if (chosen === self) {
       this.#link?.close();
@@ -168,47 +168,47 @@
     if (address === undefined) return;
     const channel = this.#parts.channels.channel(address);
     const link = new PermitLink(address, channel, {
-      permitted: (engine, adapter) => {
-        this.#permitted({ engine, adapter });
+      onPermit: (engine, adapter) => {
+        this.#deliverPermit({ engine, adapter });
       },
-      outstanding: (permits) => {
-        this.#reached();
-        this.#parts.outlook.outstanding = permits;
+      onOutstanding: (permits) => {
+        this.#markHolderReached();
+        this.#parts.loadEstimates.outstanding = permits;
       },
-      lost: () => {
+      onLost: () => {
         if (this.#link === link) this.#link = undefined;
       },
     });
     this.#link = link;
-    for (const load of this.#loads.values()) link.renewed(load);
+    for (const load of this.#permittedLoads.values()) link.renew(load);
   }
 
-  #permitted(load: PermittedLoad): void {
+  #deliverPermit(load: PermittedLoad): void {
     const listener = this.#listeners.get(load.engine);
-    if (listener === undefined) this.ended({ ...load, loaded: false });
+    if (listener === undefined) this.release({ ...load, loaded: false });
     else listener(load.adapter);
   }
 
-  #reached(): void {
-    this.#reachedAt = this.#parts.clock.now();
+  #markHolderReached(): void {
+    this.#holderReachedAt = this.#parts.clock.now();
   }
 
-  #isReachable(): boolean {
-    const silent = this.#parts.clock.now() - this.#reachedAt;
-    return silent < UNREACHABLE_MILLISECONDS;
+  #isHolderReachable(): boolean {
+    const silentMilliseconds = this.#parts.clock.now() - this.#holderReachedAt;
+    return silentMilliseconds < HOLDER_TIMEOUT_MILLISECONDS;
   }
 
   async #readLimits(): Promise<void> {
-    const { clock, client, outlook } = this.#parts;
-    if (clock.now() < this.#limitsReadAt + LIMITS_MILLISECONDS) return;
+    const { clock, client, loadEstimates } = this.#parts;
+    if (clock.now() < this.#limitsReadAt + LIMITS_REFRESH_MILLISECONDS) return;
     this.#limitsReadAt = clock.now();
     const limits = await client.readLimits();
     if (limits.isErr()) return;
-    outlook.limits = limits.value;
+    loadEstimates.limits = limits.value;
     this.#holder?.changeLimits(limits.value);
   }
 }
 
-function loadName(load: PermittedLoad): string {
+function loadKey(load: PermittedLoad): string {
   return `${load.engine}/${adapterKey(load.adapter)}`;
 }
--- a/packages/node/src/serving/permits/permit_holder.ts
+++ b/packages/node/src/serving/permits/permit_holder.ts
@@ -12,13 +12,13 @@
 import type { PermitListener, PermittedLoad } from "./load_permits.ts";
 
 /** A new holder waits so long: loads permitted before it may still run. */
-const QUIET = seconds(1);
-const LONGEST_SLEEP = 50;
+const STARTUP_DELAY = seconds(1);
+const MAXIMUM_SLEEP_MILLISECONDS = 50;
 
 /** Holds the permits of one weight store while this node is chosen for it. */
 export class PermitHolder {
   readonly #clock: SteadyClock;
-  readonly #ledger: LoadPermitIssuer;
+  readonly #issuer: LoadPermitIssuer;
   readonly #listeners = new Map<EngineId, PermitListener>();
   #timer: NodeJS.Timeout | undefined;
 
@@ -28,12 +28,15 @@
    */
   constructor(clock: SteadyClock, limits: LoadLimits) {
     this.#clock = clock;
-    this.#ledger = new LoadPermitIssuer(limits, later(clock.now(), QUIET));
+    this.#issuer = new LoadPermitIssuer(
+      limits,
+      later(clock.now(), STARTUP_DELAY),
+    );
   }
 
   /** How many permits are out. */
   get outstanding(): number {
-    return this.#ledger.outstanding;
+    return this.#issuer.outstanding;
   }
 
   /**
@@ -41,7 +44,7 @@
    * @param limits The limits.
    */
   changeLimits(limits: LoadLimits): void {
-    this.#ledger.changeLimits(this.#clock.now(), limits);
+    this.#issuer.changeLimits(this.#clock.now(), limits);
   }
 
   /**
@@ -50,41 +53,41 @@
    * @param wishes The most urgent ones.
    * @param listener Receives the engine's permits.
    */
-  offer(
+  setWishes(
     engine: EngineId,
     wishes: readonly LoadWish[],
     listener: PermitListener,
   ): void {
     this.#listeners.set(engine, listener);
-    this.#ledger.setWishes(this.#clock.now(), engine, wishes);
-    this.#grant();
+    this.#issuer.setWishes(this.#clock.now(), engine, wishes);
+    this.#grantPermits();
   }
 
   /**
    * Takes a permit back.
    * @param load The load, and whether the adapter was loaded.
    */
-  ended(load: PermittedLoad & { readonly loaded: boolean }): void {
+  release(load: PermittedLoad & { readonly loaded: boolean }): void {
     const key = adapterKey(load.adapter);
-    this.#ledger.release(this.#clock.now(), { ...load, key });
-    this.#grant();
+    this.#issuer.release(this.#clock.now(), { ...load, key });
+    this.#grantPermits();
   }
 
   /**
    * Takes note that a load goes on.
    * @param load The load.
    */
-  renewed(load: PermittedLoad): void {
+  renew(load: PermittedLoad): void {
     const key = adapterKey(load.adapter);
-    this.#ledger.renew(this.#clock.now(), { ...load, key });
+    this.#issuer.renew(this.#clock.now(), { ...load, key });
   }
 
   /**
    * Forgets an engine's wishes; its permits run out by themselves.
    * @param engine The engine.
    */
-  withdraw(engine: EngineId): void {
-    this.#ledger.setWishes(this.#clock.now(), engine, []);
+  removeEngine(engine: EngineId): void {
+    this.#issuer.setWishes(this.#clock.now(), engine, []);
     this.#listeners.delete(engine);
   }
 
@@ -95,27 +98,27 @@
     this.#listeners.clear();
   }
 
-  #grant(): void {
+  #grantPermits(): void {
     const now = this.#clock.now();
     for (;;) {
-      const permit = this.#ledger.grant(now);
+      const permit = this.#issuer.grant(now);
       if (permit === undefined) break;
       const listener = this.#listeners.get(permit.engine);
       if (listener === undefined) {
-        this.#ledger.release(now, { ...permit, loaded: false });
+        this.#issuer.release(now, { ...permit, loaded: false });
       } else {
         listener(permit.adapter);
       }
     }
-    this.#schedule(now);
+    this.#scheduleGrant(now);
   }
 
-  #schedule(now: Instant): void {
-    if (this.#timer !== undefined || !this.#ledger.hasWishes) return;
-    const wait = this.#ledger.nextGrantAt(now) - now;
+  #scheduleGrant(now: Instant): void {
+    if (this.#timer !== undefined || !this.#issuer.hasWishes) return;
+    const wait = this.#issuer.nextGrantAt(now) - now;
     this.#timer = setTimeout(() => {
       this.#timer = undefined;
-      this.#grant();
-    }, Math.min(LONGEST_SLEEP, Math.max(1, wait)));
+      this.#grantPermits();
+    }, Math.min(MAXIMUM_SLEEP_MILLISECONDS, Math.max(1, wait)));
   }
 }
--- a/packages/node/src/serving/permits/permit_link.ts
+++ b/packages/node/src/serving/permits/permit_link.ts
@@ -18,9 +18,9 @@
 
 /** What a link tells its node. */
 export interface PermitLinkListener {
-  readonly permitted: (engine: EngineId, adapter: PermittedAdapter) => void;
-  readonly outstanding: (permits: number) => void;
-  readonly lost: () => void;
+  readonly onPermit: (engine: EngineId, adapter: PermittedAdapter) => void;
+  readonly onOutstanding: (permits: number) => void;
+  readonly onLost: () => void;
 }
 
 type PermittedAdapter = Parameters<PermitListener>[0];
@@ -49,10 +49,10 @@
       this.#receive(answer, listener);
     });
     this.#stream.on("error", () => {
-      this.#lose(listener);
+      this.#handleLoss(listener);
     });
     this.#stream.on("end", () => {
-      this.#lose(listener);
+      this.#handleLoss(listener);
     });
   }
 
@@ -66,7 +66,7 @@
    * @param engine The engine.
    * @param wishes Its wishes.
    */
-  offer(engine: EngineId, wishes: readonly LoadWish[]): void {
+  setWishes(engine: EngineId, wishes: readonly LoadWish[]): void {
     this.#send({ $case: "wishes", value: toWishList(engine, wishes) });
   }
 
@@ -74,7 +74,7 @@
    * Gives a permit back.
    * @param load The load, and whether the adapter was loaded.
    */
-  ended(load: PermittedLoad & { readonly loaded: boolean }): void {
+  release(load: PermittedLoad & { readonly loaded: boolean }): void {
     const adapter = toLoadedAdapter(load.adapter);
     this.#send({ $case: "ended", value: { ...load, adapter } });
   }
@@ -83,7 +83,7 @@
    * Tells that a load goes on.
    * @param load The load.
    */
-  renewed(load: PermittedLoad): void {
+  renew(load: PermittedLoad): void {
     const adapter = toLoadedAdapter(load.adapter);
     this.#send({ $case: "renewed", value: { ...load, adapter } });
   }
@@ -102,26 +102,26 @@
     const { part } = answer;
     switch (part?.$case) {
       case "permit":
-        listener.permitted(
+        listener.onPermit(
           engineId(part.value.engine),
           fromLoadedAdapter(part.value.adapter),
         );
         break;
       case "outlook":
         this.#isConfirmed = true;
-        listener.outstanding(part.value.outstanding);
+        listener.onOutstanding(part.value.outstanding);
         break;
       case "refusal":
-        this.#lose(listener);
+        this.#handleLoss(listener);
         break;
       case undefined:
         break;
     }
   }
 
-  #lose(listener: PermitLinkListener): void {
+  #handleLoss(listener: PermitLinkListener): void {
     if (!this.#isOpen) return;
     this.#isOpen = false;
-    listener.lost();
+    listener.onLost();
   }
 }
--- a/packages/node/src/serving/permits/permit_service.ts
+++ b/packages/node/src/serving/permits/permit_service.ts
@@ -64,11 +64,11 @@
       this.#receive(message);
     });
     this.#stream.on("end", () => {
-      this.#withdraw();
+      this.#removeEngines();
       this.#stream.end();
     });
     this.#stream.on("error", () => {
-      this.#withdraw();
+      this.#removeEngines();
     });
   }
 
@@ -76,12 +76,12 @@
     const holder = this.#permits.holder;
     if (holder === undefined) {
       const reason = "The permits are not held here.";
-      this.#answer({ $case: "refusal", value: { reason } });
+      this.#send({ $case: "refusal", value: { reason } });
       this.#stream.end();
       return;
     }
-    this.#act(holder, message);
-    this.#answer({
+    this.#apply(holder, message);
+    this.#send({
       $case: "outlook",
       value: {
         ...this.#permits.limits,
@@ -91,14 +91,14 @@
     });
   }
 
-  #act(holder: PermitHolder, message: PermitMessage): void {
+  #apply(holder: PermitHolder, message: PermitMessage): void {
     const { part } = message;
     switch (part?.$case) {
       case "wishes": {
         const engine = engineId(part.value.engine);
         this.#engines.add(engine);
-        holder.offer(engine, fromWishList(part.value), (adapter) => {
-          this.#answer({
+        holder.setWishes(engine, fromWishList(part.value), (adapter) => {
+          this.#send({
             $case: "permit",
             value: { engine, adapter: toLoadedAdapter(adapter) },
           });
@@ -106,14 +106,14 @@
         break;
       }
       case "ended":
-        holder.ended({
+        holder.release({
           engine: engineId(part.value.engine),
           adapter: fromLoadedAdapter(part.value.adapter),
           loaded: part.value.loaded,
         });
         break;
       case "renewed":
-        holder.renewed({
+        holder.renew({
           engine: engineId(part.value.engine),
           adapter: fromLoadedAdapter(part.value.adapter),
         });
@@ -123,13 +123,13 @@
     }
   }
 
-  #answer(part: PermitAnswer["part"]): void {
+  #send(part: PermitAnswer["part"]): void {
     if (this.#stream.writable) this.#stream.write({ part });
   }
 
-  #withdraw(): void {
+  #removeEngines(): void {
     for (const engine of this.#engines) {
-      this.#permits.holder?.withdraw(engine);
+      this.#permits.holder?.removeEngine(engine);
     }
     this.#engines.clear();
   }
--- a/packages/node/src/serving/permits/static_permits.ts
+++ b/packages/node/src/serving/permits/static_permits.ts
@@ -12,7 +12,7 @@
 /** Grants each engine its cautious share while no holder can be reached. */
 export class StaticPermits {
   readonly #clock: SteadyClock;
-  readonly #ledgers = new Map<EngineId, LoadPermitIssuer>();
+  readonly #issuers = new Map<EngineId, LoadPermitIssuer>();
 
   /** @param clock This VM's clock. */
   constructor(clock: SteadyClock) {
@@ -23,31 +23,31 @@
    * Grants the most urgent wish, where the share allows.
    * @param engine The engine.
    * @param wishes Its wishes.
-   * @param how What the store allows all engines, how many they are, and who
+   * @param options What the store allows all engines, how many they are, and who
    * receives the permit.
    */
-  offer(engine: EngineId, wishes: readonly LoadWish[], how: {
+  setWishes(engine: EngineId, wishes: readonly LoadWish[], options: {
     readonly limits: LoadLimits;
     readonly engines: number;
     readonly listener: PermitListener;
   }): void {
     const now = this.#clock.now();
-    const share = staticShare(how.limits, how.engines);
-    const ledger = this.#ledgers.get(engine) ?? new LoadPermitIssuer(share);
-    this.#ledgers.set(engine, ledger);
-    ledger.changeLimits(now, share);
-    ledger.setWishes(now, engine, wishes);
-    const permit = ledger.grant(now);
-    if (permit !== undefined) how.listener(permit.adapter);
+    const share = staticShare(options.limits, options.engines);
+    const issuer = this.#issuers.get(engine) ?? new LoadPermitIssuer(share);
+    this.#issuers.set(engine, issuer);
+    issuer.changeLimits(now, share);
+    issuer.setWishes(now, engine, wishes);
+    const permit = issuer.grant(now);
+    if (permit !== undefined) options.listener(permit.adapter);
   }
 
   /**
    * Takes a permit back.
    * @param load The load, and whether the adapter was loaded.
    */
-  ended(load: PermittedLoad & { readonly loaded: boolean }): void {
+  release(load: PermittedLoad & { readonly loaded: boolean }): void {
     const key = adapterKey(load.adapter);
-    const ledger = this.#ledgers.get(load.engine);
-    ledger?.release(this.#clock.now(), { ...load, key });
+    const issuer = this.#issuers.get(load.engine);
+    issuer?.release(this.#clock.now(), { ...load, key });
   }
 }
--- a/packages/node/src/serving/routing_failures.ts
+++ b/packages/node/src/serving/routing_failures.ts
@@ -8,7 +8,7 @@
  * @param message What stood in the way.
  * @returns The failure.
  */
-export function unroutable(self: NodeId, message: string): Failure {
+export function unroutableFailure(self: NodeId, message: string): Failure {
   return {
     reason: "unavailable",
     step: "route",
@@ -25,8 +25,8 @@
  * @param model The model.
  * @returns The failure.
  */
-export function noEngine(self: NodeId, model: ModelId): Failure {
-  return unroutable(self, `No engine runs ${model}.`);
+export function noEngineFailure(self: NodeId, model: ModelId): Failure {
+  return unroutableFailure(self, `No engine runs ${model}.`);
 }
 
 /**
@@ -34,8 +34,11 @@
  * @param self This node.
  * @returns The failure.
  */
-export function leftUnplaced(self: NodeId): Failure {
-  return { ...unroutable(self, "The caller left."), reason: "cancelled" };
+export function callerLeftFailure(self: NodeId): Failure {
+  return {
+    ...unroutableFailure(self, "The caller left."),
+    reason: "cancelled",
+  };
 }
 
 /**
@@ -44,9 +47,12 @@
  * @param retryAfter When its caller may come back, in milliseconds.
  * @returns The failure.
  */
-export function cannotMeetTarget(self: NodeId, retryAfter: number): Failure {
+export function targetUnreachableFailure(
+  self: NodeId,
+  retryAfter: number,
+): Failure {
   return {
-    ...unroutable(self, "The class's target cannot be met now."),
+    ...unroutableFailure(self, "The class's target cannot be met now."),
     reason: "overloaded",
     step: "admit",
     retryAfterMilliseconds: Math.ceil(retryAfter),
--- a/packages/node/src/serving/serving_parts.ts
+++ b/packages/node/src/serving/serving_parts.ts
@@ -18,8 +18,8 @@
 import type { VmDirectory, VmOfRole } from "../platform/vm_directory.ts";
 import { AdapterAggregates } from "./adapter_aggregates.ts";
 import {
-  ComputedAssignment,
   type EngineAssignment,
+  RendezvousAssignment,
 } from "./engine_assignment.ts";
 import { GenerationRouter } from "./generation_router.ts";
 import type { OrderRight } from "./order_right.ts";
@@ -60,12 +60,12 @@
     this.permits = new NodeLoadPermits({
       ...options,
       client: options.storeClient,
-      outlook: aggregates.loads,
+      loadEstimates: aggregates.loads,
     });
     this.router = new GenerationRouter({
       ...options,
       assignment: options.assignment ??
-        new ComputedAssignment(options.directory),
+        new RendezvousAssignment(options.directory),
       permits: this.permits,
       aggregates,
       crashes: this.crashes,
--- a/packages/node/src/serving/summaries/summary_messages.ts
+++ b/packages/node/src/serving/summaries/summary_messages.ts
@@ -63,9 +63,9 @@
     running: message.running,
     awaitedAdapters: message.awaitedAdapters,
     canMakeRoom: message.canMakeRoom,
-    ready: loadsOf(message.classes, (entry) => entry.ready),
-    blocked: loadsOf(message.classes, (entry) => entry.blocked),
-    runningByTarget: loadsOf(message.classes, (entry) => entry.running),
+    ready: targetCountsOf(message.classes, (entry) => entry.ready),
+    blocked: targetCountsOf(message.classes, (entry) => entry.blocked),
+    runningByTarget: targetCountsOf(message.classes, (entry) => entry.running),
   };
 }
 
@@ -142,7 +142,7 @@
   return [...byTarget.values()];
 }
 
-function loadsOf(
+function targetCountsOf(
   classes: readonly ClassLoad[],
   countOf: (entry: ClassLoad) => number,
 ): readonly TargetCount[] {
--- a/packages/node/src/serving/summaries/summary_service.ts
+++ b/packages/node/src/serving/summaries/summary_service.ts
@@ -13,9 +13,9 @@
 import type { PeerRegistration } from "../../peers/peer_server.ts";
 import { toSummaryMessage } from "./summary_messages.ts";
 
-const INTERVAL_MILLISECONDS = 100;
+const SUMMARY_INTERVAL_MILLISECONDS = 100;
 /** An unchanged engine is summarised this seldom, as a sign of life. */
-const QUIET_INTERVALS = 20;
+const MAXIMUM_UNCHANGED_INTERVALS = 20;
 
 type SummaryStream = ServerWritableStream<WatchRequest, EngineSummary>;
 
@@ -54,7 +54,7 @@
     const session = new SummarySession(stream, this.#controlled);
     const timer = setInterval(() => {
       session.send();
-    }, INTERVAL_MILLISECONDS);
+    }, SUMMARY_INTERVAL_MILLISECONDS);
     const finish = (): void => {
       clearInterval(timer);
       this.#streams.delete(stream);
@@ -68,15 +68,15 @@
 
 interface SentSummary {
   readonly standings: ReadonlyMap<AdapterKey, AdapterWithStanding>;
-  readonly text: string;
-  readonly age: number;
+  readonly serialized: string;
+  readonly unchangedIntervals: number;
 }
 
 /** One watching node: it is sent only what changed. */
 class SummarySession {
   readonly #stream: SummaryStream;
   readonly #controlled: ControlledEngines;
-  readonly #sent = new Map<EngineId, SentSummary>();
+  readonly #sentSummaries = new Map<EngineId, SentSummary>();
 
   constructor(stream: SummaryStream, controlled: ControlledEngines) {
     this.#stream = stream;
@@ -84,7 +84,7 @@
   }
 
   send(): void {
-    const released = new Set(this.#sent.keys());
+    const released = new Set(this.#sentSummaries.keys());
     for (const controller of this.#controlled()) {
       released.delete(controller.engine);
       this.#sendEngine(controller);
@@ -94,25 +94,34 @@
 
   #sendEngine(controller: EngineController): void {
     const { engine, summary } = controller;
-    const before = this.#sent.get(engine);
+    const previous = this.#sentSummaries.get(engine);
     const standings = new Map(
       controller.standings().map((entry) => [entry.key, entry]),
     );
-    const changes = changedStandings(before?.standings, standings);
-    const text = JSON.stringify(summary);
-    const age = (before?.age ?? 0) + 1;
-    const isQuiet = before?.text === text && changes.length === 0;
-    if (isQuiet && age < QUIET_INTERVALS) {
-      this.#sent.set(engine, { standings, text, age });
+    const changes = changedStandings(previous?.standings, standings);
+    const serialized = JSON.stringify(summary);
+    const unchangedIntervals = (previous?.unchangedIntervals ?? 0) + 1;
+    const isUnchanged = previous?.serialized === serialized &&
+      changes.length === 0;
+    if (isUnchanged && unchangedIntervals < MAXIMUM_UNCHANGED_INTERVALS) {
+      this.#sentSummaries.set(engine, {
+        standings,
+        serialized,
+        unchangedIntervals,
+      });
       return;
     }
-    this.#sent.set(engine, { standings, text, age: 0 });
-    const isWhole = before === undefined;
+    this.#sentSummaries.set(engine, {
+      standings,
+      serialized,
+      unchangedIntervals: 0,
+    });
+    const isWhole = previous === undefined;
     this.#stream.write(toSummaryMessage(summary, changes, isWhole));
   }
 
   #release(engine: EngineId): void {
-    this.#sent.delete(engine);
+    this.#sentSummaries.delete(engine);
     this.#stream.write({
       engine,
       released: true,
--- a/packages/node/src/serving/summaries/summary_watcher.ts
+++ b/packages/node/src/serving/summaries/summary_watcher.ts
@@ -16,7 +16,7 @@
 import type { EngineViews } from "../engine_views.ts";
 import { changesOf, fromSummaryMessage } from "./summary_messages.ts";
 
-const RETRY_MILLISECONDS = 500;
+const RETRY_INTERVAL_MILLISECONDS = 500;
 
 /** What a watcher works with. */
 export interface SummaryWatcherParts {
@@ -29,7 +29,7 @@
   readonly isOwn: (engine: EngineId) => boolean;
 }
 
-interface Watch {
+interface NodeWatch {
   readonly stream: ClientReadableStream<EngineSummary>;
   readonly views: Map<EngineId, SummarisedEngineView>;
 }
@@ -37,7 +37,7 @@
 /** Keeps views of the engines that other nodes control. */
 export class SummaryWatcher {
   readonly #parts: SummaryWatcherParts;
-  readonly #watches = new Map<string, Watch>();
+  readonly #watches = new Map<string, NodeWatch>();
   readonly #nodeOf = new Map<EngineId, string>();
   #timer: NodeJS.Timeout | undefined;
 
@@ -48,16 +48,16 @@
 
   /** Starts to watch the live nodes. */
   start(): void {
-    this.#follow();
+    this.#watchLiveNodes();
     this.#timer = setInterval(() => {
-      this.#follow();
-    }, RETRY_MILLISECONDS);
+      this.#watchLiveNodes();
+    }, RETRY_INTERVAL_MILLISECONDS);
   }
 
   /** Stops watching. */
   stop(): void {
     clearInterval(this.#timer);
-    for (const id of [...this.#watches.keys()]) this.#end(id);
+    for (const id of [...this.#watches.keys()]) this.#endWatch(id);
   }
 
   /**
@@ -85,22 +85,24 @@
    * @param engine The engine.
    */
   forget(engine: EngineId): void {
-    for (const [node, watch] of this.#watches) this.#drop(node, watch, engine);
+    for (const [node, watch] of this.#watches) {
+      this.#removeView(node, watch, engine);
+    }
   }
 
-  #follow(): void {
+  #watchLiveNodes(): void {
     const live = this.#parts.directory.live("entry")
       .filter((vm) => vm.id !== this.#parts.self);
     const ids = new Set<string>(live.map((vm) => vm.id));
     for (const id of [...this.#watches.keys()]) {
-      if (!ids.has(id)) this.#end(id);
+      if (!ids.has(id)) this.#endWatch(id);
     }
     for (const vm of live) {
-      if (!this.#watches.has(vm.id)) this.#watch(vm);
+      if (!this.#watches.has(vm.id)) this.#startWatch(vm);
     }
   }
 
-  #watch(vm: Vm): void {
+  #startWatch(vm: Vm): void {
     const address = vm.peerAddress ?? vm.address;
     const client = new EngineSummariesClient(
       address,
@@ -108,23 +110,23 @@
       { channelOverride: this.#parts.channels.channel(address) },
     );
     const stream = client.watch({ node: this.#parts.self });
-    const watch: Watch = { stream, views: new Map() };
+    const watch: NodeWatch = { stream, views: new Map() };
     this.#watches.set(vm.id, watch);
     stream.on("data", (message: EngineSummary) => {
       this.#receive(vm.id, watch, message);
     });
     const onLost = (): void => {
-      if (this.#watches.get(vm.id) === watch) this.#end(vm.id);
+      if (this.#watches.get(vm.id) === watch) this.#endWatch(vm.id);
     };
     stream.on("error", onLost);
     stream.on("end", onLost);
   }
 
-  #receive(node: string, watch: Watch, message: EngineSummary): void {
+  #receive(node: string, watch: NodeWatch, message: EngineSummary): void {
     if (this.#watches.get(node) !== watch) return;
     const engine = engineId(message.engine);
     if (message.released) {
-      this.#drop(node, watch, engine);
+      this.#removeView(node, watch, engine);
       return;
     }
     if (this.#parts.isOwn(engine)) return;
@@ -139,23 +141,23 @@
     this.#parts.views.put(view);
   }
 
-  #end(node: string): void {
+  #endWatch(node: string): void {
     const watch = this.#watches.get(node);
     if (watch === undefined) return;
     this.#watches.delete(node);
     watch.stream.on("error", ignore);
     watch.stream.cancel();
     for (const engine of [...watch.views.keys()]) {
-      this.#drop(node, watch, engine);
+      this.#removeView(node, watch, engine);
     }
   }
 
-  #drop(node: string, watch: Watch, engine: EngineId): void {
+  #removeView(node: string, watch: NodeWatch, engine: EngineId): void {
     const view = watch.views.get(engine);
     if (view === undefined) return;
     watch.views.delete(engine);
     view.clear();
-    this.#parts.views.drop(view);
+    this.#parts.views.remove(view);
     if (this.#nodeOf.get(engine) === node) this.#nodeOf.delete(engine);
   }
 }
--- a/packages/node/src/serving/unplaced_requests.ts
+++ b/packages/node/src/serving/unplaced_requests.ts
@@ -3,13 +3,13 @@
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { GenerationRequest } from "./generation_request.ts";
 
-const TRY_MILLISECONDS = 50;
+const RETRY_INTERVAL_MILLISECONDS = 50;
 
 /** A request that no engine can take yet, as while a controller changes. */
 interface UnplacedRequest {
   readonly generation: GenerationRequest;
   readonly sink: GenerationSink;
-  readonly until: Instant;
+  readonly deadline: Instant;
   handle: GenerationHandle | undefined;
   isCancelled: boolean;
 }
@@ -21,54 +21,54 @@
 ) => GenerationHandle | undefined;
 
 /** What becomes of requests that cannot be placed. */
-export interface UnplacedListener {
+export interface UnplacedRequestCallbacks {
   readonly place: PlaceRequest;
-  readonly expired: (
+  readonly onExpired: (
     generation: GenerationRequest,
     sink: GenerationSink,
   ) => void;
-  readonly cancelled: (sink: GenerationSink) => void;
+  readonly onCancelled: (sink: GenerationSink) => void;
 }
 
 /** Keeps requests for a short time until an engine can take them. */
 export class UnplacedRequests {
   readonly #clock: SteadyClock;
-  readonly #listener: UnplacedListener;
+  readonly #callbacks: UnplacedRequestCallbacks;
   #waiting: UnplacedRequest[] = [];
   #timer: NodeJS.Timeout | undefined;
 
   /**
    * @param clock This VM's clock.
-   * @param listener Places requests, and ends those that it cannot place.
+   * @param callbacks Places requests, and ends those that it cannot place.
    */
-  constructor(clock: SteadyClock, listener: UnplacedListener) {
+  constructor(clock: SteadyClock, callbacks: UnplacedRequestCallbacks) {
     this.#clock = clock;
-    this.#listener = listener;
+    this.#callbacks = callbacks;
   }
 
   /**
    * Keeps a request.
    * @param generation The request.
    * @param sink Receives the answer.
-   * @param until When it is given up.
+   * @param deadline When it is given up.
    * @returns The handle of the generation.
    */
   add(
     generation: GenerationRequest,
     sink: GenerationSink,
-    until: Instant,
+    deadline: Instant,
   ): GenerationHandle {
     const request: UnplacedRequest = {
       generation,
       sink,
-      until,
+      deadline,
       handle: undefined,
       isCancelled: false,
     };
     this.#waiting.push(request);
     this.#timer ??= setInterval(() => {
       this.#retry();
-    }, TRY_MILLISECONDS);
+    }, RETRY_INTERVAL_MILLISECONDS);
     return this.#handleOf(request);
   }
 
@@ -79,26 +79,28 @@
     const waiting = this.#waiting;
     this.#waiting = [];
     for (const { generation, sink } of waiting) {
-      this.#listener.expired(generation, sink);
+      this.#callbacks.onExpired(generation, sink);
     }
   }
 
   #retry(): void {
     const now = this.#clock.now();
     const waiting = this.#waiting;
-    this.#waiting = waiting.filter((request) => !this.#settle(now, request));
+    this.#waiting = waiting.filter((request) =>
+      !this.#tryToFinish(now, request)
+    );
     if (this.#waiting.length > 0) return;
     clearInterval(this.#timer);
     this.#timer = undefined;
   }
 
-  #settle(now: Instant, request: UnplacedRequest): boolean {
-    const { generation, sink, until, isCancelled } = request;
+  #tryToFinish(now: Instant, request: UnplacedRequest): boolean {
+    const { generation, sink, deadline, isCancelled } = request;
     if (isCancelled) return true;
-    request.handle = this.#listener.place(generation, sink);
+    request.handle = this.#callbacks.place(generation, sink);
     if (request.handle !== undefined) return true;
-    if (now < until) return false;
-    this.#listener.expired(generation, sink);
+    if (now < deadline) return false;
+    this.#callbacks.onExpired(generation, sink);
     return true;
   }
 
@@ -111,7 +113,7 @@
           request.handle.cancel();
         } else if (!request.isCancelled) {
           request.isCancelled = true;
-          this.#listener.cancelled(request.sink);
+          this.#callbacks.onCancelled(request.sink);
         }
       },
     };
