--- a/packages/node/src/serving/engine_generations.ts
+++ b/packages/node/src/serving/engine_generations.ts
@@ -12,8 +12,8 @@
 import { err, type Result } from "neverthrow";
 import { contentOf } from "../crashes/mod.ts";
 import type { EngineGenerationsParts } from "./engine_generations_parts.ts";
-import { EngineLivenessCheck } from "./engine_look.ts";
-import { isRefusal } from "./engine_watch.ts";
+import { EngineLivenessCheck } from "./engine_liveness_check.ts";
+import { isRefusal } from "./engine_poller.ts";
 import { toQueuedRequest } from "./generation_estimates.ts";
 import {
   callerLeftFailure,
@@ -28,7 +28,7 @@
   pendingGeneration,
   PendingGenerations,
   type RequestWithSink,
-} from "./held_requests.ts";
+} from "./pending_generations.ts";
 
 const MAXIMUM_ADAPTER_MISSES = 3;
 
--- a/packages/node/src/serving/engine_generations_parts.ts
+++ b/packages/node/src/serving/engine_generations_parts.ts
@@ -6,8 +6,8 @@
 import type { EngineClient } from "@foxtailwind/edges";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { EngineSuspects } from "../crashes/mod.ts";
-import type { EngineStateTracker } from "./engine_state_follower.ts";
-import type { EnginePoller } from "./engine_watch.ts";
+import type { EngineStateTracker } from "./engine_state_tracker.ts";
+import type { EnginePoller } from "./engine_poller.ts";
 
 /** What the generations of an engine work with. */
 export interface EngineGenerationsParts {
--- a/packages/node/src/serving/engine_look.ts
+++ b/packages/node/src/serving/engine_liveness_check.ts
@@ -1,7 +1,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { EngineSuspects } from "../crashes/mod.ts";
-import type { EnginePoller } from "./engine_watch.ts";
+import type { EnginePoller } from "./engine_poller.ts";
 
 /** Between two questions to an engine that may have ended, in milliseconds. */
 const PROBE_INTERVAL_MILLISECONDS = 50;
--- a/packages/node/src/serving/engine_runner.ts
+++ b/packages/node/src/serving/engine_runner.ts
@@ -23,14 +23,17 @@
 import type { AdapterAggregates } from "./adapter_aggregates.ts";
 import { EngineGenerations } from "./engine_generations.ts";
 import { EngineLoads } from "./engine_loads.ts";
-import { EngineStateTracker } from "./engine_state_follower.ts";
-import { EnginePoller } from "./engine_watch.ts";
+import { EngineStateTracker } from "./engine_state_tracker.ts";
+import { EnginePoller } from "./engine_poller.ts";
 import type { EngineViews } from "./engine_views.ts";
 import type { GenerationRequest } from "./generation_request.ts";
-import { pendingGeneration, type RequestWithSink } from "./held_requests.ts";
+import {
+  pendingGeneration,
+  type RequestWithSink,
+} from "./pending_generations.ts";
 import type { OrderRight } from "./order_right.ts";
 import type { LoadPermits } from "./permits/load_permits.ts";
-import { WishPublisher } from "./permits/wish_offer.ts";
+import { WishPublisher } from "./permits/wish_publisher.ts";
 
 const DECISION_INTERVAL_MILLISECONDS = 50;
 
--- a/packages/node/src/serving/engine_runners.ts
+++ b/packages/node/src/serving/engine_runners.ts
@@ -6,7 +6,7 @@
 import type { EngineClient } from "@foxtailwind/edges";
 import type { VmOfRole } from "../platform/vm_directory.ts";
 import { EngineRunner, type EngineRunnerParts } from "./engine_runner.ts";
-import type { RequestWithSink } from "./held_requests.ts";
+import type { RequestWithSink } from "./pending_generations.ts";
 
 /** What runners are started with. */
 export interface EngineRunnersParts
--- a/packages/node/src/serving/engine_state_follower.ts
+++ b/packages/node/src/serving/engine_state_tracker.ts
@@ -14,7 +14,7 @@
   EngineState,
 } from "@foxtailwind/edges";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import { EnginePollListener } from "./engine_watch.ts";
+import { EnginePollListener } from "./engine_poller.ts";
 
 /** A request that the controller before sent may be so long on its way. */
 const MAXIMUM_TRANSIT_MILLISECONDS = 1_000;
