--- a/packages/node/src/routing/address_directory.ts
+++ b/packages/node/src/routing/address_directory.ts
@@ -12,34 +12,34 @@
 import { randomInt } from "node:crypto";
 import type { VmDirectory } from "../platform/vm_directory.ts";
 
-/** What this node knows of its peers beyond the platform's lagging list. */
+/** What this node knows of nodes beyond the platform's lagging VM list. */
 export abstract class PeerViews {
   /**
-   * Tells whether a node takes no new work, by its own word.
-   * @param node The node; this one too.
-   * @returns Whether it is leaving or gone.
+   * Checks whether a node has announced that it accepts no new work.
+   * @param node The node, which may be this one.
+   * @returns Whether it is leaving or has left.
    */
   abstract isLeaving(node: NodeId): boolean;
 
   /**
-   * Tells a node's load.
-   * @param node The node; this one too.
-   * @returns Its requests in progress, or nothing where that is not known.
+   * Reads the load of a node.
+   * @param node The node, which may be this one.
+   * @returns Number of its requests in progress, or undefined if not known.
    */
   abstract loadOf(node: NodeId): number | undefined;
 }
 
-/** Finds the node that controls the engine which will likely run an adapter. */
+/** Finds the node that controls the engine likely to serve an adapter. */
 export abstract class AdapterControllers {
   /**
    * Finds the node.
    * @param adapter The adapter, with or without a version.
-   * @returns The node, or nothing where the adapter has no engine.
+   * @returns The node, or undefined if there is no engine for the adapter.
    */
   abstract controllerOf(adapter: string): NodeId | undefined;
 }
 
-/** What the directory works with. */
+/** The dependencies of an {@link AddressDirectory}. */
 export interface AddressDirectoryParts {
   readonly directory: VmDirectory;
   readonly peers: PeerViews;
@@ -47,14 +47,14 @@
   readonly longestLifetime: Duration;
 }
 
-/** What a caller asks for. */
+/** What a caller states about itself and its work. */
 export interface AddressRequest {
   readonly region?: string;
   readonly failureDomain?: string;
   readonly adapter?: string;
 }
 
-/** The answer to a caller, with the VMs to use in their order. */
+/** The answer to a caller: the VMs to use, best first, and its lifetime. */
 export interface AddressedAnswer {
   readonly vms: readonly Vm[];
   readonly lifetime: Duration;
@@ -62,20 +62,20 @@
 
 const SEED_LIMIT = 2 ** 31;
 
-/** Chooses the addresses that callers are told. */
+/** Chooses the addresses that callers should use. */
 export class AddressDirectory {
   readonly #parts: AddressDirectoryParts;
   readonly #random = randomSource(randomInt(SEED_LIMIT));
 
-  /** @param parts What the directory works with. */
+  /** @param parts The dependencies. */
   constructor(parts: AddressDirectoryParts) {
     this.#parts = parts;
   }
 
   /**
    * Answers a caller.
-   * @param request What the caller says of itself.
-   * @returns The VMs to use, best first, and for how long.
+   * @param request What the caller states about itself.
+   * @returns The VMs to use, best first, and how long the list is valid.
    */
   answer(request: AddressRequest): AddressedAnswer {
     const entries = this.#parts.directory.vms
--- a/packages/node/src/routing/local_peer_views.ts
+++ b/packages/node/src/routing/local_peer_views.ts
@@ -1,18 +1,18 @@
 import type { NodeId } from "@foxtailwind/core";
 import { PeerViews } from "./address_directory.ts";
 
-/** What a node knows of itself, for its own answers. */
+/** The state of this node. */
 export interface OwnState {
   readonly self: NodeId;
   readonly isLeaving: () => boolean;
   readonly load: () => number;
 }
 
-/** Knows this node alone; of its peers only what the VM list tells. */
+/** Knows only this node; of other nodes, only the VM list is used. */
 export class OwnView extends PeerViews {
   readonly #own: OwnState;
 
-  /** @param own What the node knows of itself. */
+  /** @param own The state of this node. */
   constructor(own: OwnState) {
     super();
     this.#own = own;
--- a/packages/node/src/routing/routed_controllers.ts
+++ b/packages/node/src/routing/routed_controllers.ts
@@ -8,23 +8,28 @@
 } from "@foxtailwind/core";
 import { AdapterControllers } from "./address_directory.ts";
 
-/** Tells where requests for an adapter would go. */
+/** Determines where requests for an adapter are likely to be sent. */
 export interface LikelyControllers {
-  /** Finds the node that controls the home of an adapter. */
+  /**
+   * Finds the node that controls the home engine of an adapter.
+   * @param model The adapter's model.
+   * @param adapter The adapter and version.
+   * @returns The node, or undefined if no engine runs the model.
+   */
   likelyController(
     model: ModelId,
     adapter: AdapterReference,
   ): NodeId | undefined;
 }
 
-/** Finds controllers as the router of generations does. */
+/** Finds controllers by means of the generation router. */
 export class RoutedControllers extends AdapterControllers {
   readonly #router: LikelyControllers;
   readonly #configuration: Configuration;
 
   /**
-   * @param router Knows the engines and who controls them.
-   * @param configuration The adapters.
+   * @param router Finds the likely controllers.
+   * @param configuration The configuration of the adapters.
    */
   constructor(router: LikelyControllers, configuration: Configuration) {
     super();
--- a/packages/node/src/routing/service_channel.ts
+++ b/packages/node/src/routing/service_channel.ts
@@ -16,16 +16,16 @@
 import type { ServiceRequest } from "../delivery/mod.ts";
 import type { PartLogger } from "../logging/part_logger.ts";
 
-/** What a caller's call to a service comes to. */
+/** The result of a call to a service. */
 export type ServiceResult = Result<ServiceAnswer, Failure>;
 
-/** A server, and where to reach it. */
+/** A server and its address. */
 export interface AddressedServer extends ServiceServerView {
   /** IP literal and port. */
   readonly address: string;
 }
 
-/** What a channel works with. */
+/** The dependencies of a {@link ServiceChannel}. */
 export interface ServiceChannelParts {
   readonly router: ServiceRouterOptions;
   readonly client: ServiceClient;
@@ -40,7 +40,7 @@
   readonly abortControllers: Map<number, AbortController>;
 }
 
-/** Carries out the routing decisions for one service. */
+/** Executes the routing decisions for one service. */
 export class ServiceChannel {
   readonly #parts: ServiceChannelParts;
   readonly #router: ServiceRouter;
@@ -48,19 +48,19 @@
   #addresses: ReadonlyMap<BackendServerId, string> = new Map();
   #timer: NodeJS.Timeout | undefined;
 
-  /** @param parts What the channel works with. */
+  /** @param parts The dependencies. */
   constructor(parts: ServiceChannelParts) {
     this.#parts = parts;
     this.#router = new ServiceRouter(parts.router);
   }
 
-  /** Whether nothing is in progress. */
+  /** Whether no call is in progress. */
   get isIdle(): boolean {
     return this.#pendingCalls.size === 0;
   }
 
   /**
-   * Takes the list's latest word on the servers.
+   * Applies a new server list.
    * @param servers The servers.
    */
   updateServers(servers: readonly AddressedServer[]): void {
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Takes the service's target.
-   * @param target The target in force.
+   * Sets the service's target.
+   * @param target The current target, if any.
    */
   setTarget(target: LatencyTarget | undefined): void {
     this.#router.setTarget(target);
@@ -81,9 +81,9 @@
 
   /**
    * Makes a call.
-   * @param call Its id, and whether it may be repeated.
-   * @param request What to send.
-   * @returns The answer, or a failure that tells truthfully if it ran.
+   * @param call The call's id, and whether it is repeatable.
+   * @param request The request to send.
+   * @returns The answer, or a failure that states whether the call ran.
    */
   call(
     call: { readonly id: RequestId; readonly repeatable: boolean },
@@ -105,7 +105,7 @@
   }
 
   /**
-   * Gives a call up whose caller has left.
+   * Cancels a call whose caller has disconnected.
    * @param id The call.
    */
   cancel(id: RequestId): void {
@@ -181,7 +181,7 @@
 
   #handleAttemptEnd(attempt: AttemptReference, result: AttemptResult): void {
     if (result.kind === "failed" && result.failure.reason !== "cancelled") {
-      this.#parts.logger.warn("An attempt failed.", {
+      this.#parts.logger.warn("An attempt of a service call failed.", {
         request: attempt.call,
         peer: result.failure.peer,
         step: result.failure.step,
@@ -211,7 +211,7 @@
     reason: "cancelled",
     step: "call_service",
     peer: service,
-    message: "The caller left before its answer.",
+    message: "The caller disconnected before the answer.",
     outcome: "unknown",
   };
 }
@@ -221,7 +221,7 @@
     reason: "unavailable",
     step: "call_service",
     peer: service,
-    message: "The answer is not kept any more.",
+    message: "The answer is no longer available.",
     outcome: "unknown",
   };
 }
--- a/packages/node/src/routing/service_dispatcher.ts
+++ b/packages/node/src/routing/service_dispatcher.ts
@@ -23,7 +23,7 @@
   type ServiceResult,
 } from "./service_channel.ts";
 
-/** What the dispatcher works with. */
+/** The dependencies of a {@link ServiceDispatcher}. */
 export interface ServiceDispatcherParts {
   readonly failureDomain: FailureDomainId;
   readonly client: ServiceClient;
@@ -33,22 +33,22 @@
   readonly logger: PartLogger;
 }
 
-/** What else is known of a call. */
+/** Options of a service call. */
 export interface ServiceCallOptions {
   readonly id: RequestId;
   readonly repeatable: boolean;
-  /** Gives the call up, as when its caller has left. */
+  /** Cancels the call, for example if its caller has disconnected. */
   readonly signal?: AbortSignal;
 }
 
 const SEED_LIMIT = 2 ** 31;
 
-/** Brings calls to the plain services, over one channel for each service. */
+/** Dispatches calls to plain services, over one channel per service. */
 export class ServiceDispatcher extends ServiceCallRunner {
   readonly #parts: ServiceDispatcherParts;
   readonly #channels = new Map<ServiceId, ServiceChannel>();
 
-  /** @param parts What the dispatcher works with. */
+  /** @param parts The dependencies. */
   constructor(parts: ServiceDispatcherParts) {
     super();
     this.#parts = parts;
@@ -67,8 +67,8 @@
   /**
    * Makes a call.
    * @param request The call.
-   * @param options Whether it may be repeated, and what gives it up.
-   * @returns The answer, or a failure that tells truthfully if it ran.
+   * @param options Whether it is repeatable, and how to cancel it.
+   * @returns The answer, or a failure that states whether the call ran.
    */
   async call(
     request: ServiceRequest,
--- a/packages/node/src/serving/adapter_aggregates.ts
+++ b/packages/node/src/serving/adapter_aggregates.ts
@@ -16,16 +16,16 @@
 const INITIAL_LOAD_TIME = milliseconds(500);
 const LOAD_TIME_SAMPLE_WEIGHT = 0.1;
 
-/** Before the weight store has said what it allows. */
+/** Used until the limits of the weight store have been read. */
 export const INITIAL_LIMITS: LoadLimits = {
   loadsPerSecond: 1,
   concurrentLoads: 1,
 };
 
-/** What this node expects of loads, by its own and the permit holder's word. */
+/** Load estimates from this node's loads and the permit holder's reports. */
 export class MeasuredLoadEstimates implements LoadEstimates {
   limits: LoadLimits = INITIAL_LIMITS;
-  /** How many permits are out in the whole deployment. */
+  /** Number of permits in use in the whole deployment. */
   outstanding = 0;
   readonly #loadTime = new SmoothedDuration(
     INITIAL_LOAD_TIME,
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Takes note of how long a load took.
-   * @param duration From the order to its end.
+   * Records the duration of a load.
+   * @param duration The time from the order to its end.
    */
   observe(duration: Duration): void {
     this.#loadTime.observe(duration);
@@ -54,7 +54,7 @@
   }
 }
 
-/** What a node knows of adapters: shared by its router and its runners. */
+/** A node's data on adapters, shared by its router and its runners. */
 export class AdapterAggregates {
   readonly demand = new DemandTracker();
   readonly index = new ResidenceIndex();
--- a/packages/node/src/serving/engine_assignment.ts
+++ b/packages/node/src/serving/engine_assignment.ts
@@ -6,18 +6,18 @@
 } from "@foxtailwind/core";
 import type { VmDirectory } from "../platform/vm_directory.ts";
 
-/** Tells which node controls an engine. */
+/** Determines which node controls each engine. */
 export abstract class EngineAssignment {
   /**
    * Finds the node that controls an engine.
    * @param engine The engine.
-   * @returns The node, or nothing where none is known.
+   * @returns The node, or undefined if none is known.
    */
   abstract controllerOf(engine: EngineId): NodeId | undefined;
 
   /**
-   * Calls back after each change of an assignment.
-   * @param listener Called without arguments.
+   * Adds a listener for changes of the assignment.
+   * @param listener Called after each change.
    */
   abstract onChange(listener: () => void): void;
 }
@@ -26,7 +26,7 @@
 export class RendezvousAssignment extends EngineAssignment {
   readonly #directory: VmDirectory;
 
-  /** @param directory Lists the live nodes. */
+  /** @param directory The directory of live nodes. */
   constructor(directory: VmDirectory) {
     super();
     this.#directory = directory;
--- a/packages/node/src/serving/engine_generations.ts
+++ b/packages/node/src/serving/engine_generations.ts
@@ -38,21 +38,21 @@
   readonly #pending = new PendingGenerations();
   readonly #livenessCheck: EngineLivenessCheck;
 
-  /** @param parts What the generations work with. */
+  /** @param parts The dependencies. */
   constructor(parts: EngineGenerationsParts) {
     this.#parts = parts;
     this.#livenessCheck = new EngineLivenessCheck(parts);
   }
 
-  /** The requests that were not dispatched. */
+  /** The requests that are not dispatched. */
   get undispatched(): readonly PendingGeneration[] {
     return this.#pending.undispatched;
   }
 
   /**
-   * Tells whether a request is here.
+   * Checks whether a request waits or runs at this engine.
    * @param request The request's id.
-   * @returns Whether it waits or runs.
+   * @returns Whether it does.
    */
   has(request: RequestId): boolean {
     return this.#pending.find(request) !== undefined;
@@ -68,9 +68,9 @@
   }
 
   /**
-   * Lets a request go on that the engine or this queue has already.
+   * Resumes a request that is already queued here or known to the engine.
    * @param resumed The request, and what receives its answer.
-   * @returns The handle of the generation, or nothing where it is new.
+   * @returns The handle of the generation, or undefined for a new request.
    */
   resume(resumed: RequestWithSink): GenerationHandle | undefined {
     const { generation, sink } = resumed;
@@ -83,7 +83,7 @@
   }
 
   /**
-   * Puts a request into the engine's queue, also one that was there before.
+   * Adds a request to the engine's queue, for the first time or again.
    * @param pending The request.
    * @returns The handle of the generation.
    */
@@ -105,7 +105,7 @@
   }
 
   /**
-   * Takes out the requests that wait, to be brought to another controller.
+   * Removes the waiting requests, to be sent to another controller.
    * @returns The requests.
    */
   withdrawWaiting(): readonly RequestWithSink[] {
@@ -118,9 +118,9 @@
   }
 
   /**
-   * Ends a request that cannot be answered within its target.
+   * Refuses a request that cannot be answered within its target.
    * @param request The request.
-   * @param retryAfter When its caller may come back.
+   * @param retryAfter When the caller may retry.
    */
   refuse(request: RequestId, retryAfter: Duration): void {
     this.#end(
@@ -131,7 +131,7 @@
 
   /**
    * Starts a request on the engine.
-   * @param decision What the controller decided on it.
+   * @param decision The controller's decision.
    */
   dispatch(
     decision: Extract<EngineDecision, { readonly kind: "dispatch" }>,
@@ -139,7 +139,7 @@
     const { request, queueWait, loadStall, priority } = decision;
     const pending = this.#pending.find(request);
     if (pending === undefined) return;
-    // It gave way before, and the engine still has it.
+    // The request was preempted before, and the engine still has it.
     if (pending.handle !== undefined) return;
     const { engine, observer } = this.#parts;
     observer.record(this.#now(), {
@@ -189,8 +189,9 @@
   }
 
   /**
-   * A later attempt takes the place, the pin and the stream of an earlier one
-   * whose path has broken, so that the request runs once all the same.
+   * Replaces an earlier attempt whose path is broken by a later one, which
+   * takes over its batch place, pinned adapter and stream. Thus the request
+   * still runs only once.
    */
   #supersede(
     earlier: PendingGeneration,
@@ -206,7 +207,10 @@
     return this.#handleOf(pending);
   }
 
-  /** A request whose stream broke still has its place and its pin. */
+  /**
+   * Resumes a request whose stream broke. It still has its batch place, and its
+   * adapter is still pinned.
+   */
   #resumeOrphan(pending: PendingGeneration): GenerationHandle {
     this.#pending.add(pending);
     this.#pending.stopWaiting(pending);
@@ -224,7 +228,7 @@
       void this.#refreshStateAndRetry(pending);
       return;
     }
-    // Before the end, so that another attempt finds another engine.
+    // Precedes the end, so that the next attempt is sent to another engine.
     if (result.isErr() && isRefusal(result.error)) {
       this.#parts.stateTracker.onRefused();
     }
@@ -233,7 +237,10 @@
     this.#parts.onChange();
   }
 
-  /** The engine refused to run it, so that it may be dispatched again. */
+  /**
+   * Queues a request again that the engine refused to run because the adapter
+   * is missing.
+   */
   async #refreshStateAndRetry(refused: PendingGeneration): Promise<void> {
     const { request, adapter } = refused.generation;
     const controller = this.#parts.controller();
--- a/packages/node/src/serving/engine_generations_parts.ts
+++ b/packages/node/src/serving/engine_generations_parts.ts
@@ -9,18 +9,18 @@
 import type { EngineStateTracker } from "./engine_state_tracker.ts";
 import type { EnginePoller } from "./engine_poller.ts";
 
-/** What the generations of an engine work with. */
+/** The dependencies of an engine's generations. */
 export interface EngineGenerationsParts {
   readonly engine: EngineId;
   readonly client: EngineClient;
   readonly clock: SteadyClock;
   readonly observer: RequestObserver;
-  /** The controller in charge; a restart of the engine brings another. */
+  /** Finds the current controller, which changes at an engine's restart. */
   readonly controller: () => EngineController;
   readonly stateTracker: EngineStateTracker;
   readonly poller: EnginePoller;
-  /** Takes the streams that broke off. */
+  /** Records the streams that broke. */
   readonly suspects: EngineSuspects;
-  /** Tells that the controller may have something new to decide. */
+  /** Called when the controller may have new decisions. */
   readonly onChange: () => void;
 }
--- a/packages/node/src/serving/engine_liveness_check.ts
+++ b/packages/node/src/serving/engine_liveness_check.ts
@@ -3,28 +3,28 @@
 import type { EngineSuspects } from "../crashes/mod.ts";
 import type { EnginePoller } from "./engine_poller.ts";
 
-/** Between two questions to an engine that may have ended, in milliseconds. */
+/** The interval of probes to an engine that may have ended. */
 const PROBE_INTERVAL_MILLISECONDS = 50;
 
-/** What a look at an engine works with. */
+/** The dependencies of an {@link EngineLivenessCheck}. */
 export interface EngineLivenessCheckParts {
   readonly clock: SteadyClock;
   readonly poller: EnginePoller;
   readonly suspects: EngineSuspects;
 }
 
-/** Asks an engine whether it still runs, one question after the other. */
+/** Probes whether an engine still runs, one request at a time. */
 export class EngineLivenessCheck {
   readonly #parts: EngineLivenessCheckParts;
   #isRunning = false;
   #isRequested = false;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: EngineLivenessCheckParts) {
     this.#parts = parts;
   }
 
-  /** Asks until it is known whether the engine ended with broken streams. */
+  /** Probes until it is known whether the engine ended when streams broke. */
   async run(): Promise<void> {
     this.#isRequested = true;
     if (this.#isRunning) return;
--- a/packages/node/src/serving/engine_loads.ts
+++ b/packages/node/src/serving/engine_loads.ts
@@ -9,7 +9,7 @@
 import type { AdapterAggregates } from "./adapter_aggregates.ts";
 import { EngineOrders, type EngineOrdersParts } from "./engine_orders.ts";
 
-/** What loads and evictions are carried out with. */
+/** The dependencies of {@link EngineLoads}. */
 export interface EngineLoadsParts extends EngineOrdersParts {
   readonly logger: PartLogger;
   readonly observer: RequestObserver;
@@ -18,12 +18,12 @@
 
 type LoadDecision = Extract<EngineDecision, { readonly kind: "load" }>;
 
-/** Carries out loads and evictions, and tells what came of them. */
+/** Executes loads and evictions, and records their results. */
 export class EngineLoads {
   readonly #parts: EngineLoadsParts;
   readonly #orders: EngineOrders;
 
-  /** @param parts What to carry them out with. */
+  /** @param parts The dependencies. */
   constructor(parts: EngineLoadsParts) {
     this.#parts = parts;
     this.#orders = new EngineOrders(parts);
@@ -31,9 +31,9 @@
 
   /**
    * Loads an adapter.
-   * @param decision The load.
+   * @param decision The load decision.
    * @param waiting The requests that wait for it.
-   * @returns Whether it is resident now.
+   * @returns Whether the adapter is now resident.
    */
   async load(
     decision: LoadDecision,
@@ -45,7 +45,11 @@
     const result = await this.#orders.load(decision.adapter);
     const loaded = result.isOk();
     if (loaded) aggregates.loads.observe(elapsed(startedAt, clock.now()));
-    else this.#warn("A load failed.", decision.adapter, result.error.reason);
+    else {this.#warn(
+        "Loading an adapter failed.",
+        decision.adapter,
+        result.error.reason,
+      );}
     this.#recordEnd(waiting, loaded);
     return loaded;
   }
@@ -53,17 +57,17 @@
   /**
    * Evicts an adapter.
    * @param adapter The adapter.
-   * @returns Whether it has left.
+   * @returns Whether the adapter was evicted.
    */
   async evict(adapter: AdapterReference): Promise<boolean> {
     const result = await this.#orders.evict(adapter);
     if (result.isErr()) {
-      this.#warn("An eviction failed.", adapter, result.error.reason);
+      this.#warn("Evicting an adapter failed.", adapter, result.error.reason);
     }
     return result.isOk();
   }
 
-  /** Stops finding out what became of orders. */
+  /** Stops resolving orders with an unknown outcome. */
   stop(): void {
     this.#orders.stop();
   }
--- a/packages/node/src/serving/engine_orders.ts
+++ b/packages/node/src/serving/engine_orders.ts
@@ -10,46 +10,49 @@
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { OrderRight } from "./order_right.ts";
 
-/** Until then the engine may act on an order; orders must end sooner. */
+/**
+ * The time within which the engine may act on an order. Orders must end
+ * sooner.
+ */
 const ORDER_EXPIRY_MILLISECONDS = 5_000;
 const STATE_POLL_INTERVAL_MILLISECONDS = 250;
 
-/** What orders are given with. */
+/** The dependencies of {@link EngineOrders}. */
 export interface EngineOrdersParts {
   readonly engine: EngineId;
   readonly client: EngineClient;
   readonly clock: SteadyClock;
   readonly right: OrderRight;
-  /** Until when after its start the engine may act on an order. */
+  /** The time from an order's start within which the engine may act on it. */
   readonly expiresInMilliseconds?: number;
 }
 
 /**
- * Gives an engine orders, and finds out what became of those whose answer was
- * lost, by the engine's own state after the order has expired.
+ * Sends orders to an engine. If the answer to an order is lost, its outcome is
+ * read from the engine's state after the order has expired.
  */
 export class EngineOrders {
   readonly #parts: EngineOrdersParts;
   #stopped = false;
 
-  /** @param parts What to give orders with. */
+  /** @param parts The dependencies. */
   constructor(parts: EngineOrdersParts) {
     this.#parts = parts;
   }
 
   /**
-   * Orders a load.
+   * Loads an adapter.
    * @param adapter The adapter.
-   * @returns Nothing once it is resident, or why it is not.
+   * @returns Success once it is resident, or why it is not.
    */
   load(adapter: AdapterReference): Promise<Result<void, Failure>> {
     return this.#execute("load_adapter", adapter, true);
   }
 
   /**
-   * Orders an eviction.
+   * Evicts an adapter.
    * @param adapter The adapter.
-   * @returns Nothing once it has left, or why it has not.
+   * @returns Success once it is evicted, or why it is not.
    */
   evict(adapter: AdapterReference): Promise<Result<void, Failure>> {
     return this.#execute("evict_adapter", adapter, false);
@@ -84,7 +87,7 @@
     return resident === expectsResident ? ok() : err(result.error);
   }
 
-  /** Asks until the engine answers and the adapter's load is not under way. */
+  /** Polls until the engine answers and the adapter is not being loaded. */
   async #isResident(adapter: AdapterReference): Promise<boolean> {
     const key = adapterKey(adapter);
     while (!this.#stopped) {
--- a/packages/node/src/serving/engine_poller.ts
+++ b/packages/node/src/serving/engine_poller.ts
@@ -9,50 +9,63 @@
 
 const POLL_INTERVAL_MILLISECONDS = 500;
 
-/** Learns what an engine publishes. */
+/** Receives what an {@link EnginePoller} reads. */
 export abstract class EnginePollListener {
-  /** @param report The engine's load, which lags. */
+  /**
+   * Handles a load report.
+   * @param report The engine's load, which lags behind.
+   */
   abstract onReport(report: EngineLoadReport): void;
 
-  /** The engine refuses connections. */
+  /** Handles a refused connection. */
   abstract onRefused(): void;
 
-  /** @param events Changes of its prefix cache, late and with gaps. */
+  /**
+   * Handles cache events.
+   * @param events Changes of the engine's prefix cache, late and with gaps.
+   */
   abstract onCacheEvents(events: readonly CacheEvent[]): void;
+
   /**
-   * @param state The engine's state after it has started anew.
-   * @param previousBootId The run before.
+   * Handles a restart of the engine.
+   * @param state The engine's state after the restart.
+   * @param previousBootId The boot id before the restart.
    */
   abstract onRestart(state: EngineState, previousBootId: string): void;
-  /** @param state The engine's state, read while it is needed. */
+
+  /**
+   * Handles the engine's state, which is read while it is needed.
+   * @param state The state.
+   */
   abstract onState(state: EngineState): void;
-  /** Whether the engine's state is to be read at the next poll. */
+
+  /** Whether to read the engine's state at the next poll. */
   abstract get needsState(): boolean;
 }
 
-/** What a watch needs. */
+/** The dependencies of an {@link EnginePoller}. */
 export interface EnginePollerParts {
   readonly engine: EngineId;
   readonly client: EngineClient;
   readonly listener: EnginePollListener;
-  /** The run of the engine that is known already. */
+  /** The last known boot id of the engine. */
   readonly bootId: string;
 }
 
-/** Polls an engine's reports and cache events, and notices its restart. */
+/** Polls an engine's load and cache events, and detects its restart. */
 export class EnginePoller {
   readonly #parts: EnginePollerParts;
   #bootId: string;
   #lastSequence = 0;
   #stopped = false;
 
-  /** @param parts What the watch needs. */
+  /** @param parts The dependencies. */
   constructor(parts: EnginePollerParts) {
     this.#parts = parts;
     this.#bootId = parts.bootId;
   }
 
-  /** Polls until {@link stop}. */
+  /** Polls until {@link stop} is called. */
   async run(): Promise<void> {
     do {
       await this.#poll();
@@ -60,14 +73,14 @@
     } while (!this.isStopped());
   }
 
-  /** The run of the engine that was seen last. */
+  /** The boot id of the engine that was last seen. */
   get bootId(): string {
     return this.#bootId;
   }
 
   /**
-   * Reads the engine's state now, as after a sign of a restart.
-   * @returns Whether the run that was known before goes on, as far as is known.
+   * Reads the engine's state now, for example if it may have restarted.
+   * @returns Whether the engine is known to run without a restart.
    */
   async readState(): Promise<boolean> {
     const state = await this.#parts.client.readState();
@@ -92,7 +105,7 @@
     this.#stopped = true;
   }
 
-  /** Tells whether {@link stop} was called. */
+  /** Checks whether {@link stop} was called. */
   isStopped(): boolean {
     return this.#stopped;
   }
@@ -123,8 +136,8 @@
 }
 
 /**
- * Tells whether an engine could not be reached at all.
- * @param failure Why a call to it failed.
+ * Checks whether an engine could not be reached at all.
+ * @param failure The failure of a call to the engine.
  * @returns Whether the connection was refused.
  */
 export function isRefusal(failure: Failure): boolean {
--- a/packages/node/src/serving/engine_runner.ts
+++ b/packages/node/src/serving/engine_runner.ts
@@ -37,7 +37,7 @@
 
 const DECISION_INTERVAL_MILLISECONDS = 50;
 
-/** What a runner works with. */
+/** The dependencies of an {@link EngineRunner}. */
 export interface EngineRunnerParts {
   readonly engine: EngineId;
   readonly client: EngineClient;
@@ -51,7 +51,7 @@
   readonly crashes: CrashMemory;
 }
 
-/** Carries out an engine controller's decisions on the engine. */
+/** Executes an engine controller's decisions on the engine. */
 export class EngineRunner {
   readonly #parts: EngineRunnerParts;
   readonly #generations: EngineGenerations;
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Reads the engine's state and starts to control it.
-   * @param parts What the runner works with.
+   * Reads the engine's state and starts controlling it.
+   * @param parts The dependencies of the runner.
    * @returns The runner, or why the engine could not be read.
    */
   static async start(
@@ -124,12 +124,12 @@
     return state.map((found) => new EngineRunner(parts, found));
   }
 
-  /** The decisions' state. */
+  /** The current controller of the engine. */
   get controller(): EngineController {
     return this.#controller;
   }
 
-  /** Whether the engine takes connections, as far as is known. */
+  /** Whether the engine accepts connections, as far as is known. */
   get isReachable(): boolean {
     return this.#isReachable;
   }
@@ -143,12 +143,12 @@
       views.remove(this.#controller);
       this.#suspects.ended(this.#now(), this.#poller.bootId);
     }
-    const change = isReachable ? "is reached again" : "refuses connections";
+    const change = isReachable ? "is reachable again" : "refuses connections";
     logger.warn(`An engine ${change}.`, { engine });
   }
 
   /**
-   * Queues a request; its answer goes to the sink.
+   * Queues a request.
    * @param generation The request.
    * @param sink Receives the answer.
    * @returns The handle of the generation.
@@ -166,8 +166,8 @@
   }
 
   /**
-   * Stops controlling the engine; requests in progress go on.
-   * @returns The requests that wait, to be brought to another controller.
+   * Stops controlling the engine. Requests in progress continue.
+   * @returns The waiting requests, to be sent to another controller.
    */
   stop(): readonly RequestWithSink[] {
     clearInterval(this.#timer);
@@ -249,8 +249,8 @@
         this.#generations.dispatch(decision);
         break;
       case "preempt":
-        // The engine puts work of lower priority aside by itself, and keeps
-        // its state; a cancel would throw away what it has generated.
+        // The engine itself suspends work of lower priority and keeps its
+        // state; cancelling would discard what it has generated.
         this.#parts.observer.record(this.#now(), {
           kind: "preempted",
           request: decision.request,
--- a/packages/node/src/serving/engine_runners.ts
+++ b/packages/node/src/serving/engine_runners.ts
@@ -8,7 +8,7 @@
 import { EngineRunner, type EngineRunnerParts } from "./engine_runner.ts";
 import type { RequestWithSink } from "./pending_generations.ts";
 
-/** What runners are started with. */
+/** The dependencies of {@link EngineRunners}. */
 export interface EngineRunnersParts
   extends Omit<EngineRunnerParts, "engine" | "client"> {
   readonly engineClient: (vm: VmOfRole<"engine">) => EngineClient;
@@ -22,7 +22,7 @@
   readonly #runners = new Map<EngineId, EngineRunner>();
   readonly #starting = new Set<EngineId>();
 
-  /** @param parts What runners are started with. */
+  /** @param parts The dependencies. */
   constructor(parts: EngineRunnersParts) {
     this.#parts = parts;
   }
@@ -32,7 +32,7 @@
     return [...this.#runners.values()].map((runner) => runner.controller);
   }
 
-  /** The controllers of the engines that take connections. */
+  /** The controllers of the engines that accept connections. */
   get reachable(): Iterable<EngineController> {
     return [...this.#runners.values()].filter((runner) => runner.isReachable)
       .map((runner) => runner.controller);
@@ -41,14 +41,14 @@
   /**
    * Finds an engine's runner.
    * @param engine The engine.
-   * @returns The runner, or nothing.
+   * @returns The runner, or undefined.
    */
   find(engine: EngineId): EngineRunner | undefined {
     return this.#runners.get(engine);
   }
 
   /**
-   * Starts to control an engine.
+   * Starts controlling an engine.
    * @param vm The engine's VM.
    */
   async start(vm: VmOfRole<"engine">): Promise<void> {
@@ -68,25 +68,25 @@
     }
     if (runner.isErr()) {
       const { reason } = runner.error;
-      logger.warn("An engine could not be read.", { engine, reason });
+      logger.warn("Reading the state of an engine failed.", { engine, reason });
       return;
     }
     this.#parts.beforeStart(engine);
     this.#runners.set(engine, runner.value);
-    logger.info("An engine is controlled here.", { engine });
+    logger.info("Started controlling an engine.", { engine });
   }
 
   /**
    * Stops controlling an engine.
    * @param engine The engine.
-   * @returns The requests that waited.
+   * @returns The requests that were waiting.
    */
   stop(engine: EngineId): readonly RequestWithSink[] {
     this.#starting.delete(engine);
     const runner = this.#runners.get(engine);
     if (runner === undefined) return [];
     this.#runners.delete(engine);
-    this.#parts.logger.info("An engine is controlled here no more.", {
+    this.#parts.logger.info("Stopped controlling an engine.", {
       engine,
     });
     return runner.stop();
--- a/packages/node/src/serving/engine_state_tracker.ts
+++ b/packages/node/src/serving/engine_state_tracker.ts
@@ -16,10 +16,10 @@
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import { EnginePollListener } from "./engine_poller.ts";
 
-/** A request that the controller before sent may be so long on its way. */
+/** How long a request of the previous controller may be in transit. */
 const MAXIMUM_TRANSIT_MILLISECONDS = 1_000;
 
-/** What a follower works with. */
+/** The dependencies of an {@link EngineStateTracker}. */
 export interface EngineStateTrackerParts {
   readonly engine: EngineId;
   readonly clock: SteadyClock;
@@ -29,17 +29,17 @@
   readonly controlledSince: () => Instant;
   readonly isHeld: (request: RequestId) => boolean;
   readonly onRestart: (state: EngineState, over: string) => void;
-  /** Learns whether the engine takes connections. */
+  /** Called with whether the engine accepts connections. */
   readonly setReachable: (isReachable: boolean) => void;
 }
 
-/** Brings what an engine publishes to its controller. */
+/** Forwards what an engine publishes to its controller. */
 export class EngineStateTracker extends EnginePollListener {
   readonly #parts: EngineStateTrackerParts;
-  /** Requests whose stream broke: the engine may still run them. */
+  /** Requests whose stream broke, which the engine may still run. */
   readonly #orphans = new Set<RequestId>();
 
-  /** @param parts What to work with. */
+  /** @param parts The dependencies. */
   constructor(parts: EngineStateTrackerParts) {
     super();
     this.#parts = parts;
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Keeps the pin of a request whose stream broke until the engine's state
-   * shows that it runs no more.
+   * Keeps the adapter of a request pinned after its stream broke, until the
+   * engine's state shows that the request no longer runs.
    * @param request The request.
    */
   addOrphan(request: RequestId): void {
@@ -60,9 +60,9 @@
   }
 
   /**
-   * Takes a request back whose stream is to be resumed.
+   * Removes a request from the orphans, to resume its stream.
    * @param request The request.
-   * @returns Whether it still has its place and its pin.
+   * @returns Whether it still has its batch place and its adapter pinned.
    */
   removeOrphan(request: RequestId): boolean {
     return this.#orphans.delete(request);
--- a/packages/node/src/serving/engine_views.ts
+++ b/packages/node/src/serving/engine_views.ts
@@ -10,13 +10,13 @@
 
 const NO_VIEWS: ViewMap = new Map();
 
-/** The engines that requests may go to, by the model that they run. */
+/** The views of engines that requests may be sent to, grouped by model. */
 export class EngineViews {
   readonly #directory: VmDirectory;
   readonly #views = new Map<EngineId, EngineView>();
   #byModel: ReadonlyMap<ModelId, ViewMap> | undefined;
 
-  /** @param directory Tells which engines are live, and their models. */
+  /** @param directory The directory of live engines and their models. */
   constructor(directory: VmDirectory) {
     this.#directory = directory;
     directory.onChange(() => {
@@ -25,7 +25,7 @@
   }
 
   /**
-   * Adds the view of an engine, or replaces it.
+   * Adds or replaces the view of an engine.
    * @param view The view.
    */
   put(view: EngineView): void {
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Takes a view out, unless it has been replaced.
+   * Removes a view, unless it has been replaced.
    * @param view The view.
    */
   remove(view: EngineView): void {
--- a/packages/node/src/serving/generation_estimates.ts
+++ b/packages/node/src/serving/generation_estimates.ts
@@ -9,10 +9,10 @@
 const CHARACTERS_PER_TOKEN = 4;
 
 /**
- * Describes a request as a controller queues it.
+ * Converts a request to the form that a controller queues.
  * @param now The present time.
  * @param generation The request.
- * @returns What decisions need of it.
+ * @returns The properties that decisions depend on.
  */
 export function toQueuedRequest(
   now: Instant,
@@ -32,7 +32,7 @@
   };
 }
 
-/** The first message is what requests have in common. */
+/** Hashes the first message, which is what requests have in common. */
 function sharedPrefixHash(generation: GenerationRequest): string | undefined {
   if (generation.messages.length < 2) return undefined;
   return hashPromptPrefixes(generation.messages.slice(0, 1))[0]?.hash;
--- a/packages/node/src/serving/generation_outcomes.ts
+++ b/packages/node/src/serving/generation_outcomes.ts
@@ -3,8 +3,8 @@
 import type { Result } from "neverthrow";
 
 /**
- * Tells whether the engine may still run a generation whose stream ended: a
- * stream that broke says nothing of the engine's side.
+ * Checks whether the engine may still run a generation whose stream ended. A
+ * broken stream does not tell whether the engine has stopped.
  * @param result How the stream ended.
  * @returns Whether the engine may still run it.
  */
@@ -13,9 +13,9 @@
 }
 
 /**
- * Tells whether an engine refused a generation for want of its adapter.
+ * Checks whether an engine refused a generation because its adapter is missing.
  * @param result How the generation ended.
- * @returns Whether it did not run since the adapter is not there.
+ * @returns Whether it did not run because of the missing adapter.
  */
 export function isAdapterMissing(
   result: Result<GenerationEnd, Failure>,
@@ -25,7 +25,7 @@
 }
 
 /**
- * Describes the end of an attempt that a later one replaced.
+ * Creates the failure of an attempt that was replaced by a later one.
  * @param engine The engine.
  * @returns The failure.
  */
@@ -34,13 +34,13 @@
     reason: "cancelled",
     step: "dispatch",
     peer: engine,
-    message: "A later attempt at the request took its place.",
+    message: "A later attempt replaced this attempt.",
     outcome: "unknown",
   };
 }
 
 /**
- * Describes the end of a request whose caller left before it ran.
+ * Creates the failure of a request whose caller disconnected before it ran.
  * @param engine The engine.
  * @returns The failure.
  */
@@ -49,15 +49,15 @@
     reason: "cancelled",
     step: "dispatch",
     peer: engine,
-    message: "The caller left.",
+    message: "The caller disconnected.",
     outcome: "not_run",
   };
 }
 
 /**
- * Describes the refusal of a request that would miss its target.
+ * Creates the failure of a request that would miss its target.
  * @param engine The engine.
- * @param retryAfter When its caller may come back.
+ * @param retryAfter When the caller may retry.
  * @returns The failure.
  */
 export function targetMissedFailure(
@@ -68,7 +68,7 @@
     reason: "overloaded",
     step: "dispatch",
     peer: engine,
-    message: "The target cannot be met.",
+    message: "The request would miss its target.",
     outcome: "not_run",
     retryAfterMilliseconds: retryAfter,
   };
--- a/packages/node/src/serving/generation_request.ts
+++ b/packages/node/src/serving/generation_request.ts
@@ -20,10 +20,10 @@
   readonly firstTokenTarget: Duration;
   readonly messages: readonly PromptMessage[];
   readonly maximumTokens: number;
-  /** Which attempt this is; the first where it is absent. */
+  /** The number of this attempt; absent for the first. */
   readonly attempt?: AttemptNumber;
-  /** The next token wanted where a broken stream resumes; 0 starts anew. */
+  /** The token from which to resume a broken stream; 0 for a new one. */
   readonly fromSequence?: number;
-  /** When it arrived, by this VM's clock. */
+  /** The time of arrival by this VM's clock. */
   readonly arrivedAt: Instant;
 }
--- a/packages/node/src/serving/generation_router.ts
+++ b/packages/node/src/serving/generation_router.ts
@@ -42,7 +42,7 @@
 import { UnplacedRequests } from "./unplaced_requests.ts";
 import { SummaryWatcher } from "./summaries/summary_watcher.ts";
 
-/** What the router works with. */
+/** The dependencies of a {@link GenerationRouter}. */
 export interface GenerationRouterParts {
   readonly self: NodeId;
   readonly directory: VmDirectory;
@@ -59,7 +59,7 @@
   readonly engineClient: (vm: VmOfRole<"engine">) => EngineClient;
 }
 
-/** Brings each request to the controller of the engine that is to run it. */
+/** Sends each request to the controller of the engine chosen to run it. */
 export class GenerationRouter {
   readonly #parts: GenerationRouterParts;
   readonly #views: EngineViews;
@@ -67,7 +67,7 @@
   readonly #summaryWatcher: SummaryWatcher;
   readonly #unplaced: UnplacedRequests;
 
-  /** @param parts What the router works with. */
+  /** @param parts The dependencies. */
   constructor(parts: GenerationRouterParts) {
     this.#parts = parts;
     this.#views = new EngineViews(parts.directory);
@@ -97,7 +97,7 @@
     });
   }
 
-  /** The controllers of the engines that take connections. */
+  /** The controllers of the engines that accept connections. */
   get reachableControllers(): Iterable<EngineController> {
     return this.#runners.reachable;
   }
@@ -107,14 +107,14 @@
     return this.#runners.controllers;
   }
 
-  /** Starts to learn of the engines that other nodes control. */
+  /** Starts watching the engines that other nodes control. */
   start(): void {
     this.#summaryWatcher.start();
   }
 
   /**
-   * Routes a request of a caller. Where no engine can take it just now, as
-   * while a controller changes, it waits a short time within its target.
+   * Routes a caller's request. If no engine can accept it, as while a
+   * controller changes, it waits for a short time within its target.
    * @param generation The request.
    * @param sink Receives the answer.
    * @returns The handle of the generation.
@@ -161,7 +161,7 @@
         err(
           unroutableFailure(
             this.#parts.self,
-            `Engine ${engine} is not held here.`,
+            `This node does not control engine "${engine}".`,
           ),
         ),
       );
@@ -171,7 +171,7 @@
   }
 
   /**
-   * Starts to control an engine: reads its state and takes requests for it.
+   * Starts controlling an engine: reads its state and accepts requests for it.
    * @param vm The engine's VM.
    */
   async startControlling(vm: VmOfRole<"engine">): Promise<void> {
@@ -179,8 +179,9 @@
   }
 
   /**
-   * Stops controlling an engine. Requests in progress go on here; those that
-   * wait are routed again, to the engine's next controller or elsewhere.
+   * Stops controlling an engine. Requests in progress continue on this node;
+   * waiting ones are routed again, to the engine's next controller or another
+   * engine.
    * @param engine The engine.
    */
   stopControlling(engine: EngineId): void {
@@ -190,10 +191,10 @@
   }
 
   /**
-   * Finds the node that controls the home of an adapter.
+   * Finds the node that controls the home engine of an adapter.
    * @param model The adapter's model.
    * @param adapter The adapter and version.
-   * @returns The node, or nothing where no engine runs the model.
+   * @returns The node, or undefined if no engine runs the model.
    */
   likelyController(
     model: ModelId,
@@ -205,7 +206,7 @@
     return home === undefined ? undefined : this.#controllerOf(home.engine);
   }
 
-  /** Stops deciding for all engines. */
+  /** Stops controlling all engines. */
   stop(): void {
     this.#unplaced.stop();
     this.#summaryWatcher.stop();
@@ -258,7 +259,7 @@
       .find((vm) => vm.id === node);
     if (peer === undefined) {
       sink.onEnd(
-        err(unroutableFailure(this.#parts.self, `Node ${node} is gone.`)),
+        err(unroutableFailure(this.#parts.self, `Node "${node}" is not live.`)),
       );
       return FINISHED_HANDLE;
     }
@@ -289,7 +290,7 @@
   }
 }
 
-/** A change of an engine's controller should not take longer. */
+/** The longest expected duration of a change of an engine's controller. */
 const MAXIMUM_UNPLACED_MILLISECONDS = 2_000;
 
 const FINISHED_HANDLE: GenerationHandle = {
--- a/packages/node/src/serving/order_right.ts
+++ b/packages/node/src/serving/order_right.ts
@@ -6,13 +6,13 @@
 } from "@foxtailwind/core";
 import { ok, type Result } from "neverthrow";
 
-/** Tells whether this node may give an engine orders that change its state. */
+/** Determines whether this node may change the state of an engine. */
 export abstract class OrderRight {
   /**
-   * Reads the right as it is now.
+   * Checks the authorization at the present time.
    * @param engine The engine.
    * @param now The present time.
-   * @returns The fencing number of orders given now, or why none may be given.
+   * @returns The fencing number for orders, or why orders are not allowed.
    */
   abstract current(
     engine: EngineId,
@@ -20,7 +20,7 @@
   ): Result<FencingNumber, Failure>;
 }
 
-/** A right that never lapses, for a node without others. */
+/** An authorization that never expires, for a single-node deployment. */
 export class ConstantOrderRight extends OrderRight {
   readonly #fencing: FencingNumber;
 
--- a/packages/node/src/serving/pending_generations.ts
+++ b/packages/node/src/serving/pending_generations.ts
@@ -13,32 +13,32 @@
 import type { Result } from "neverthrow";
 import type { GenerationRequest } from "./generation_request.ts";
 
-/** A request that a runner gives back, to be brought elsewhere. */
+/** A request and the receiver of its answer. */
 export interface RequestWithSink {
   readonly generation: GenerationRequest;
   readonly sink: GenerationSink;
 }
 
-/** A request at an engine's runner. */
+/** A request that waits or runs at an engine. */
 export interface PendingGeneration {
   readonly generation: GenerationRequest;
   readonly sink: GenerationSink;
   handle: GenerationHandle | undefined;
-  /** The caller has stopped reading. */
+  /** Whether the caller has paused reading. */
   paused: boolean;
-  /** The caller has left. */
+  /** Whether the caller has disconnected. */
   isCancelled: boolean;
-  /** How often the engine did not have its adapter. */
+  /** Number of times that the engine did not have its adapter. */
   adapterMisses: number;
-  /** How it stands in the engine's batch; higher goes first. */
+  /** Its priority in the engine's batch; higher goes first. */
   priority: number;
 }
 
 /**
- * Describes a request that has just come.
+ * Creates the entry of a new request.
  * @param generation The request.
  * @param sink Receives the answer.
- * @returns The request, not dispatched.
+ * @returns The entry, not yet dispatched.
  */
 export function pendingGeneration(
   generation: GenerationRequest,
@@ -55,7 +55,7 @@
   };
 }
 
-/** What a runner learns of a dispatched request. */
+/** Receives the events of a dispatched request. */
 export interface DispatchListener {
   readonly firstToken: () => void;
   readonly ended: (
@@ -64,7 +64,7 @@
   ) => void;
 }
 
-/** Passes an answer on, and tells the runner of its beginning and end. */
+/** Forwards an answer, and reports its first token and its end. */
 export class DispatchedSink extends GenerationSink {
   readonly #sink: GenerationSink;
   readonly #listener: DispatchListener;
@@ -72,7 +72,7 @@
 
   /**
    * @param sink Receives the frames.
-   * @param listener Learns of the first token and of the end.
+   * @param listener Called at the first token and at the end.
    */
   constructor(sink: GenerationSink, listener: DispatchListener) {
     super();
@@ -91,12 +91,12 @@
   }
 }
 
-/** The requests of one runner, also by adapter while they wait. */
+/** The requests at one engine; waiting ones are also indexed by adapter. */
 export class PendingGenerations {
   readonly #pending = new Map<RequestId, PendingGeneration>();
   readonly #waitingByAdapter = new Map<AdapterKey, Set<RequestId>>();
 
-  /** The requests that were not dispatched. */
+  /** The requests that are not dispatched. */
   get undispatched(): readonly PendingGeneration[] {
     return [...this.#pending.values()]
       .filter((pending) => pending.handle === undefined);
@@ -105,7 +105,7 @@
   /**
    * Finds a request.
    * @param request The request's id.
-   * @returns The request, or nothing.
+   * @returns The request, or undefined.
    */
   find(request: RequestId): PendingGeneration | undefined {
     return this.#pending.get(request);
@@ -125,7 +125,7 @@
   }
 
   /**
-   * Takes note that a request waits no longer.
+   * Removes a request from those waiting for its adapter.
    * @param pending The request.
    */
   stopWaiting(pending: PendingGeneration): void {
@@ -137,9 +137,9 @@
   }
 
   /**
-   * Takes a request out.
+   * Removes a request.
    * @param request The request's id.
-   * @returns The request, or nothing.
+   * @returns The request, or undefined.
    */
   remove(request: RequestId): PendingGeneration | undefined {
     const pending = this.#pending.get(request);
--- a/packages/node/src/serving/permits/node_load_permits.ts
+++ b/packages/node/src/serving/permits/node_load_permits.ts
@@ -24,11 +24,11 @@
 
 const LIMITS_REFRESH_MILLISECONDS = 5_000;
 const TICK_MILLISECONDS = 500;
-/** Without the holder for so long, the static share is used. */
+/** Without contact to the holder for this time, the static share is used. */
 const HOLDER_TIMEOUT_MILLISECONDS = 2_000;
 const HOLDER_KEY_PREFIX = "holder";
 
-/** What a node's side of the permits works with. */
+/** The dependencies of {@link NodeLoadPermits}. */
 export interface NodeLoadPermitsParts {
   readonly self: NodeId;
   readonly store: WeightStoreId;
@@ -41,9 +41,9 @@
 }
 
 /**
- * Asks the node that holds the store's permits, which may be this one. The
- * holder is chosen by rendezvous hashing over the live nodes; while it cannot
- * be reached, each engine loads within a static share.
+ * Requests permits from the node that holds those of the weight store, which
+ * may be this node. The holder is chosen by rendezvous hashing over the live
+ * nodes. While it is unreachable, each engine loads within a static share.
  */
 export class NodeLoadPermits extends LoadPermits {
   readonly #parts: NodeLoadPermitsParts;
@@ -56,7 +56,7 @@
   #limitsReadAt = -Infinity;
   #timer: NodeJS.Timeout | undefined;
 
-  /** @param parts What to work with. */
+  /** @param parts The dependencies. */
   constructor(parts: NodeLoadPermitsParts) {
     super();
     this.#parts = parts;
@@ -64,17 +64,17 @@
     this.#holderReachedAt = parts.clock.now();
   }
 
-  /** The permits, where this node holds them. */
+  /** The permits, if this node holds them. */
   get holder(): PermitHolder | undefined {
     return this.#holder;
   }
 
-  /** What the weight store allows, as last read. */
+  /** The limits of the weight store, as last read. */
   get limits(): LoadLimits {
     return this.#parts.loadEstimates.limits;
   }
 
-  /** Starts to read the limits and to follow the choice of the holder. */
+  /** Starts reading the limits and following the choice of the holder. */
   start(): void {
     this.#tick();
     this.#timer = setInterval(() => {
@@ -85,7 +85,7 @@
     });
   }
 
-  /** Stops; permits that are out run out by themselves. */
+  /** Stops. Permits in use expire by themselves. */
   stop(): void {
     clearInterval(this.#timer);
     this.#holder?.stop();
@@ -151,7 +151,7 @@
       this.#link?.close();
       this.#link = undefined;
       if (this.#holder !== undefined) return;
-      logger.info("The load permits are held here.", { store });
+      logger.info("Started holding the load permits.", { store });
       this.#holder = new PermitHolder(clock, this.limits);
       return;
     }
--- a/packages/node/src/serving/permits/permit_holder.ts
+++ b/packages/node/src/serving/permits/permit_holder.ts
@@ -11,11 +11,14 @@
 import type { SteadyClock } from "../../clock/steady_clock.ts";
 import type { PermitListener, PermittedLoad } from "./load_permits.ts";
 
-/** A new holder waits so long: loads permitted before it may still run. */
+/**
+ * How long a new holder waits, since loads permitted by the previous one may
+ * still run.
+ */
 const STARTUP_DELAY = seconds(1);
 const MAXIMUM_SLEEP_MILLISECONDS = 50;
 
-/** Holds the permits of one weight store while this node is chosen for it. */
+/** Grants the permits of one weight store while this node is the holder. */
 export class PermitHolder {
   readonly #clock: SteadyClock;
   readonly #issuer: LoadPermitIssuer;
@@ -24,7 +27,7 @@
 
   /**
    * @param clock This VM's clock.
-   * @param limits What the weight store allows.
+   * @param limits The limits of the weight store.
    */
   constructor(clock: SteadyClock, limits: LoadLimits) {
     this.#clock = clock;
@@ -34,13 +37,13 @@
     );
   }
 
-  /** How many permits are out. */
+  /** Number of permits in use. */
   get outstanding(): number {
     return this.#issuer.outstanding;
   }
 
   /**
-   * Takes the limits into force that the weight store states.
+   * Applies the limits stated by the weight store.
    * @param limits The limits.
    */
   changeLimits(limits: LoadLimits): void {
@@ -48,9 +51,9 @@
   }
 
   /**
-   * Replaces an engine's wishes.
+   * Replaces the wishes of an engine.
    * @param engine The engine.
-   * @param wishes The most urgent ones.
+   * @param wishes The most urgent wishes.
    * @param listener Receives the engine's permits.
    */
   setWishes(
@@ -64,7 +67,7 @@
   }
 
   /**
-   * Takes a permit back.
+   * Releases a permit.
    * @param load The load, and whether the adapter was loaded.
    */
   release(load: PermittedLoad & { readonly loaded: boolean }): void {
@@ -74,7 +77,7 @@
   }
 
   /**
-   * Takes note that a load goes on.
+   * Extends the permit of a load in progress.
    * @param load The load.
    */
   renew(load: PermittedLoad): void {
@@ -83,7 +86,7 @@
   }
 
   /**
-   * Forgets an engine's wishes; its permits run out by themselves.
+   * Removes an engine's wishes. Its permits expire by themselves.
    * @param engine The engine.
    */
   removeEngine(engine: EngineId): void {
@@ -91,7 +94,7 @@
     this.#listeners.delete(engine);
   }
 
-  /** Grants nothing any more. */
+  /** Stops granting permits. */
   stop(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
--- a/packages/node/src/serving/permits/permit_link.ts
+++ b/packages/node/src/serving/permits/permit_link.ts
@@ -16,7 +16,7 @@
   toWishList,
 } from "./permit_messages.ts";
 
-/** What a link tells its node. */
+/** Receives the events of a {@link PermitLink}. */
 export interface PermitLinkListener {
   readonly onPermit: (engine: EngineId, adapter: PermittedAdapter) => void;
   readonly onOutstanding: (permits: number) => void;
@@ -33,9 +33,9 @@
   #isOpen = true;
 
   /**
-   * @param address The holder's address between nodes.
-   * @param channel The connection to it.
-   * @param listener Learns of permits and of the stream's end.
+   * @param address The holder's address for other nodes.
+   * @param channel The channel to the holder.
+   * @param listener Receives permits and the stream's end.
    */
   constructor(address: string, channel: Channel, listener: PermitLinkListener) {
     this.address = address;
@@ -56,13 +56,13 @@
     });
   }
 
-  /** Whether the holder has answered and the stream goes on. */
+  /** Whether the holder has answered and the stream is open. */
   get isConfirmed(): boolean {
     return this.#isOpen && this.#isConfirmed;
   }
 
   /**
-   * Replaces an engine's wishes.
+   * Replaces the wishes of an engine.
    * @param engine The engine.
    * @param wishes Its wishes.
    */
@@ -71,7 +71,7 @@
   }
 
   /**
-   * Gives a permit back.
+   * Releases a permit.
    * @param load The load, and whether the adapter was loaded.
    */
   release(load: PermittedLoad & { readonly loaded: boolean }): void {
@@ -80,7 +80,7 @@
   }
 
   /**
-   * Tells that a load goes on.
+   * Extends the permit of a load in progress.
    * @param load The load.
    */
   renew(load: PermittedLoad): void {
--- a/packages/node/src/serving/permits/permit_messages.ts
+++ b/packages/node/src/serving/permits/permit_messages.ts
@@ -10,7 +10,7 @@
 import type { LoadedAdapter, WishList } from "@foxtailwind/protocol";
 
 /**
- * Puts an adapter into a message.
+ * Converts an adapter to a message.
  * @param adapter The adapter.
  * @returns The message.
  */
@@ -20,8 +20,8 @@
 
 /**
  * Reads an adapter from a message.
- * @param message The message, or nothing.
- * @returns The reference; empty ids where there is no message.
+ * @param message The message, if any.
+ * @returns The reference, with empty ids if there is no message.
  */
 export function fromLoadedAdapter(
   message: LoadedAdapter | undefined,
@@ -33,7 +33,7 @@
 }
 
 /**
- * Puts wishes into a message.
+ * Converts wishes to a message.
  * @param engine The engine.
  * @param wishes Its wishes.
  * @returns The message.
--- a/packages/node/src/serving/permits/permit_service.ts
+++ b/packages/node/src/serving/permits/permit_service.ts
@@ -16,17 +16,17 @@
 
 type PermitStream = ServerDuplexStream<PermitMessage, PermitAnswer>;
 
-/** Answers nodes that ask for permits of the store that this node holds. */
+/** Serves the permits that this node holds to other nodes. */
 export class PermitService {
   readonly #permits: NodeLoadPermits;
   readonly #streams = new Set<PermitStream>();
 
-  /** @param permits This node's side of the permits. */
+  /** @param permits This node's load permits. */
   constructor(permits: NodeLoadPermits) {
     this.#permits = permits;
   }
 
-  /** The service, to register. */
+  /** The service's registration with the peer server. */
   get registration(): PeerRegistration {
     return {
       definition: LoadPermitsService,
@@ -48,7 +48,7 @@
   }
 }
 
-/** One node's stream. */
+/** The stream of one node. */
 class PermitSession {
   readonly #stream: PermitStream;
   readonly #permits: NodeLoadPermits;
@@ -75,7 +75,7 @@
   #receive(message: PermitMessage): void {
     const holder = this.#permits.holder;
     if (holder === undefined) {
-      const reason = "The permits are not held here.";
+      const reason = "This node does not hold the permits.";
       this.#send({ $case: "refusal", value: { reason } });
       this.#stream.end();
       return;
--- a/packages/node/src/serving/permits/static_permits.ts
+++ b/packages/node/src/serving/permits/static_permits.ts
@@ -9,7 +9,7 @@
 import type { SteadyClock } from "../../clock/steady_clock.ts";
 import type { PermitListener, PermittedLoad } from "./load_permits.ts";
 
-/** Grants each engine its cautious share while no holder can be reached. */
+/** Grants each engine a conservative share while no holder is reachable. */
 export class StaticPermits {
   readonly #clock: SteadyClock;
   readonly #issuers = new Map<EngineId, LoadPermitIssuer>();
@@ -20,11 +20,12 @@
   }
 
   /**
-   * Grants the most urgent wish, where the share allows.
+   * Replaces the wishes of an engine and grants the most urgent one, if its
+   * share allows.
    * @param engine The engine.
    * @param wishes Its wishes.
-   * @param options What the store allows all engines, how many they are, and who
-   * receives the permit.
+   * @param options The store's limits for all engines, the number of engines,
+   * and the receiver of the permit.
    */
   setWishes(engine: EngineId, wishes: readonly LoadWish[], options: {
     readonly limits: LoadLimits;
@@ -42,7 +43,7 @@
   }
 
   /**
-   * Takes a permit back.
+   * Releases a permit.
    * @param load The load, and whether the adapter was loaded.
    */
   release(load: PermittedLoad & { readonly loaded: boolean }): void {
--- a/packages/node/src/serving/permits/wish_publisher.ts
+++ b/packages/node/src/serving/permits/wish_publisher.ts
@@ -1,17 +1,20 @@
 import type { EngineId, Instant, LoadWish } from "@foxtailwind/core";
 import type { LoadPermits } from "./load_permits.ts";
 
-/** Unchanged wishes are told again so often, since they grow more urgent. */
+/**
+ * The interval at which unchanged wishes are repeated, since their urgency
+ * grows.
+ */
 const REFRESH_INTERVAL_MILLISECONDS = 200;
 
-/** Offers an engine's wishes, and spares messages that say nothing new. */
+/** Publishes an engine's wishes, without redundant messages. */
 export class WishPublisher {
   readonly #engine: EngineId;
   readonly #permits: LoadPermits;
   #publishedKeys = "";
   #publishedAt = -Infinity;
 
-  /** @param parts The engine, and whom to offer to. */
+  /** @param parts The engine, and the receiver of its wishes. */
   constructor(
     parts: { readonly engine: EngineId; readonly permits: LoadPermits },
   ) {
@@ -20,9 +23,9 @@
   }
 
   /**
-   * Offers wishes.
+   * Publishes wishes, unless they were published recently.
    * @param now The present time.
-   * @param wishes The most urgent ones.
+   * @param wishes The most urgent wishes.
    */
   publish(now: Instant, wishes: readonly LoadWish[]): void {
     const keys = wishes.map((wish) => wish.key).join(" ");
--- a/packages/node/src/serving/routing_failures.ts
+++ b/packages/node/src/serving/routing_failures.ts
@@ -3,9 +3,9 @@
 const RETRY_AFTER_MILLISECONDS = 1_000;
 
 /**
- * Describes a request that could not be brought to an engine.
+ * Creates the failure of a request that could not be sent to an engine.
  * @param self This node.
- * @param message What stood in the way.
+ * @param message The cause.
  * @returns The failure.
  */
 export function unroutableFailure(self: NodeId, message: string): Failure {
@@ -20,31 +20,32 @@
 }
 
 /**
- * Describes a request whose model no engine runs.
+ * Creates the failure of a request whose model no engine runs.
  * @param self This node.
  * @param model The model.
  * @returns The failure.
  */
 export function noEngineFailure(self: NodeId, model: ModelId): Failure {
-  return unroutableFailure(self, `No engine runs ${model}.`);
+  return unroutableFailure(self, `No engine runs model "${model}".`);
 }
 
 /**
- * Describes a request whose caller left before an engine was found.
+ * Creates the failure of a request whose caller disconnected before an engine
+ * was found.
  * @param self This node.
  * @returns The failure.
  */
 export function callerLeftFailure(self: NodeId): Failure {
   return {
-    ...unroutableFailure(self, "The caller left."),
+    ...unroutableFailure(self, "The caller disconnected."),
     reason: "cancelled",
   };
 }
 
 /**
- * Describes a request that no engine would answer within its target.
+ * Creates the failure of a request that no engine can answer within its target.
  * @param self This node.
- * @param retryAfter When its caller may come back, in milliseconds.
+ * @param retryAfter When the caller may retry, in milliseconds.
  * @returns The failure.
  */
 export function targetUnreachableFailure(
@@ -52,7 +53,10 @@
   retryAfter: number,
 ): Failure {
   return {
-    ...unroutableFailure(self, "The class's target cannot be met now."),
+    ...unroutableFailure(
+      self,
+      "No engine can meet the target of the class now.",
+    ),
     reason: "overloaded",
     step: "admit",
     retryAfterMilliseconds: Math.ceil(retryAfter),
--- a/packages/node/src/serving/serving_parts.ts
+++ b/packages/node/src/serving/serving_parts.ts
@@ -27,7 +27,7 @@
 import { PermitService } from "./permits/permit_service.ts";
 import { SummaryService } from "./summaries/summary_service.ts";
 
-/** What a node's serving works with. */
+/** The dependencies of {@link ServingParts}. */
 export interface ServingPartsOptions {
   readonly self: NodeId;
   readonly directory: VmDirectory;
@@ -37,7 +37,7 @@
   readonly logger: PartLogger;
   readonly observer: RequestObserver;
   readonly right: OrderRight;
-  /** Who controls which engine; computed from the directory by default. */
+  /** Which node controls each engine; by default from the directory. */
   readonly assignment?: EngineAssignment;
   readonly store: WeightStoreId;
   readonly storeClient: WeightStoreClient;
@@ -45,7 +45,7 @@
   readonly log: LogClient;
 }
 
-/** The parts of a node that serve adapters, started and stopped together. */
+/** The components that serve adapters, started and stopped together. */
 export class ServingParts {
   readonly crashes: CrashMemory;
   readonly router: GenerationRouter;
@@ -53,7 +53,7 @@
   readonly #permitService: PermitService;
   readonly #summaries: SummaryService;
 
-  /** @param options What serving works with. */
+  /** @param options The dependencies. */
   constructor(options: ServingPartsOptions) {
     const aggregates = new AdapterAggregates();
     this.crashes = new CrashMemory(options);
@@ -81,25 +81,25 @@
     return this.router.controllers;
   }
 
-  /** What other nodes may ask. */
+  /** The services that other nodes may call. */
   get registrations(): readonly PeerRegistration[] {
     return [this.#permitService.registration, this.#summaries.registration];
   }
 
-  /** Starts to ask for permits and to learn of engines. */
+  /** Starts requesting permits and watching engines. */
   start(): void {
     void this.crashes.run();
     this.permits.start();
     this.router.start();
   }
 
-  /** Ends the streams between nodes, so that the server can stop. */
+  /** Ends the streams of other nodes, so that the server can stop. */
   closeStreams(): void {
     this.#permitService.close();
     this.#summaries.close();
   }
 
-  /** Stops deciding. */
+  /** Stops all components. */
   stop(): void {
     this.router.stop();
     this.crashes.stop();
--- a/packages/node/src/serving/summaries/summary_messages.ts
+++ b/packages/node/src/serving/summaries/summary_messages.ts
@@ -19,10 +19,10 @@
 } from "../permits/permit_messages.ts";
 
 /**
- * Puts a summary into a message.
+ * Converts a summary to a message.
  * @param summary The summary.
  * @param changes The adapters whose standing changed.
- * @param whole Whether the changes are all adapters.
+ * @param whole Whether the changes list all adapters.
  * @returns The message.
  */
 export function toSummaryMessage(
@@ -70,7 +70,7 @@
 }
 
 /**
- * Reads the adapters that a message says have changed.
+ * Reads the changed adapters from a message.
  * @param message The message.
  * @returns The adapters and their standing.
  */
--- a/packages/node/src/serving/summaries/summary_service.ts
+++ b/packages/node/src/serving/summaries/summary_service.ts
@@ -14,25 +14,25 @@
 import { toSummaryMessage } from "./summary_messages.ts";
 
 const SUMMARY_INTERVAL_MILLISECONDS = 100;
-/** An unchanged engine is summarised this seldom, as a sign of life. */
+/** The intervals until an unchanged summary is repeated, as a heartbeat. */
 const MAXIMUM_UNCHANGED_INTERVALS = 20;
 
 type SummaryStream = ServerWritableStream<WatchRequest, EngineSummary>;
 
-/** Finds the engines that this node controls now. */
+/** Lists the controllers of the engines that this node controls. */
 export type ControlledEngines = () => Iterable<EngineController>;
 
-/** Tells other nodes of the engines that this node controls. */
+/** Sends summaries of the engines that this node controls to other nodes. */
 export class SummaryService {
   readonly #controlled: ControlledEngines;
   readonly #streams = new Set<SummaryStream>();
 
-  /** @param controlled Finds the engines. */
+  /** @param controlled Lists the controllers of the engines. */
   constructor(controlled: ControlledEngines) {
     this.#controlled = controlled;
   }
 
-  /** The service, to register. */
+  /** The service's registration with the peer server. */
   get registration(): PeerRegistration {
     return {
       definition: EngineSummariesService,
@@ -72,7 +72,7 @@
   readonly unchangedIntervals: number;
 }
 
-/** One watching node: it is sent only what changed. */
+/** The stream to one watching node, which receives only changes. */
 class SummarySession {
   readonly #stream: SummaryStream;
   readonly #controlled: ControlledEngines;
--- a/packages/node/src/serving/summaries/summary_watcher.ts
+++ b/packages/node/src/serving/summaries/summary_watcher.ts
@@ -18,14 +18,14 @@
 
 const RETRY_INTERVAL_MILLISECONDS = 500;
 
-/** What a watcher works with. */
+/** The dependencies of a {@link SummaryWatcher}. */
 export interface SummaryWatcherParts {
   readonly self: NodeId;
   readonly directory: VmDirectory;
   readonly channels: PeerChannels;
   readonly aggregates: AdapterAggregates;
   readonly views: EngineViews;
-  /** Tells whether this node controls an engine itself. */
+  /** Checks whether this node itself controls an engine. */
   readonly isOwn: (engine: EngineId) => boolean;
 }
 
@@ -34,19 +34,19 @@
   readonly views: Map<EngineId, SummarisedEngineView>;
 }
 
-/** Keeps views of the engines that other nodes control. */
+/** Maintains views of the engines that other nodes control. */
 export class SummaryWatcher {
   readonly #parts: SummaryWatcherParts;
   readonly #watches = new Map<string, NodeWatch>();
   readonly #nodeOf = new Map<EngineId, string>();
   #timer: NodeJS.Timeout | undefined;
 
-  /** @param parts What to work with. */
+  /** @param parts The dependencies. */
   constructor(parts: SummaryWatcherParts) {
     this.#parts = parts;
   }
 
-  /** Starts to watch the live nodes. */
+  /** Starts watching the live nodes. */
   start(): void {
     this.#watchLiveNodes();
     this.#timer = setInterval(() => {
@@ -61,9 +61,9 @@
   }
 
   /**
-   * Finds the node that says that it controls an engine.
+   * Finds the node that claims to control an engine.
    * @param engine The engine.
-   * @returns The node's id, or nothing.
+   * @returns The node's id, or undefined.
    */
   nodeOf(engine: EngineId): string | undefined {
     return this.#nodeOf.get(engine);
@@ -72,7 +72,7 @@
   /**
    * Finds the view of an engine.
    * @param engine The engine.
-   * @returns The view, or nothing.
+   * @returns The view, or undefined.
    */
   viewOf(engine: EngineId): SummarisedEngineView | undefined {
     const node = this.#nodeOf.get(engine);
@@ -81,7 +81,7 @@
   }
 
   /**
-   * Forgets an engine that this node takes over.
+   * Removes the view of an engine that this node takes over.
    * @param engine The engine.
    */
   forget(engine: EngineId): void {
@@ -163,5 +163,5 @@
 }
 
 function ignore(): void {
-  // The stream was ended here.
+  // The error results from cancelling the stream.
 }
--- a/packages/node/src/serving/unplaced_requests.ts
+++ b/packages/node/src/serving/unplaced_requests.ts
@@ -5,7 +5,7 @@
 
 const RETRY_INTERVAL_MILLISECONDS = 50;
 
-/** A request that no engine can take yet, as while a controller changes. */
+/** A request that no engine can accept yet, as while a controller changes. */
 interface UnplacedRequest {
   readonly generation: GenerationRequest;
   readonly sink: GenerationSink;
@@ -14,13 +14,13 @@
   isCancelled: boolean;
 }
 
-/** Tries to bring a request to an engine; nothing where there is none. */
+/** Tries to send a request to an engine; undefined if none is available. */
 export type PlaceRequest = (
   generation: GenerationRequest,
   sink: GenerationSink,
 ) => GenerationHandle | undefined;
 
-/** What becomes of requests that cannot be placed. */
+/** Places waiting requests, and ends those that cannot be placed. */
 export interface UnplacedRequestCallbacks {
   readonly place: PlaceRequest;
   readonly onExpired: (
@@ -30,7 +30,7 @@
   readonly onCancelled: (sink: GenerationSink) => void;
 }
 
-/** Keeps requests for a short time until an engine can take them. */
+/** Holds requests for a short time until an engine can accept them. */
 export class UnplacedRequests {
   readonly #clock: SteadyClock;
   readonly #callbacks: UnplacedRequestCallbacks;
@@ -39,7 +39,7 @@
 
   /**
    * @param clock This VM's clock.
-   * @param callbacks Places requests, and ends those that it cannot place.
+   * @param callbacks Place and end requests.
    */
   constructor(clock: SteadyClock, callbacks: UnplacedRequestCallbacks) {
     this.#clock = clock;
@@ -47,10 +47,10 @@
   }
 
   /**
-   * Keeps a request.
+   * Adds a request.
    * @param generation The request.
    * @param sink Receives the answer.
-   * @param deadline When it is given up.
+   * @param deadline When the request expires.
    * @returns The handle of the generation.
    */
   add(
@@ -72,7 +72,7 @@
     return this.#handleOf(request);
   }
 
-  /** Ends the requests that wait. */
+  /** Ends all waiting requests as expired. */
   stop(): void {
     clearInterval(this.#timer);
     this.#timer = undefined;
--- a/packages/node/tests/serving/engine_orders_test.ts
+++ b/packages/node/tests/serving/engine_orders_test.ts
@@ -28,7 +28,7 @@
       reason: "expired",
       step: "load_adapter",
       peer: engine,
-      message: "The lease has lapsed.",
+      message: "The lease has expired.",
       outcome: "not_run",
     });
   }
@@ -65,14 +65,14 @@
   return { fake, orders, residents };
 }
 
-test("a load whose answer is lost is found to have taken effect", async (t) => {
+test("a load whose answer was lost is confirmed by the engine's state", async (t) => {
   const { fake, orders, residents } = await start(t);
   fake.setFaults({ loseNextOrderAnswers: 1 });
   t.true((await orders.load(NOTES)).isOk());
   t.deepEqual(await residents(), [adapterKey(NOTES)]);
 });
 
-test("an eviction whose answer is lost is found to have taken effect", async (t) => {
+test("an eviction whose answer was lost is confirmed by the engine's state", async (t) => {
   const { fake, orders, residents } = await start(t);
   await orders.load(NOTES);
   fake.setFaults({ loseNextOrderAnswers: 1 });
@@ -80,7 +80,7 @@
   t.deepEqual(await residents(), []);
 });
 
-test("no order is given without the right to it", async (t) => {
+test("no order is sent without authorization", async (t) => {
   const { fake, orders } = await start(t, new LapsedRight());
   const result = await orders.load(NOTES);
   t.is(result._unsafeUnwrapErr().reason, "expired");
--- a/packages/node/tests/serving/engine_restart_test.ts
+++ b/packages/node/tests/serving/engine_restart_test.ts
@@ -63,7 +63,7 @@
   t.is(engine?.readCounters().evictedInUse, 0);
 });
 
-test("requests that wait survive a change of the controller", async (t) => {
+test("waiting requests survive a change of the controller", async (t) => {
   const cluster = await start();
   t.teardown(() => cluster.close());
   await until(async () => await ask(cluster) === 200);
@@ -82,7 +82,7 @@
   t.is(await answer, 200);
 });
 
-test("an adapter whose stream broke is kept while the engine runs it", async (t) => {
+test("an adapter is kept while the engine runs a request whose stream broke", async (t) => {
   const cluster = await start(["adapter_slots=1"]);
   t.teardown(() => cluster.close());
   await until(async () => await ask(cluster) === 200);
@@ -94,7 +94,7 @@
   t.is(engine?.readCounters().evictedInUse, 0);
 });
 
-test("an engine that refuses connections is left out, and another serves", async (t) => {
+test("requests are sent to another engine while one refuses connections", async (t) => {
   const cluster = await start([], 2);
   t.teardown(() => cluster.close());
   await until(async () => await ask(cluster) === 200);
