--- a/packages/node/src/serving/engine_runner.ts
+++ b/packages/node/src/serving/engine_runner.ts
@@ -78,7 +78,7 @@
       prefixes: parts.aggregates.prefixes,
       controller: () => this.#controller,
       controlledSince: () => this.#controlledSince,
-      isHeld: (request) => this.#generations.has(request),
+      hasRequest: (request) => this.#generations.has(request),
       onRestart: (state, previousBootId) => {
         this.#suspects.ended(this.#now(), previousBootId);
         this.#handleRestart(state);
--- a/packages/node/src/serving/engine_state_tracker.ts
+++ b/packages/node/src/serving/engine_state_tracker.ts
@@ -27,7 +27,7 @@
   readonly prefixes: PrefixHistory;
   readonly controller: () => EngineController;
   readonly controlledSince: () => Instant;
-  readonly isHeld: (request: RequestId) => boolean;
+  readonly hasRequest: (request: RequestId) => boolean;
   readonly onRestart: (state: EngineState, over: string) => void;
   /** Called with whether the engine accepts connections. */
   readonly setReachable: (isReachable: boolean) => void;
@@ -95,10 +95,10 @@
 
   override onState(state: EngineState): void {
     this.#releaseEndedOrphans(state);
-    const { clock, controlledSince, isHeld } = this.#parts;
+    const { clock, controlledSince, hasRequest } = this.#parts;
     const now = clock.now();
     if (now < controlledSince() + MAXIMUM_TRANSIT_MILLISECONDS) return;
-    const inUse = state.running.filter(({ request }) => !isHeld(request))
+    const inUse = state.running.filter(({ request }) => !hasRequest(request))
       .map((running) => adapterKey(running.adapter));
     this.#parts.controller().reconcile(now, {
       resident: state.resident.map(adapterKey),
--- a/packages/node/src/serving/permits/permit_link.ts
+++ b/packages/node/src/serving/permits/permit_link.ts
@@ -29,7 +29,7 @@
 export class PermitLink {
   readonly address: string;
   readonly #stream: ClientDuplexStream<PermitMessage, PermitAnswer>;
-  #isConfirmed = false;
+  #hasAnswered = false;
   #isOpen = true;
 
   /**
@@ -58,7 +58,7 @@
 
   /** Whether the holder has answered and the stream is open. */
   get isConfirmed(): boolean {
-    return this.#isOpen && this.#isConfirmed;
+    return this.#isOpen && this.#hasAnswered;
   }
 
   /**
@@ -108,7 +108,7 @@
         );
         break;
       case "outlook":
-        this.#isConfirmed = true;
+        this.#hasAnswered = true;
         listener.onOutstanding(part.value.outstanding);
         break;
       case "refusal":
--- a/packages/node/tests/serving/engine_orders_test.ts
+++ b/packages/node/tests/serving/engine_orders_test.ts
@@ -22,7 +22,7 @@
 const ENGINE = engineId("engine-1");
 const NOTES = { adapter: adapterId("notes"), version: adapterVersion("v1") };
 
-class LapsedRight extends OrderRight {
+class ExpiredOrderRight extends OrderRight {
   override current(engine: EngineId): Result<never, Failure> {
     return err({
       reason: "expired",
@@ -34,12 +34,12 @@
   }
 }
 
-async function start(
+async function startOrders(
   t: ExecutionContext,
   right: OrderRight = new ConstantOrderRight(fencingNumber(1)),
 ) {
-  const fake = new FakeEngine({ id: ENGINE, loadMilliseconds: 1 });
-  const baseAddress = await fake.listen({ host: "127.0.0.1", port: 0 });
+  const engine = new FakeEngine({ id: ENGINE, loadMilliseconds: 1 });
+  const baseAddress = await engine.listen({ host: "127.0.0.1", port: 0 });
   const dispatcher = new Agent();
   const client = new HttpEngineClient({
     peer: ENGINE,
@@ -56,33 +56,33 @@
   t.teardown(async () => {
     orders.stop();
     await dispatcher.destroy();
-    await fake.close();
+    await engine.close();
   });
-  async function residents(): Promise<readonly string[]> {
+  async function residentAdapters(): Promise<readonly string[]> {
     const state = await client.readState();
     return state.isOk() ? state.value.resident.map(adapterKey) : [];
   }
-  return { fake, orders, residents };
+  return { engine, orders, residentAdapters };
 }
 
 test("a load whose answer was lost is confirmed by the engine's state", async (t) => {
-  const { fake, orders, residents } = await start(t);
-  fake.setFaults({ loseNextOrderAnswers: 1 });
+  const { engine, orders, residentAdapters } = await startOrders(t);
+  engine.setFaults({ loseNextOrderAnswers: 1 });
   t.true((await orders.load(NOTES)).isOk());
-  t.deepEqual(await residents(), [adapterKey(NOTES)]);
+  t.deepEqual(await residentAdapters(), [adapterKey(NOTES)]);
 });
 
 test("an eviction whose answer was lost is confirmed by the engine's state", async (t) => {
-  const { fake, orders, residents } = await start(t);
+  const { engine, orders, residentAdapters } = await startOrders(t);
   await orders.load(NOTES);
-  fake.setFaults({ loseNextOrderAnswers: 1 });
+  engine.setFaults({ loseNextOrderAnswers: 1 });
   t.true((await orders.evict(NOTES)).isOk());
-  t.deepEqual(await residents(), []);
+  t.deepEqual(await residentAdapters(), []);
 });
 
 test("no order is sent without authorization", async (t) => {
-  const { fake, orders } = await start(t, new LapsedRight());
+  const { engine, orders } = await startOrders(t, new ExpiredOrderRight());
   const result = await orders.load(NOTES);
   t.is(result._unsafeUnwrapErr().reason, "expired");
-  t.is(fake.readCounters().loads, 0);
+  t.is(engine.readCounters().loads, 0);
 });
--- a/packages/node/tests/serving/engine_restart_test.ts
+++ b/packages/node/tests/serving/engine_restart_test.ts
@@ -6,7 +6,7 @@
   until,
 } from "../helpers/test_cluster.ts";
 
-async function start(
+async function startCluster(
   engineSettings: readonly string[] = [],
   engines = 1,
 ): Promise<TestCluster> {
@@ -32,7 +32,7 @@
   return cluster;
 }
 
-async function ask(
+async function requestCompletion(
   cluster: TestCluster,
   model = "notes",
   tokens = 3,
@@ -54,19 +54,19 @@
 }
 
 test("an engine that restarts cold serves its adapters again", async (t) => {
-  const cluster = await start();
+  const cluster = await startCluster();
   t.teardown(() => cluster.close());
-  await until(async () => await ask(cluster) === 200);
+  await until(async () => await requestCompletion(cluster) === 200);
   const [engine] = cluster.engines;
   engine?.restart();
-  await until(async () => await ask(cluster) === 200);
+  await until(async () => await requestCompletion(cluster) === 200);
   t.is(engine?.readCounters().evictedInUse, 0);
 });
 
 test("waiting requests survive a change of the controller", async (t) => {
-  const cluster = await start();
+  const cluster = await startCluster();
   t.teardown(() => cluster.close());
-  await until(async () => await ask(cluster) === 200);
+  await until(async () => await requestCompletion(cluster) === 200);
   const [node] = cluster.nodes;
   const [engine] = node?.daemon.directory.live("engine") ?? [];
   if (node === undefined || engine === undefined) {
@@ -77,40 +77,40 @@
   for (const controller of [...router.controllers]) {
     router.stopControlling(controller.engine);
   }
-  const answer = ask(cluster);
+  const answer = requestCompletion(cluster);
   await router.startControlling(engine);
   t.is(await answer, 200);
 });
 
 test("an adapter is kept while the engine runs a request whose stream broke", async (t) => {
-  const cluster = await start(["adapter_slots=1"]);
+  const cluster = await startCluster(["adapter_slots=1"]);
   t.teardown(() => cluster.close());
-  await until(async () => await ask(cluster) === 200);
+  await until(async () => await requestCompletion(cluster) === 200);
   const [engine] = cluster.engines;
   engine?.setFaults({ dropNextStreams: 8, dropStreamAfterTokens: 1 });
-  await ask(cluster, "notes", 400);
+  await requestCompletion(cluster, "notes", 400);
   engine?.setFaults({});
-  await until(async () => await ask(cluster, "other") === 200);
+  await until(async () => await requestCompletion(cluster, "other") === 200);
   t.is(engine?.readCounters().evictedInUse, 0);
 });
 
 test("requests are sent to another engine while one refuses connections", async (t) => {
-  const cluster = await start([], 2);
+  const cluster = await startCluster([], 2);
   t.teardown(() => cluster.close());
-  await until(async () => await ask(cluster) === 200);
+  await until(async () => await requestCompletion(cluster) === 200);
   const started = cluster.engines.map((engine) =>
     engine.readCounters().generationsStarted
   );
-  t.is(await ask(cluster), 200);
-  const home = cluster.engines.find((engine, index) =>
+  t.is(await requestCompletion(cluster), 200);
+  const homeEngine = cluster.engines.find((engine, index) =>
     engine.readCounters().generationsStarted !== started[index]
   );
-  home?.setFaults({ outage: "refuse" });
+  homeEngine?.setFaults({ outage: "refuse" });
   const answers = await Promise.all(
-    Array.from({ length: 8 }, () => ask(cluster)),
+    Array.from({ length: 8 }, () => requestCompletion(cluster)),
   );
   t.deepEqual(answers, answers.map(() => 200));
-  home?.setFaults({ outage: "none" });
+  homeEngine?.setFaults({ outage: "none" });
   await until(() =>
     [...cluster.nodes[0]?.daemon.router.reachableControllers ?? []].length === 2
   );
