--- a/packages/node/src/routing/address_directory.ts
+++ b/packages/node/src/routing/address_directory.ts
@@ -81,8 +81,8 @@
     const entries = this.#parts.directory.vms
       .filter((vm) => vm.role.kind === "entry");
     const answer = chooseAddresses(
-      entries.map((vm) => this.#candidate(vm)),
-      this.#query(request),
+      entries.map((vm) => this.#toCandidate(vm)),
+      this.#toQuery(request),
       {
         maximumLifetime: this.#parts.longestLifetime,
         random: this.#random,
@@ -91,7 +91,7 @@
     return { vms: vmsOf(answer, entries), lifetime: answer.lifetime };
   }
 
-  #candidate(vm: Vm): AddressCandidate {
+  #toCandidate(vm: Vm): AddressCandidate {
     const node = nodeId(vm.id);
     const { peers } = this.#parts;
     const load = peers.loadOf(node);
@@ -104,7 +104,7 @@
     };
   }
 
-  #query({ region, failureDomain, adapter }: AddressRequest): AddressQuery {
+  #toQuery({ region, failureDomain, adapter }: AddressRequest): AddressQuery {
     const controller = adapter === undefined
       ? undefined
       : this.#parts.controllers.controllerOf(adapter);
--- a/packages/node/src/routing/routed_controllers.ts
+++ b/packages/node/src/routing/routed_controllers.ts
@@ -38,13 +38,15 @@
   }
 
   override controllerOf(adapter: string): NodeId | undefined {
-    const at = adapter.lastIndexOf("@");
-    const id = adapterId(at < 0 ? adapter : adapter.slice(0, at));
+    const separatorIndex = adapter.lastIndexOf("@");
+    const id = adapterId(
+      separatorIndex < 0 ? adapter : adapter.slice(0, separatorIndex),
+    );
     const configured = this.#configuration.adapters.get(id);
     if (configured === undefined) return undefined;
-    const version = at < 0
+    const version = separatorIndex < 0
       ? configured.current
-      : adapterVersion(adapter.slice(at + 1));
+      : adapterVersion(adapter.slice(separatorIndex + 1));
     const reference = { adapter: id, version };
     return this.#router.likelyController(configured.model, reference);
   }
--- a/packages/node/src/serving/engine_generations.ts
+++ b/packages/node/src/serving/engine_generations.ts
@@ -35,7 +35,7 @@
 /** The requests at one engine, from their queueing to their end. */
 export class EngineGenerations {
   readonly #parts: EngineGenerationsParts;
-  readonly #pending = new PendingGenerations();
+  readonly #generations = new PendingGenerations();
   readonly #livenessCheck: EngineLivenessCheck;
 
   /** @param parts The dependencies. */
@@ -46,7 +46,7 @@
 
   /** The requests that are not dispatched. */
   get undispatched(): readonly PendingGeneration[] {
-    return this.#pending.undispatched;
+    return this.#generations.undispatched;
   }
 
   /**
@@ -55,7 +55,7 @@
    * @returns Whether it does.
    */
   has(request: RequestId): boolean {
-    return this.#pending.find(request) !== undefined;
+    return this.#generations.find(request) !== undefined;
   }
 
   /**
@@ -64,7 +64,7 @@
    * @returns Their ids.
    */
   waitingFor(key: AdapterKey): readonly RequestId[] {
-    return this.#pending.waitingFor(key);
+    return this.#generations.waitingFor(key);
   }
 
   /**
@@ -74,7 +74,7 @@
    */
   resume(resumed: RequestWithSink): GenerationHandle | undefined {
     const { generation, sink } = resumed;
-    const earlier = this.#pending.find(generation.request);
+    const earlier = this.#generations.find(generation.request);
     if (earlier !== undefined) return this.#supersede(earlier, resumed);
     if (!this.#parts.stateTracker.removeOrphan(generation.request)) {
       return undefined;
@@ -91,7 +91,7 @@
     const { generation } = pending;
     const now = this.#now();
     const controller = this.#parts.controller();
-    this.#pending.add(pending);
+    this.#generations.add(pending);
     this.#parts.observer.record(now, {
       kind: "queued",
       request: generation.request,
@@ -109,10 +109,10 @@
    * @returns The requests.
    */
   withdrawWaiting(): readonly RequestWithSink[] {
-    const waiting = this.#pending.undispatched;
+    const waiting = this.#generations.undispatched;
     for (const { generation } of waiting) {
       this.#parts.controller().withdraw(generation.request);
-      this.#pending.remove(generation.request);
+      this.#generations.remove(generation.request);
     }
     return waiting;
   }
@@ -137,7 +137,7 @@
     decision: Extract<EngineDecision, { readonly kind: "dispatch" }>,
   ): void {
     const { request, queueWait, loadStall, priority } = decision;
-    const pending = this.#pending.find(request);
+    const pending = this.#generations.find(request);
     if (pending === undefined) return;
     // The request was preempted before, and the engine still has it.
     if (pending.handle !== undefined) return;
@@ -149,7 +149,7 @@
       queueWait,
       loadStall,
     });
-    this.#pending.stopWaiting(pending);
+    this.#generations.stopWaiting(pending);
     pending.priority = priority;
     this.#generate(pending);
   }
@@ -165,7 +165,7 @@
         controller.firstToken(firstTokenAt, request);
       },
       ended: (result, generatedTokens) => {
-        if (this.#pending.find(request) !== pending) return;
+        if (this.#generations.find(request) !== pending) return;
         if (mayStillRun(result)) {
           this.#parts.stateTracker.addOrphan(request);
           const now = this.#now();
@@ -198,9 +198,9 @@
     { generation, sink }: RequestWithSink,
   ): GenerationHandle {
     const pending: PendingGeneration = { ...earlier, generation, sink };
-    this.#pending.add(pending);
+    this.#generations.add(pending);
     if (earlier.handle !== undefined) {
-      this.#pending.stopWaiting(pending);
+      this.#generations.stopWaiting(pending);
       this.#generate(pending);
     }
     earlier.sink.onEnd(err(supersededFailure(this.#parts.engine)));
@@ -212,8 +212,8 @@
    * adapter is still pinned.
    */
   #resumeOrphan(pending: PendingGeneration): GenerationHandle {
-    this.#pending.add(pending);
-    this.#pending.stopWaiting(pending);
+    this.#generations.add(pending);
+    this.#generations.stopWaiting(pending);
     this.#generate(pending);
     return this.#handleOf(pending);
   }
@@ -247,7 +247,7 @@
     refused.handle = undefined;
     refused.adapterMisses += 1;
     await this.#parts.poller.readState();
-    const pending = this.#pending.find(request);
+    const pending = this.#generations.find(request);
     if (pending === undefined) return;
     const wasRestarted = this.#parts.controller() !== controller;
     if (!wasRestarted) controller.adapterMissing(this.#now(), adapter);
@@ -275,7 +275,7 @@
   }
 
   #cancel(request: RequestId): void {
-    const pending = this.#pending.find(request);
+    const pending = this.#generations.find(request);
     if (pending === undefined) return;
     if (pending.handle !== undefined) {
       pending.handle.cancel();
@@ -288,7 +288,7 @@
   }
 
   #end(request: RequestId, result: Result<GenerationEnd, Failure>): void {
-    this.#pending.remove(request)?.sink.onEnd(result);
+    this.#generations.remove(request)?.sink.onEnd(result);
   }
 
   #now(): Instant {
--- a/packages/node/src/serving/engine_runner.ts
+++ b/packages/node/src/serving/engine_runner.ts
@@ -55,7 +55,7 @@
 export class EngineRunner {
   readonly #parts: EngineRunnerParts;
   readonly #generations: EngineGenerations;
-  readonly #loads: EngineLoads;
+  readonly #engineLoads: EngineLoads;
   readonly #model: ModelId;
   readonly #stateTracker: EngineStateTracker;
   readonly #poller: EnginePoller;
@@ -68,7 +68,7 @@
 
   private constructor(parts: EngineRunnerParts, initialState: EngineState) {
     this.#parts = parts;
-    this.#loads = new EngineLoads(parts);
+    this.#engineLoads = new EngineLoads(parts);
     this.#model = initialState.model;
     this.#wishPublisher = new WishPublisher(parts);
     this.#suspects = new EngineSuspects(parts.engine, parts.crashes);
@@ -172,7 +172,7 @@
   stop(): readonly RequestWithSink[] {
     clearInterval(this.#timer);
     this.#poller.stop();
-    this.#loads.stop();
+    this.#engineLoads.stop();
     this.#parts.permits.unregister(this.#parts.engine);
     this.#parts.views.remove(this.#controller);
     const waiting = this.#generations.withdrawWaiting();
@@ -183,11 +183,11 @@
   #handleRestart(state: EngineState): void {
     const { engine, logger, views } = this.#parts;
     logger.warn("An engine has restarted.", { engine });
-    const waiting = this.#generations.undispatched;
+    const undispatched = this.#generations.undispatched;
     views.remove(this.#controller);
     this.#controller.close();
     this.#controller = this.#createController(state);
-    for (const pending of waiting) this.#generations.queue(pending);
+    for (const pending of undispatched) this.#generations.queue(pending);
     this.#executeDecisions();
   }
 
@@ -274,7 +274,7 @@
   #load(decision: Extract<EngineDecision, { readonly kind: "load" }>): void {
     const controller = this.#controller;
     const waiting = this.#generations.waitingFor(adapterKey(decision.adapter));
-    void this.#loads.load(decision, waiting).then((loaded) => {
+    void this.#engineLoads.load(decision, waiting).then((loaded) => {
       const { adapter } = decision;
       this.#releasePermit(adapter, loaded);
       controller.loadEnded(this.#now(), { adapter, loaded });
@@ -284,7 +284,7 @@
 
   #evict(adapter: AdapterReference): void {
     const controller = this.#controller;
-    void this.#loads.evict(adapter).then((evicted) => {
+    void this.#engineLoads.evict(adapter).then((evicted) => {
       controller.evictionEnded(this.#now(), { adapter, evicted });
       this.#executeDecisions();
     });
--- a/packages/node/src/serving/engine_state_tracker.ts
+++ b/packages/node/src/serving/engine_state_tracker.ts
@@ -37,7 +37,7 @@
 export class EngineStateTracker extends EnginePollListener {
   readonly #parts: EngineStateTrackerParts;
   /** Requests whose stream broke, which the engine may still run. */
-  readonly #orphans = new Set<RequestId>();
+  readonly #orphanedRequests = new Set<RequestId>();
 
   /** @param parts The dependencies. */
   constructor(parts: EngineStateTrackerParts) {
@@ -46,7 +46,7 @@
   }
 
   override get needsState(): boolean {
-    return this.#orphans.size > 0 ||
+    return this.#orphanedRequests.size > 0 ||
       this.#parts.controller().hasUnverifiedAdapters;
   }
 
@@ -56,7 +56,7 @@
    * @param request The request.
    */
   addOrphan(request: RequestId): void {
-    this.#orphans.add(request);
+    this.#orphanedRequests.add(request);
   }
 
   /**
@@ -65,7 +65,7 @@
    * @returns Whether it still has its batch place and its adapter pinned.
    */
   removeOrphan(request: RequestId): boolean {
-    return this.#orphans.delete(request);
+    return this.#orphanedRequests.delete(request);
   }
 
   override onRefused(): void {
@@ -108,16 +108,16 @@
   }
 
   override onRestart(state: EngineState, previousBootId: string): void {
-    this.#orphans.clear();
+    this.#orphanedRequests.clear();
     this.#parts.onRestart(state, previousBootId);
   }
 
   #releaseEndedOrphans(state: EngineState): void {
     const running = new Set(state.running.map(({ request }) => request));
     const now = this.#parts.clock.now();
-    for (const request of this.#orphans) {
+    for (const request of this.#orphanedRequests) {
       if (running.has(request)) continue;
-      this.#orphans.delete(request);
+      this.#orphanedRequests.delete(request);
       this.#parts.controller().requestEnded(now, request, 0);
     }
   }
--- a/packages/node/src/serving/generation_router.ts
+++ b/packages/node/src/serving/generation_router.ts
@@ -65,7 +65,7 @@
   readonly #views: EngineViews;
   readonly #runners: EngineRunners;
   readonly #summaryWatcher: SummaryWatcher;
-  readonly #unplaced: UnplacedRequests;
+  readonly #unplacedRequests: UnplacedRequests;
 
   /** @param parts The dependencies. */
   constructor(parts: GenerationRouterParts) {
@@ -83,7 +83,7 @@
         this.#summaryWatcher.forget(engine);
       },
     });
-    this.#unplaced = new UnplacedRequests(parts.clock, {
+    this.#unplacedRequests = new UnplacedRequests(parts.clock, {
       place: (generation, sink) => this.#place(generation, sink),
       onExpired: (generation, sink) => {
         sink.onEnd(err(noEngineFailure(this.#parts.self, generation.model)));
@@ -136,7 +136,7 @@
       generation.firstTokenTarget,
       MAXIMUM_UNPLACED_MILLISECONDS,
     );
-    return this.#unplaced.add(
+    return this.#unplacedRequests.add(
       generation,
       sink,
       later(clock.now(), milliseconds(wait)),
@@ -208,7 +208,7 @@
 
   /** Stops controlling all engines. */
   stop(): void {
-    this.#unplaced.stop();
+    this.#unplacedRequests.stop();
     this.#summaryWatcher.stop();
     this.#runners.stopAll();
   }
--- a/packages/node/src/serving/pending_generations.ts
+++ b/packages/node/src/serving/pending_generations.ts
@@ -93,12 +93,12 @@
 
 /** The requests at one engine; waiting ones are also indexed by adapter. */
 export class PendingGenerations {
-  readonly #pending = new Map<RequestId, PendingGeneration>();
+  readonly #generations = new Map<RequestId, PendingGeneration>();
   readonly #waitingByAdapter = new Map<AdapterKey, Set<RequestId>>();
 
   /** The requests that are not dispatched. */
   get undispatched(): readonly PendingGeneration[] {
-    return [...this.#pending.values()]
+    return [...this.#generations.values()]
       .filter((pending) => pending.handle === undefined);
   }
 
@@ -108,7 +108,7 @@
    * @returns The request, or undefined.
    */
   find(request: RequestId): PendingGeneration | undefined {
-    return this.#pending.get(request);
+    return this.#generations.get(request);
   }
 
   /**
@@ -117,7 +117,7 @@
    */
   add(pending: PendingGeneration): void {
     const { request, adapter } = pending.generation;
-    this.#pending.set(request, pending);
+    this.#generations.set(request, pending);
     const key = adapterKey(adapter);
     const waiting = this.#waitingByAdapter.get(key) ?? new Set();
     waiting.add(request);
@@ -142,10 +142,10 @@
    * @returns The request, or undefined.
    */
   remove(request: RequestId): PendingGeneration | undefined {
-    const pending = this.#pending.get(request);
+    const pending = this.#generations.get(request);
     if (pending === undefined) return undefined;
     this.stopWaiting(pending);
-    this.#pending.delete(request);
+    this.#generations.delete(request);
     return pending;
   }
 
--- a/packages/node/src/serving/summaries/summary_service.ts
+++ b/packages/node/src/serving/summaries/summary_service.ts
@@ -24,12 +24,12 @@
 
 /** Sends summaries of the engines that this node controls to other nodes. */
 export class SummaryService {
-  readonly #controlled: ControlledEngines;
+  readonly #controlledEngines: ControlledEngines;
   readonly #streams = new Set<SummaryStream>();
 
-  /** @param controlled Lists the controllers of the engines. */
-  constructor(controlled: ControlledEngines) {
-    this.#controlled = controlled;
+  /** @param controlledEngines Lists the controllers of the engines. */
+  constructor(controlledEngines: ControlledEngines) {
+    this.#controlledEngines = controlledEngines;
   }
 
   /** The service's registration with the peer server. */
@@ -51,7 +51,7 @@
 
   #serve(stream: SummaryStream): void {
     this.#streams.add(stream);
-    const session = new SummarySession(stream, this.#controlled);
+    const session = new SummarySession(stream, this.#controlledEngines);
     const timer = setInterval(() => {
       session.send();
     }, SUMMARY_INTERVAL_MILLISECONDS);
@@ -75,17 +75,17 @@
 /** The stream to one watching node, which receives only changes. */
 class SummarySession {
   readonly #stream: SummaryStream;
-  readonly #controlled: ControlledEngines;
+  readonly #controlledEngines: ControlledEngines;
   readonly #sentSummaries = new Map<EngineId, SentSummary>();
 
-  constructor(stream: SummaryStream, controlled: ControlledEngines) {
+  constructor(stream: SummaryStream, controlledEngines: ControlledEngines) {
     this.#stream = stream;
-    this.#controlled = controlled;
+    this.#controlledEngines = controlledEngines;
   }
 
   send(): void {
     const released = new Set(this.#sentSummaries.keys());
-    for (const controller of this.#controlled()) {
+    for (const controller of this.#controlledEngines()) {
       released.delete(controller.engine);
       this.#sendEngine(controller);
     }
--- a/packages/node/src/serving/summaries/summary_watcher.ts
+++ b/packages/node/src/serving/summaries/summary_watcher.ts
@@ -38,7 +38,7 @@
 export class SummaryWatcher {
   readonly #parts: SummaryWatcherParts;
   readonly #watches = new Map<string, NodeWatch>();
-  readonly #nodeOf = new Map<EngineId, string>();
+  readonly #nodeByEngine = new Map<EngineId, string>();
   #timer: NodeJS.Timeout | undefined;
 
   /** @param parts The dependencies. */
@@ -66,7 +66,7 @@
    * @returns The node's id, or undefined.
    */
   nodeOf(engine: EngineId): string | undefined {
-    return this.#nodeOf.get(engine);
+    return this.#nodeByEngine.get(engine);
   }
 
   /**
@@ -75,7 +75,7 @@
    * @returns The view, or undefined.
    */
   viewOf(engine: EngineId): SummarisedEngineView | undefined {
-    const node = this.#nodeOf.get(engine);
+    const node = this.#nodeByEngine.get(engine);
     if (node === undefined) return undefined;
     return this.#watches.get(node)?.views.get(engine);
   }
@@ -137,7 +137,7 @@
     watch.views.set(engine, view);
     if (message.whole) view.clear();
     view.update(summary, changesOf(message));
-    this.#nodeOf.set(engine, node);
+    this.#nodeByEngine.set(engine, node);
     this.#parts.views.put(view);
   }
 
@@ -158,7 +158,9 @@
     watch.views.delete(engine);
     view.clear();
     this.#parts.views.remove(view);
-    if (this.#nodeOf.get(engine) === node) this.#nodeOf.delete(engine);
+    if (this.#nodeByEngine.get(engine) === node) {
+      this.#nodeByEngine.delete(engine);
+    }
   }
 }
 
