--- a/packages/node/src/routing/local_peer_views.ts
+++ b/packages/node/src/routing/local_peer_views.ts
@@ -10,19 +10,19 @@
 
 /** Knows only this node; of other nodes, only the VM list is used. */
 export class OwnView extends PeerViews {
-  readonly #own: OwnState;
+  readonly #localNode: OwnState;
 
   /** @param own The state of this node. */
   constructor(own: OwnState) {
     super();
-    this.#own = own;
+    this.#localNode = own;
   }
 
   override isLeaving(node: NodeId): boolean {
-    return node === this.#own.self && this.#own.isLeaving();
+    return node === this.#localNode.self && this.#localNode.isLeaving();
   }
 
   override loadOf(node: NodeId): number | undefined {
-    return node === this.#own.self ? this.#own.load() : undefined;
+    return node === this.#localNode.self ? this.#localNode.load() : undefined;
   }
 }
--- a/packages/node/src/routing/routed_controllers.ts
+++ b/packages/node/src/routing/routed_controllers.ts
@@ -9,7 +9,7 @@
 import { AdapterControllers } from "./address_directory.ts";
 
 /** Determines where requests for an adapter are likely to be sent. */
-export interface LikelyControllers {
+export interface LikelyControllerFinder {
   /**
    * Finds the node that controls the home engine of an adapter.
    * @param model The adapter's model.
@@ -24,14 +24,14 @@
 
 /** Finds controllers by means of the generation router. */
 export class RoutedControllers extends AdapterControllers {
-  readonly #router: LikelyControllers;
+  readonly #router: LikelyControllerFinder;
   readonly #configuration: Configuration;
 
   /**
    * @param router Finds the likely controllers.
    * @param configuration The configuration of the adapters.
    */
-  constructor(router: LikelyControllers, configuration: Configuration) {
+  constructor(router: LikelyControllerFinder, configuration: Configuration) {
     super();
     this.#router = router;
     this.#configuration = configuration;
--- a/packages/node/src/serving/engine_orders.ts
+++ b/packages/node/src/serving/engine_orders.ts
@@ -68,11 +68,11 @@
     adapter: AdapterReference,
     expectsResident: boolean,
   ): Promise<Result<void, Failure>> {
-    const { client, clock, right, engine } = this.#parts;
+    const { client, clock, right: authorizer, engine } = this.#parts;
     const expiry = this.#parts.expiresInMilliseconds ??
       ORDER_EXPIRY_MILLISECONDS;
     const startedAt = clock.now();
-    const fencing = right.current(engine, startedAt);
+    const fencing = authorizer.current(engine, startedAt);
     if (fencing.isErr()) return err(fencing.error);
     const result = await client.order({
       kind,
--- a/packages/node/tests/serving/engine_orders_test.ts
+++ b/packages/node/tests/serving/engine_orders_test.ts
@@ -36,7 +36,7 @@
 
 async function startOrders(
   t: ExecutionContext,
-  right: OrderRight = new ConstantOrderRight(fencingNumber(1)),
+  authorizer: OrderRight = new ConstantOrderRight(fencingNumber(1)),
 ) {
   const engine = new FakeEngine({ id: ENGINE, loadMilliseconds: 1 });
   const baseAddress = await engine.listen({ host: "127.0.0.1", port: 0 });
@@ -50,7 +50,7 @@
     engine: ENGINE,
     client,
     clock: new ProcessClock(),
-    right,
+    right: authorizer,
     expiresInMilliseconds: 300,
   });
   t.teardown(async () => {
