--- a/packages/node/src/serving/engine_state_tracker.ts
+++ b/packages/node/src/serving/engine_state_tracker.ts
@@ -28,7 +28,7 @@
   readonly controller: () => EngineController;
   readonly controlledSince: () => Instant;
   readonly hasRequest: (request: RequestId) => boolean;
-  readonly onRestart: (state: EngineState, over: string) => void;
+  readonly onRestart: (state: EngineState, previousBootId: string) => void;
   /** Called with whether the engine accepts connections. */
   readonly setReachable: (isReachable: boolean) => void;
 }
