--- a/packages/node/src/serving/generation_router.ts
+++ b/packages/node/src/serving/generation_router.ts
@@ -80,7 +80,7 @@
       ...parts,
       views: this.#views,
       beforeStart: (engine) => {
-        this.#summaryWatcher.forget(engine);
+        this.#summaryWatcher.removeEngine(engine);
       },
     });
     this.#unplacedRequests = new UnplacedRequests(parts.clock, {
--- a/packages/node/src/serving/summaries/summary_watcher.ts
+++ b/packages/node/src/serving/summaries/summary_watcher.ts
@@ -84,7 +84,7 @@
    * Removes the view of an engine that this node takes over.
    * @param engine The engine.
    */
-  forget(engine: EngineId): void {
+  removeEngine(engine: EngineId): void {
     for (const [node, watch] of this.#watches) {
       this.#removeView(node, watch, engine);
     }
