--- a/packages/node/src/serving/engine_generations.ts
+++ b/packages/node/src/serving/engine_generations.ts
@@ -238,8 +238,8 @@
   }
 
   /**
-   * Queues a request again that the engine refused to run because the adapter
-   * is missing.
+   * Queues a request again whose adapter the engine did not have. The engine
+   * refused to run it, so it may be dispatched again.
    */
   async #refreshStateAndRetry(refused: PendingGeneration): Promise<void> {
     const { request, adapter } = refused.generation;
