--- a/packages/node/src/routing/routed_controllers.ts
+++ b/packages/node/src/routing/routed_controllers.ts
@@ -8,38 +8,45 @@
 } from "@foxtailwind/core";
 import { AdapterControllers } from "./address_directory.ts";
 
-/** Tells where requests for an adapter would go. */
-export interface LikelyControllers {
-  /** Finds the node that controls the home of an adapter. */
+/** Determines where requests for an adapter are likely to be sent. */
+export interface LikelyControllerFinder {
+  /**
+   * Finds the node that controls the home engine of an adapter.
+   * @param model The adapter's model.
+   * @param adapter The adapter and version.
+   * @returns The node, or undefined if no engine runs the model.
+   */
   likelyController(
     model: ModelId,
     adapter: AdapterReference,
   ): NodeId | undefined;
 }
 
-/** Finds controllers as the router of generations does. */
+/** Finds controllers by means of the generation router. */
 export class RoutedControllers extends AdapterControllers {
-  readonly #router: LikelyControllers;
+  readonly #router: LikelyControllerFinder;
   readonly #configuration: Configuration;
 
   /**
-   * @param router Knows the engines and who controls them.
-   * @param configuration The adapters.
+   * @param router Finds the likely controllers.
+   * @param configuration The configuration of the adapters.
    */
-  constructor(router: LikelyControllers, configuration: Configuration) {
+  constructor(router: LikelyControllerFinder, configuration: Configuration) {
     super();
     this.#router = router;
     this.#configuration = configuration;
   }
 
   override controllerOf(adapter: string): NodeId | undefined {
-    const at = adapter.lastIndexOf("@");
-    const id = adapterId(at < 0 ? adapter : adapter.slice(0, at));
+    const separatorIndex = adapter.lastIndexOf("@");
+    const id = adapterId(
+      separatorIndex < 0 ? adapter : adapter.slice(0, separatorIndex),
+    );
     const configured = this.#configuration.adapters.get(id);
     if (configured === undefined) return undefined;
-    const version = at < 0
+    const version = separatorIndex < 0
       ? configured.current
-      : adapterVersion(adapter.slice(at + 1));
+      : adapterVersion(adapter.slice(separatorIndex + 1));
     const reference = { adapter: id, version };
     return this.#router.likelyController(configured.model, reference);
   }
--- a/packages/node/src/routing/service_dispatcher.ts
+++ b/packages/node/src/routing/service_dispatcher.ts
@@ -23,7 +23,7 @@
   type ServiceResult,
 } from "./service_channel.ts";
 
-/** What the dispatcher works with. */
+/** The dependencies of a {@link ServiceDispatcher}. */
 export interface ServiceDispatcherParts {
   readonly failureDomain: FailureDomainId;
   readonly client: ServiceClient;
@@ -33,22 +33,22 @@
   readonly logger: PartLogger;
 }
 
-/** What else is known of a call. */
+/** Options of a service call. */
 export interface ServiceCallOptions {
   readonly id: RequestId;
   readonly repeatable: boolean;
-  /** Gives the call up, as when its caller has left. */
+  /** Cancels the call, for example if its caller has disconnected. */
   readonly signal?: AbortSignal;
 }
 
-const HIGHEST_SEED = 2 ** 31;
+const SEED_LIMIT = 2 ** 31;
 
-/** Brings calls to the plain services, over one channel for each service. */
+/** Dispatches calls to plain services, over one channel per service. */
 export class ServiceDispatcher extends ServiceCallRunner {
   readonly #parts: ServiceDispatcherParts;
   readonly #channels = new Map<ServiceId, ServiceChannel>();
 
-  /** @param parts What the dispatcher works with. */
+  /** @param parts The dependencies. */
   constructor(parts: ServiceDispatcherParts) {
     super();
     this.#parts = parts;
@@ -67,8 +67,8 @@
   /**
    * Makes a call.
    * @param request The call.
-   * @param options Whether it may be repeated, and what gives it up.
-   * @returns The answer, or a failure that tells truthfully if it ran.
+   * @param options Whether it is repeatable, and how to cancel it.
+   * @returns The answer, or a failure that states whether the call ran.
    */
   async call(
     request: ServiceRequest,
@@ -78,7 +78,7 @@
     const { services } = this.#parts.configuration;
     const channel = this.#channels.get(service);
     if (channel === undefined) {
-      return err(unreachable(service, services.has(service)));
+      return err(noServerFailure(service, services.has(service)));
     }
     channel.setTarget(services.get(service));
     const { id, repeatable, signal } = options;
@@ -104,21 +104,21 @@
         address: vm.address,
       });
     }
-    this.#forgetIdle(byService);
+    this.#removeUnlisted(byService);
     for (const [service, servers] of byService) {
-      this.#channel(service).updateServers(servers);
+      this.#getOrCreateChannel(service).updateServers(servers);
     }
   }
 
-  #forgetIdle(shown: ReadonlyMap<ServiceId, unknown>): void {
+  #removeUnlisted(listed: ReadonlyMap<ServiceId, unknown>): void {
     for (const [service, channel] of this.#channels) {
-      if (shown.has(service)) continue;
+      if (listed.has(service)) continue;
       if (channel.isIdle) this.#channels.delete(service);
       else channel.updateServers([]);
     }
   }
 
-  #channel(service: ServiceId): ServiceChannel {
+  #getOrCreateChannel(service: ServiceId): ServiceChannel {
     const known = this.#channels.get(service);
     if (known !== undefined) return known;
     const { client, clock, logger, failureDomain } = this.#parts;
@@ -126,7 +126,7 @@
       router: {
         service,
         failureDomain,
-        random: randomSource(randomInt(HIGHEST_SEED)),
+        random: randomSource(randomInt(SEED_LIMIT)),
         policy: SERVICE_POLICY,
       },
       client,
@@ -140,7 +140,7 @@
 
 const RETRY_AFTER_MILLISECONDS = 1_000;
 
-function unreachable(service: ServiceId, isConfigured: boolean): Failure {
+function noServerFailure(service: ServiceId, isConfigured: boolean): Failure {
   return {
     reason: isConfigured ? "unavailable" : "not_found",
     step: "call_service",
--- a/packages/node/src/serving/engine_orders.ts
+++ b/packages/node/src/serving/engine_orders.ts
@@ -10,49 +10,52 @@
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { OrderRight } from "./order_right.ts";
 
-/** Until then the engine may act on an order; orders must end sooner. */
+/**
+ * The time within which the engine may act on an order. Orders must end
+ * sooner.
+ */
 const ORDER_EXPIRY_MILLISECONDS = 5_000;
-const READ_AGAIN_MILLISECONDS = 250;
+const STATE_POLL_INTERVAL_MILLISECONDS = 250;
 
-/** What orders are given with. */
+/** The dependencies of {@link EngineOrders}. */
 export interface EngineOrdersParts {
   readonly engine: EngineId;
   readonly client: EngineClient;
   readonly clock: SteadyClock;
   readonly right: OrderRight;
-  /** Until when after its start the engine may act on an order. */
+  /** The time from an order's start within which the engine may act on it. */
   readonly expiresInMilliseconds?: number;
 }
 
 /**
- * Gives an engine orders, and finds out what became of those whose answer was
- * lost, by the engine's own state after the order has expired.
+ * Sends orders to an engine. If the answer to an order is lost, its outcome is
+ * read from the engine's state after the order has expired.
  */
 export class EngineOrders {
   readonly #parts: EngineOrdersParts;
   #stopped = false;
 
-  /** @param parts What to give orders with. */
+  /** @param parts The dependencies. */
   constructor(parts: EngineOrdersParts) {
     this.#parts = parts;
   }
 
   /**
-   * Orders a load.
+   * Loads an adapter.
    * @param adapter The adapter.
-   * @returns Nothing once it is resident, or why it is not.
+   * @returns Success once it is resident, or why it is not.
    */
   load(adapter: AdapterReference): Promise<Result<void, Failure>> {
-    return this.#give("load_adapter", adapter, true);
+    return this.#execute("load_adapter", adapter, true);
   }
 
   /**
-   * Orders an eviction.
+   * Evicts an adapter.
    * @param adapter The adapter.
-   * @returns Nothing once it has left, or why it has not.
+   * @returns Success once it is evicted, or why it is not.
    */
   evict(adapter: AdapterReference): Promise<Result<void, Failure>> {
-    return this.#give("evict_adapter", adapter, false);
+    return this.#execute("evict_adapter", adapter, false);
   }
 
   /** Stops reading the engine's state. */
@@ -60,16 +63,16 @@
     this.#stopped = true;
   }
 
-  async #give(
+  async #execute(
     kind: "load_adapter" | "evict_adapter",
     adapter: AdapterReference,
-    wantsResident: boolean,
+    expectsResident: boolean,
   ): Promise<Result<void, Failure>> {
-    const { client, clock, right, engine } = this.#parts;
+    const { client, clock, right: authorizer, engine } = this.#parts;
     const expiry = this.#parts.expiresInMilliseconds ??
       ORDER_EXPIRY_MILLISECONDS;
-    const given = clock.now();
-    const fencing = right.current(engine, given);
+    const startedAt = clock.now();
+    const fencing = authorizer.current(engine, startedAt);
     if (fencing.isErr()) return err(fencing.error);
     const result = await client.order({
       kind,
@@ -78,13 +81,13 @@
       expiresInMilliseconds: expiry,
     });
     if (result.isOk() || result.error.outcome === "not_run") return result;
-    const passed = clock.now() - given;
-    await sleep(Math.max(0, expiry - passed));
+    const elapsedMilliseconds = clock.now() - startedAt;
+    await sleep(Math.max(0, expiry - elapsedMilliseconds));
     const resident = await this.#isResident(adapter);
-    return resident === wantsResident ? ok() : err(result.error);
+    return resident === expectsResident ? ok() : err(result.error);
   }
 
-  /** Asks until the engine answers and the adapter's load is not under way. */
+  /** Polls until the engine answers and the adapter is not being loaded. */
   async #isResident(adapter: AdapterReference): Promise<boolean> {
     const key = adapterKey(adapter);
     while (!this.#stopped) {
@@ -94,7 +97,7 @@
       if (state.isOk() && !isLoading) {
         return state.value.resident.some((other) => adapterKey(other) === key);
       }
-      await sleep(READ_AGAIN_MILLISECONDS);
+      await sleep(STATE_POLL_INTERVAL_MILLISECONDS);
     }
     return false;
   }
--- a/packages/node/src/serving/engine_state_follower.ts
+++ b/packages/node/src/serving/engine_state_tracker.ts
@@ -14,66 +14,66 @@
   EngineState,
 } from "@foxtailwind/edges";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import { EngineWatcher } from "./engine_watch.ts";
+import { EnginePollListener } from "./engine_poller.ts";
 
-/** A request that the controller before sent may be so long on its way. */
-const LONGEST_FLIGHT_MILLISECONDS = 1_000;
+/** How long a request of the previous controller may be in transit. */
+const MAXIMUM_TRANSIT_MILLISECONDS = 1_000;
 
-/** What a follower works with. */
-export interface EngineStateFollowerParts {
+/** The dependencies of an {@link EngineStateTracker}. */
+export interface EngineStateTrackerParts {
   readonly engine: EngineId;
   readonly clock: SteadyClock;
   readonly observer: RequestObserver;
   readonly prefixes: PrefixHistory;
   readonly controller: () => EngineController;
   readonly controlledSince: () => Instant;
-  readonly isHeld: (request: RequestId) => boolean;
-  readonly restarted: (state: EngineState, over: string) => void;
-  /** Learns whether the engine takes connections. */
-  readonly reachable: (isReachable: boolean) => void;
+  readonly hasRequest: (request: RequestId) => boolean;
+  readonly onRestart: (state: EngineState, previousBootId: string) => void;
+  /** Called with whether the engine accepts connections. */
+  readonly setReachable: (isReachable: boolean) => void;
 }
 
-/** Brings what an engine publishes to its controller. */
-export class EngineStateFollower extends EngineWatcher {
-  readonly #parts: EngineStateFollowerParts;
-  /** Requests whose stream broke: the engine may still run them. */
-  readonly #orphans = new Set<RequestId>();
+/** Forwards what an engine publishes to its controller. */
+export class EngineStateTracker extends EnginePollListener {
+  readonly #parts: EngineStateTrackerParts;
+  /** Requests whose stream broke, which the engine may still run. */
+  readonly #orphanedRequests = new Set<RequestId>();
 
-  /** @param parts What to work with. */
-  constructor(parts: EngineStateFollowerParts) {
+  /** @param parts The dependencies. */
+  constructor(parts: EngineStateTrackerParts) {
     super();
     this.#parts = parts;
   }
 
   override get needsState(): boolean {
-    return this.#orphans.size > 0 ||
+    return this.#orphanedRequests.size > 0 ||
       this.#parts.controller().hasUnverifiedAdapters;
   }
 
   /**
-   * Keeps the pin of a request whose stream broke until the engine's state
-   * shows that it runs no more.
+   * Keeps the adapter of a request pinned after its stream broke, until the
+   * engine's state shows that the request no longer runs.
    * @param request The request.
    */
-  orphan(request: RequestId): void {
-    this.#orphans.add(request);
+  addOrphan(request: RequestId): void {
+    this.#orphanedRequests.add(request);
   }
 
   /**
-   * Takes a request back whose stream is to be resumed.
+   * Removes a request from the orphans, to resume its stream.
    * @param request The request.
-   * @returns Whether it still has its place and its pin.
+   * @returns Whether it still has its batch place and its adapter pinned.
    */
-  adopt(request: RequestId): boolean {
-    return this.#orphans.delete(request);
+  removeOrphan(request: RequestId): boolean {
+    return this.#orphanedRequests.delete(request);
   }
 
   override onRefused(): void {
-    this.#parts.reachable(false);
+    this.#parts.setReachable(false);
   }
 
   override onReport(report: EngineLoadReport): void {
-    this.#parts.reachable(true);
+    this.#parts.setReachable(true);
     const { clock, engine, observer } = this.#parts;
     observer.recordBatch(clock.now(), { engine, fill: report.batchFill });
     this.#parts.controller().reported(clock.now(), {
@@ -94,11 +94,11 @@
   }
 
   override onState(state: EngineState): void {
-    this.#endOrphans(state);
-    const { clock, controlledSince, isHeld } = this.#parts;
+    this.#releaseEndedOrphans(state);
+    const { clock, controlledSince, hasRequest } = this.#parts;
     const now = clock.now();
-    if (now < controlledSince() + LONGEST_FLIGHT_MILLISECONDS) return;
-    const inUse = state.running.filter(({ request }) => !isHeld(request))
+    if (now < controlledSince() + MAXIMUM_TRANSIT_MILLISECONDS) return;
+    const inUse = state.running.filter(({ request }) => !hasRequest(request))
       .map((running) => adapterKey(running.adapter));
     this.#parts.controller().reconcile(now, {
       resident: state.resident.map(adapterKey),
@@ -107,17 +107,17 @@
     });
   }
 
-  override onRestart(state: EngineState, over: string): void {
-    this.#orphans.clear();
-    this.#parts.restarted(state, over);
+  override onRestart(state: EngineState, previousBootId: string): void {
+    this.#orphanedRequests.clear();
+    this.#parts.onRestart(state, previousBootId);
   }
 
-  #endOrphans(state: EngineState): void {
+  #releaseEndedOrphans(state: EngineState): void {
     const running = new Set(state.running.map(({ request }) => request));
     const now = this.#parts.clock.now();
-    for (const request of this.#orphans) {
+    for (const request of this.#orphanedRequests) {
       if (running.has(request)) continue;
-      this.#orphans.delete(request);
+      this.#orphanedRequests.delete(request);
       this.#parts.controller().requestEnded(now, request, 0);
     }
   }
--- a/packages/node/src/serving/permits/permit_holder.ts
+++ b/packages/node/src/serving/permits/permit_holder.ts
@@ -11,111 +11,117 @@
 import type { SteadyClock } from "../../clock/steady_clock.ts";
 import type { PermitListener, PermittedLoad } from "./load_permits.ts";
 
-/** A new holder waits so long: loads permitted before it may still run. */
-const QUIET = seconds(1);
-const LONGEST_SLEEP = 50;
+/**
+ * How long a new holder waits, since loads permitted by the previous one may
+ * still run.
+ */
+const STARTUP_DELAY = seconds(1);
+const MAXIMUM_SLEEP_MILLISECONDS = 50;
 
-/** Holds the permits of one weight store while this node is chosen for it. */
+/** Grants the permits of one weight store while this node is the holder. */
 export class PermitHolder {
   readonly #clock: SteadyClock;
-  readonly #ledger: LoadPermitIssuer;
+  readonly #issuer: LoadPermitIssuer;
   readonly #listeners = new Map<EngineId, PermitListener>();
   #timer: NodeJS.Timeout | undefined;
 
   /**
    * @param clock This VM's clock.
-   * @param limits What the weight store allows.
+   * @param limits The limits of the weight store.
    */
   constructor(clock: SteadyClock, limits: LoadLimits) {
     this.#clock = clock;
-    this.#ledger = new LoadPermitIssuer(limits, later(clock.now(), QUIET));
+    this.#issuer = new LoadPermitIssuer(
+      limits,
+      later(clock.now(), STARTUP_DELAY),
+    );
   }
 
-  /** How many permits are out. */
+  /** Number of permits in use. */
   get outstanding(): number {
-    return this.#ledger.outstanding;
+    return this.#issuer.outstanding;
   }
 
   /**
-   * Takes the limits into force that the weight store states.
+   * Applies the limits stated by the weight store.
    * @param limits The limits.
    */
   changeLimits(limits: LoadLimits): void {
-    this.#ledger.changeLimits(this.#clock.now(), limits);
+    this.#issuer.changeLimits(this.#clock.now(), limits);
   }
 
   /**
-   * Replaces an engine's wishes.
+   * Replaces the wishes of an engine.
    * @param engine The engine.
-   * @param wishes The most urgent ones.
+   * @param wishes The most urgent wishes.
    * @param listener Receives the engine's permits.
    */
-  offer(
+  setWishes(
     engine: EngineId,
     wishes: readonly LoadWish[],
     listener: PermitListener,
   ): void {
     this.#listeners.set(engine, listener);
-    this.#ledger.setWishes(this.#clock.now(), engine, wishes);
-    this.#grant();
+    this.#issuer.setWishes(this.#clock.now(), engine, wishes);
+    this.#grantPermits();
   }
 
   /**
-   * Takes a permit back.
+   * Releases a permit.
    * @param load The load, and whether the adapter was loaded.
    */
-  ended(load: PermittedLoad & { readonly loaded: boolean }): void {
+  release(load: PermittedLoad & { readonly loaded: boolean }): void {
     const key = adapterKey(load.adapter);
-    this.#ledger.release(this.#clock.now(), { ...load, key });
-    this.#grant();
+    this.#issuer.release(this.#clock.now(), { ...load, key });
+    this.#grantPermits();
   }
 
   /**
-   * Takes note that a load goes on.
+   * Extends the permit of a load in progress.
    * @param load The load.
    */
-  renewed(load: PermittedLoad): void {
+  renew(load: PermittedLoad): void {
     const key = adapterKey(load.adapter);
-    this.#ledger.renew(this.#clock.now(), { ...load, key });
+    this.#issuer.renew(this.#clock.now(), { ...load, key });
   }
 
   /**
-   * Forgets an engine's wishes; its permits run out by themselves.
+   * Removes an engine's wishes. Its permits expire by themselves.
    * @param engine The engine.
    */
-  withdraw(engine: EngineId): void {
-    this.#ledger.setWishes(this.#clock.now(), engine, []);
+  removeEngine(engine: EngineId): void {
+    this.#issuer.setWishes(this.#clock.now(), engine, []);
     this.#listeners.delete(engine);
   }
 
-  /** Grants nothing any more. */
+  /** Stops granting permits. */
   stop(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
     this.#listeners.clear();
   }
 
-  #grant(): void {
+  #grantPermits(): void {
     const now = this.#clock.now();
     for (;;) {
-      const permit = this.#ledger.grant(now);
+      const permit = this.#issuer.grant(now);
       if (permit === undefined) break;
       const listener = this.#listeners.get(permit.engine);
       if (listener === undefined) {
-        this.#ledger.release(now, { ...permit, loaded: false });
+        this.#issuer.release(now, { ...permit, loaded: false });
       } else {
         listener(permit.adapter);
       }
     }
-    this.#schedule(now);
+    this.#scheduleGrant(now);
   }
 
-  #schedule(now: Instant): void {
-    if (this.#timer !== undefined || !this.#ledger.hasWishes) return;
-    const wait = this.#ledger.nextGrantAt(now) - now;
+  #scheduleGrant(now: Instant): void {
+    if (this.#timer !== undefined || !this.#issuer.hasWishes) return;
+    const wait = this.#issuer.nextGrantAt(now) - now;
     this.#timer = setTimeout(() => {
       this.#timer = undefined;
-      this.#grant();
-    }, Math.min(LONGEST_SLEEP, Math.max(1, wait)));
+      this.#grantPermits();
+    }, Math.min(MAXIMUM_SLEEP_MILLISECONDS, Math.max(1, wait)));
   }
 }
--- a/packages/node/src/serving/permits/permit_link.ts
+++ b/packages/node/src/serving/permits/permit_link.ts
@@ -16,11 +16,11 @@
   toWishList,
 } from "./permit_messages.ts";
 
-/** What a link tells its node. */
+/** Receives the events of a {@link PermitLink}. */
 export interface PermitLinkListener {
-  readonly permitted: (engine: EngineId, adapter: PermittedAdapter) => void;
-  readonly outstanding: (permits: number) => void;
-  readonly lost: () => void;
+  readonly onPermit: (engine: EngineId, adapter: PermittedAdapter) => void;
+  readonly onOutstanding: (permits: number) => void;
+  readonly onLost: () => void;
 }
 
 type PermittedAdapter = Parameters<PermitListener>[0];
@@ -29,13 +29,13 @@
 export class PermitLink {
   readonly address: string;
   readonly #stream: ClientDuplexStream<PermitMessage, PermitAnswer>;
-  #isConfirmed = false;
+  #hasAnswered = false;
   #isOpen = true;
 
   /**
-   * @param address The holder's address between nodes.
-   * @param channel The connection to it.
-   * @param listener Learns of permits and of the stream's end.
+   * @param address The holder's address for other nodes.
+   * @param channel The channel to the holder.
+   * @param listener Receives permits and the stream's end.
    */
   constructor(address: string, channel: Channel, listener: PermitLinkListener) {
     this.address = address;
@@ -49,41 +49,41 @@
       this.#receive(answer, listener);
     });
     this.#stream.on("error", () => {
-      this.#lose(listener);
+      this.#handleLoss(listener);
     });
     this.#stream.on("end", () => {
-      this.#lose(listener);
+      this.#handleLoss(listener);
     });
   }
 
-  /** Whether the holder has answered and the stream goes on. */
+  /** Whether the holder has answered and the stream is open. */
   get isConfirmed(): boolean {
-    return this.#isOpen && this.#isConfirmed;
+    return this.#isOpen && this.#hasAnswered;
   }
 
   /**
-   * Replaces an engine's wishes.
+   * Replaces the wishes of an engine.
    * @param engine The engine.
    * @param wishes Its wishes.
    */
-  offer(engine: EngineId, wishes: readonly LoadWish[]): void {
+  setWishes(engine: EngineId, wishes: readonly LoadWish[]): void {
     this.#send({ $case: "wishes", value: toWishList(engine, wishes) });
   }
 
   /**
-   * Gives a permit back.
+   * Releases a permit.
    * @param load The load, and whether the adapter was loaded.
    */
-  ended(load: PermittedLoad & { readonly loaded: boolean }): void {
+  release(load: PermittedLoad & { readonly loaded: boolean }): void {
     const adapter = toLoadedAdapter(load.adapter);
     this.#send({ $case: "ended", value: { ...load, adapter } });
   }
 
   /**
-   * Tells that a load goes on.
+   * Extends the permit of a load in progress.
    * @param load The load.
    */
-  renewed(load: PermittedLoad): void {
+  renew(load: PermittedLoad): void {
     const adapter = toLoadedAdapter(load.adapter);
     this.#send({ $case: "renewed", value: { ...load, adapter } });
   }
@@ -102,26 +102,26 @@
     const { part } = answer;
     switch (part?.$case) {
       case "permit":
-        listener.permitted(
+        listener.onPermit(
           engineId(part.value.engine),
           fromLoadedAdapter(part.value.adapter),
         );
         break;
       case "outlook":
-        this.#isConfirmed = true;
-        listener.outstanding(part.value.outstanding);
+        this.#hasAnswered = true;
+        listener.onOutstanding(part.value.outstanding);
         break;
       case "refusal":
-        this.#lose(listener);
+        this.#handleLoss(listener);
         break;
       case undefined:
         break;
     }
   }
 
-  #lose(listener: PermitLinkListener): void {
+  #handleLoss(listener: PermitLinkListener): void {
     if (!this.#isOpen) return;
     this.#isOpen = false;
-    listener.lost();
+    listener.onLost();
   }
 }
--- a/packages/node/src/serving/routing_failures.ts
+++ b/packages/node/src/serving/routing_failures.ts
@@ -3,12 +3,12 @@
 const RETRY_AFTER_MILLISECONDS = 1_000;
 
 /**
- * Describes a request that could not be brought to an engine.
+ * Creates the failure of a request that could not be sent to an engine.
  * @param self This node.
- * @param message What stood in the way.
+ * @param message The cause.
  * @returns The failure.
  */
-export function unroutable(self: NodeId, message: string): Failure {
+export function unroutableFailure(self: NodeId, message: string): Failure {
   return {
     reason: "unavailable",
     step: "route",
@@ -20,33 +20,43 @@
 }
 
 /**
- * Describes a request whose model no engine runs.
+ * Creates the failure of a request whose model no engine runs.
  * @param self This node.
  * @param model The model.
  * @returns The failure.
  */
-export function noEngine(self: NodeId, model: ModelId): Failure {
-  return unroutable(self, `No engine runs ${model}.`);
+export function noEngineFailure(self: NodeId, model: ModelId): Failure {
+  return unroutableFailure(self, `No engine runs model "${model}".`);
 }
 
 /**
- * Describes a request whose caller left before an engine was found.
+ * Creates the failure of a request whose caller disconnected before an engine
+ * was found.
  * @param self This node.
  * @returns The failure.
  */
-export function leftUnplaced(self: NodeId): Failure {
-  return { ...unroutable(self, "The caller left."), reason: "cancelled" };
+export function callerLeftFailure(self: NodeId): Failure {
+  return {
+    ...unroutableFailure(self, "The caller disconnected."),
+    reason: "cancelled",
+  };
 }
 
 /**
- * Describes a request that no engine would answer within its target.
+ * Creates the failure of a request that no engine can answer within its target.
  * @param self This node.
- * @param retryAfter When its caller may come back, in milliseconds.
+ * @param retryAfter When the caller may retry, in milliseconds.
  * @returns The failure.
  */
-export function cannotMeetTarget(self: NodeId, retryAfter: number): Failure {
+export function targetUnreachableFailure(
+  self: NodeId,
+  retryAfter: number,
+): Failure {
   return {
-    ...unroutable(self, "The class's target cannot be met now."),
+    ...unroutableFailure(
+      self,
+      "No engine can meet the target of the class now.",
+    ),
     reason: "overloaded",
     step: "admit",
     retryAfterMilliseconds: Math.ceil(retryAfter),
--- a/packages/node/src/serving/summaries/summary_messages.ts
+++ b/packages/node/src/serving/summaries/summary_messages.ts
@@ -19,10 +19,10 @@
 } from "../permits/permit_messages.ts";
 
 /**
- * Puts a summary into a message.
+ * Converts a summary to a message.
  * @param summary The summary.
  * @param changes The adapters whose standing changed.
- * @param whole Whether the changes are all adapters.
+ * @param whole Whether the changes list all adapters.
  * @returns The message.
  */
 export function toSummaryMessage(
@@ -63,14 +63,14 @@
     running: message.running,
     awaitedAdapters: message.awaitedAdapters,
     canMakeRoom: message.canMakeRoom,
-    ready: loadsOf(message.classes, (entry) => entry.ready),
-    blocked: loadsOf(message.classes, (entry) => entry.blocked),
-    runningByTarget: loadsOf(message.classes, (entry) => entry.running),
+    ready: targetCountsOf(message.classes, (entry) => entry.ready),
+    blocked: targetCountsOf(message.classes, (entry) => entry.blocked),
+    runningByTarget: targetCountsOf(message.classes, (entry) => entry.running),
   };
 }
 
 /**
- * Reads the adapters that a message says have changed.
+ * Reads the changed adapters from a message.
  * @param message The message.
  * @returns The adapters and their standing.
  */
@@ -142,7 +142,7 @@
   return [...byTarget.values()];
 }
 
-function loadsOf(
+function targetCountsOf(
   classes: readonly ClassLoad[],
   countOf: (entry: ClassLoad) => number,
 ): readonly TargetCount[] {
--- a/packages/node/src/serving/summaries/summary_service.ts
+++ b/packages/node/src/serving/summaries/summary_service.ts
@@ -13,26 +13,26 @@
 import type { PeerRegistration } from "../../peers/peer_server.ts";
 import { toSummaryMessage } from "./summary_messages.ts";
 
-const INTERVAL_MILLISECONDS = 100;
-/** An unchanged engine is summarised this seldom, as a sign of life. */
-const QUIET_INTERVALS = 20;
+const SUMMARY_INTERVAL_MILLISECONDS = 100;
+/** The intervals until an unchanged summary is repeated, as a heartbeat. */
+const MAXIMUM_UNCHANGED_INTERVALS = 20;
 
 type SummaryStream = ServerWritableStream<WatchRequest, EngineSummary>;
 
-/** Finds the engines that this node controls now. */
+/** Lists the controllers of the engines that this node controls. */
 export type ControlledEngines = () => Iterable<EngineController>;
 
-/** Tells other nodes of the engines that this node controls. */
+/** Sends summaries of the engines that this node controls to other nodes. */
 export class SummaryService {
-  readonly #controlled: ControlledEngines;
+  readonly #controlledEngines: ControlledEngines;
   readonly #streams = new Set<SummaryStream>();
 
-  /** @param controlled Finds the engines. */
-  constructor(controlled: ControlledEngines) {
-    this.#controlled = controlled;
+  /** @param controlledEngines Lists the controllers of the engines. */
+  constructor(controlledEngines: ControlledEngines) {
+    this.#controlledEngines = controlledEngines;
   }
 
-  /** The service, to register. */
+  /** The service's registration with the peer server. */
   get registration(): PeerRegistration {
     return {
       definition: EngineSummariesService,
@@ -51,10 +51,10 @@
 
   #serve(stream: SummaryStream): void {
     this.#streams.add(stream);
-    const session = new SummarySession(stream, this.#controlled);
+    const session = new SummarySession(stream, this.#controlledEngines);
     const timer = setInterval(() => {
       session.send();
-    }, INTERVAL_MILLISECONDS);
+    }, SUMMARY_INTERVAL_MILLISECONDS);
     const finish = (): void => {
       clearInterval(timer);
       this.#streams.delete(stream);
@@ -68,24 +68,24 @@
 
 interface SentSummary {
   readonly standings: ReadonlyMap<AdapterKey, AdapterWithStanding>;
-  readonly text: string;
-  readonly age: number;
+  readonly serialized: string;
+  readonly unchangedIntervals: number;
 }
 
-/** One watching node: it is sent only what changed. */
+/** The stream to one watching node, which receives only changes. */
 class SummarySession {
   readonly #stream: SummaryStream;
-  readonly #controlled: ControlledEngines;
-  readonly #sent = new Map<EngineId, SentSummary>();
+  readonly #controlledEngines: ControlledEngines;
+  readonly #sentSummaries = new Map<EngineId, SentSummary>();
 
-  constructor(stream: SummaryStream, controlled: ControlledEngines) {
+  constructor(stream: SummaryStream, controlledEngines: ControlledEngines) {
     this.#stream = stream;
-    this.#controlled = controlled;
+    this.#controlledEngines = controlledEngines;
   }
 
   send(): void {
-    const released = new Set(this.#sent.keys());
-    for (const controller of this.#controlled()) {
+    const released = new Set(this.#sentSummaries.keys());
+    for (const controller of this.#controlledEngines()) {
       released.delete(controller.engine);
       this.#sendEngine(controller);
     }
@@ -94,25 +94,34 @@
 
   #sendEngine(controller: EngineController): void {
     const { engine, summary } = controller;
-    const before = this.#sent.get(engine);
+    const previous = this.#sentSummaries.get(engine);
     const standings = new Map(
       controller.standings().map((entry) => [entry.key, entry]),
     );
-    const changes = changedStandings(before?.standings, standings);
-    const text = JSON.stringify(summary);
-    const age = (before?.age ?? 0) + 1;
-    const isQuiet = before?.text === text && changes.length === 0;
-    if (isQuiet && age < QUIET_INTERVALS) {
-      this.#sent.set(engine, { standings, text, age });
+    const changes = changedStandings(previous?.standings, standings);
+    const serialized = JSON.stringify(summary);
+    const unchangedIntervals = (previous?.unchangedIntervals ?? 0) + 1;
+    const isUnchanged = previous?.serialized === serialized &&
+      changes.length === 0;
+    if (isUnchanged && unchangedIntervals < MAXIMUM_UNCHANGED_INTERVALS) {
+      this.#sentSummaries.set(engine, {
+        standings,
+        serialized,
+        unchangedIntervals,
+      });
       return;
     }
-    this.#sent.set(engine, { standings, text, age: 0 });
-    const isWhole = before === undefined;
+    this.#sentSummaries.set(engine, {
+      standings,
+      serialized,
+      unchangedIntervals: 0,
+    });
+    const isWhole = previous === undefined;
     this.#stream.write(toSummaryMessage(summary, changes, isWhole));
   }
 
   #release(engine: EngineId): void {
-    this.#sent.delete(engine);
+    this.#sentSummaries.delete(engine);
     this.#stream.write({
       engine,
       released: true,
