--- a/packages/node/src/relay/adapter_grants.ts
+++ b/packages/node/src/relay/adapter_grants.ts
@@ -22,30 +22,33 @@
 import type { UseAnswer, UseRequest } from "./engine_use.ts";
 import { readStart, writeStart } from "./start_message.ts";
 
-/** After so many milliseconds, an owner counts as not told of a miss. */
-const MISS_LIMIT = 500;
+/** Timeout of a call that reports a miss to an engine's owner. */
+const MISS_REPORT_TIMEOUT_MILLISECONDS = 500;
 
-/** What an owner answers, or that it can't be reached. */
+/** The owner's answer, or that the owner can't be reached. */
 export type GrantAnswer = UseAnswer | { readonly kind: "unreachable" };
 
-/** Where to ask for the use of an adapter. */
-export interface GrantAddress {
+/** An engine, its owner and the owner's address. */
+export interface EngineOwnerAddress {
   readonly engine: BackendServerId;
   readonly owner: NodeId;
-  /** IP literal and port of the owner. */
+  /** The owner's IP address and port. */
   readonly address: string;
 }
 
-/** Asks the owners of engines, this node included, for uses of adapters. */
+/**
+ * Requests uses of adapters from the nodes that own the engines, which may be
+ * this node.
+ */
 export class AdapterGrants {
   readonly #self: NodeId;
   readonly #owners: EngineOwners;
   readonly #channels: PeerChannels;
 
   /**
-   * @param self This node.
-   * @param owners The engines that it owns.
-   * @param channels Its connections to the others.
+   * @param self The id of this node.
+   * @param owners The engines that this node owns.
+   * @param channels The gRPC channels to other nodes.
    */
   constructor(self: NodeId, owners: EngineOwners, channels: PeerChannels) {
     this.#self = self;
@@ -54,31 +57,32 @@
   }
 
   /**
-   * Asks for a use.
-   * @param where The engine and its owner.
-   * @param request What is to be used.
-   * @param signal Ends the wait.
+   * Requests the use of an adapter or a base model.
+   * @param target The engine and its owner.
+   * @param request The requested use.
+   * @param signal Cancels the request.
    * @returns The answer.
    */
-  ask(
-    where: GrantAddress,
+  requestUse(
+    target: EngineOwnerAddress,
     request: UseRequest,
     signal: AbortSignal,
   ): Promise<GrantAnswer> {
-    if (where.owner !== this.#self) {
-      return this.#askPeer(where, request, signal);
+    if (target.owner !== this.#self) {
+      return this.#requestFromPeer(target, request, signal);
     }
-    const owner = this.#owners.find(where.engine);
+    const owner = this.#owners.find(target.engine);
     if (owner === undefined) return Promise.resolve({ kind: "not_owner" });
-    return owner.use(request, signal);
+    return owner.requestUse(request, signal);
   }
 
   /**
-   * Tells an engine's owner that the engine lacked what it had granted. Where
-   * the owner does not hear of it, the next miss is told.
-   * @param where The engine and its owner.
+   * Reports to an engine's owner that the engine lacked an adapter or model
+   * whose use was granted. The report isn't repeated if it fails: the owner
+   * hears of the next miss.
+   * @param target The engine and its owner.
    */
-  missed({ engine, owner, address }: GrantAddress): void {
+  missed({ engine, owner, address }: EngineOwnerAddress): void {
     if (owner === this.#self) {
       this.#owners.find(engine)?.missed();
       return;
@@ -86,7 +90,7 @@
     this.#client(address).noteMiss(
       { engine },
       new Metadata(),
-      { deadline: Date.now() + MISS_LIMIT },
+      { deadline: Date.now() + MISS_REPORT_TIMEOUT_MILLISECONDS },
       () => undefined,
     );
   }
@@ -97,8 +101,8 @@
     });
   }
 
-  #askPeer(
-    { engine, address }: GrantAddress,
+  #requestFromPeer(
+    { engine, address }: EngineOwnerAddress,
     request: UseRequest,
     signal: AbortSignal,
   ): Promise<GrantAnswer> {
@@ -107,30 +111,30 @@
       model: request.model,
       adapter: request.adapter ?? "",
       minimumVersion: request.minimumVersion,
-      readingMilliseconds: Math.round(request.reading),
+      readingMilliseconds: Math.round(request.prefillTime),
       timeLeftMilliseconds: Math.round(request.timeLeft),
       needsBreak: request.needsBreak,
     });
-    const over = new AbortController();
+    const useEnd = new AbortController();
     const release = () => {
       call.cancel();
     };
     return new Promise((resolve) => {
-      const leave = () => {
+      const abandon = () => {
         release();
         resolve({ kind: "unreachable" });
       };
-      signal.addEventListener("abort", leave, { once: true });
+      signal.addEventListener("abort", abandon, { once: true });
       call.on("data", (grant: AdapterGrant) => {
-        signal.removeEventListener("abort", leave);
-        resolve(toAnswer(grant, over.signal, release));
+        signal.removeEventListener("abort", abandon);
+        resolve(toAnswer(grant, useEnd.signal, release));
       });
       call.on("error", () => {
-        signal.removeEventListener("abort", leave);
+        signal.removeEventListener("abort", abandon);
         resolve({ kind: "unreachable" });
       });
       call.on("end", () => {
-        over.abort();
+        useEnd.abort();
         resolve({ kind: "unreachable" });
       });
     });
@@ -138,7 +142,7 @@
 }
 
 /**
- * Answers a peer that asks for a use; the call's end ends the use.
+ * Serves a peer's request for a use. The use lasts until the call ends.
  * @param owners The engines that this node owns.
  * @param call The peer's call.
  */
@@ -152,18 +156,18 @@
     writeRefusal(call, GrantOutcome.NOT_OWNER);
     return;
   }
-  const departure = new AbortController();
+  const cancellation = new AbortController();
   call.once("cancelled", () => {
-    departure.abort();
+    cancellation.abort();
   });
-  const answer = await owner.use({
+  const answer = await owner.requestUse({
     model: modelId(model),
     ...(adapter === "" ? {} : { adapter: adapterId(adapter) }),
     minimumVersion,
-    reading: milliseconds(call.request.readingMilliseconds),
+    prefillTime: milliseconds(call.request.readingMilliseconds),
     timeLeft: milliseconds(call.request.timeLeftMilliseconds),
     needsBreak: call.request.needsBreak,
-  }, departure.signal);
+  }, cancellation.signal);
   if (answer.kind !== "granted") {
     writeRefusal(
       call,
@@ -171,14 +175,14 @@
     );
     return;
   }
-  if (call.cancelled || answer.over.aborted) {
+  if (call.cancelled || answer.endSignal.aborted) {
     answer.release();
     call.end();
     return;
   }
   call.once("cancelled", answer.release);
   call.once("close", answer.release);
-  answer.over.addEventListener("abort", () => {
+  answer.endSignal.addEventListener("abort", () => {
     call.end();
   }, { once: true });
   call.write({
@@ -199,7 +203,7 @@
 
 function toAnswer(
   grant: AdapterGrant,
-  over: AbortSignal,
+  endSignal: AbortSignal,
   release: () => void,
 ): UseAnswer {
   switch (grant.outcome) {
@@ -208,7 +212,7 @@
         kind: "granted",
         version: grant.version,
         start: readStart(grant.start),
-        over,
+        endSignal,
         release,
       };
     case GrantOutcome.NO_ROOM:
--- a/packages/node/src/relay/adapter_uses.ts
+++ b/packages/node/src/relay/adapter_uses.ts
@@ -13,41 +13,41 @@
 import { AdapterWaiters } from "./adapter_waiters.ts";
 import type { UseAnswer, UseRequest } from "./engine_use.ts";
 
-/** What grants of uses work with. */
+/** Dependencies of `AdapterUses`. */
 export interface AdapterUsesParts {
   readonly clock: SteadyClock;
-  /** The start of the engine, if it is known. */
+  /** Returns the engine's current start, if known. */
   readonly start: () => ServerStart | undefined;
-  /** Whether orders to the engine may go before long. */
-  readonly ordersSoon: () => boolean;
-  /** Called where more may have to be ordered. */
-  readonly changed: () => void;
+  /** Whether orders may be sent to the engine now or soon. */
+  readonly canOrderSoon: () => boolean;
+  /** Called when another order may have become due. */
+  readonly onChange: () => void;
 }
 
-/** A request whose adapter is there, and whose prompt waits to be read. */
-interface Turn {
-  /** Left out for the base model itself. */
+/** A request whose adapter is loaded and whose prompt waits for prefill. */
+interface QueuedPrefill {
+  /** `undefined` for the base model itself. */
   readonly name: AdapterName | undefined;
   readonly version: number;
   readonly answer: (answer: UseAnswer) => void;
 }
 
 /**
- * Grants uses of one engine's adapters, and keeps those who wait for one: for
- * the adapter first, then for the engine to read the prompt.
+ * Grants uses of one engine's adapters. A request waits first until its adapter
+ * is loaded, then until the engine may prefill its prompt.
  */
 export class AdapterUses {
   readonly occupancy = new EngineOccupancy();
   readonly #slots: EngineSlots;
   readonly #parts: AdapterUsesParts;
   readonly #waiters = new AdapterWaiters();
-  readonly #turns = new PrefillQueue<Turn>();
+  readonly #prefillQueue = new PrefillQueue<QueuedPrefill>();
   readonly #running = new Set<AbortController>();
-  #turnTimer: NodeJS.Timeout | undefined;
+  #prefillTimer: NodeJS.Timeout | undefined;
 
   /**
-   * @param slots The engine's adapters.
-   * @param parts What grants work with.
+   * @param slots The engine's adapter slots.
+   * @param parts The dependencies.
    */
   constructor(slots: EngineSlots, parts: AdapterUsesParts) {
     this.#slots = slots;
@@ -55,144 +55,150 @@
   }
 
   /**
-   * Estimates the wait of a further request until its prompt is read.
+   * Estimates how long a further request would wait for its prefill.
    * @param now The present time.
-   * @returns The time.
+   * @returns The expected wait.
    */
-  wait(now: Instant): Duration {
-    const wait = this.#turns.wait(now) + this.occupancy.contentionDelay;
+  expectedWait(now: Instant): Duration {
+    const wait = this.#prefillQueue.wait(now) + this.occupancy.contentionDelay;
     return milliseconds(Math.round(wait));
   }
 
   /**
-   * Asks for a use, and waits where the adapter has to be brought or other
-   * prompts are read before.
-   * @param request What is to be used.
-   * @param signal Ends the wait.
+   * Requests a use, and waits while the adapter has to be loaded or other
+   * prompts are prefilled first.
+   * @param request The requested use.
+   * @param signal Cancels the request.
    * @returns The answer.
    */
-  async ask(request: UseRequest, signal: AbortSignal): Promise<UseAnswer> {
+  async requestUse(
+    request: UseRequest,
+    signal: AbortSignal,
+  ): Promise<UseAnswer> {
     if (request.adapter === undefined) {
-      return await this.#waitForTurn(request, undefined, 0, signal);
+      return await this.#waitForPrefill(request, undefined, 0, signal);
     }
     const name = { model: request.model, adapter: request.adapter };
     const { minimumVersion } = request;
     const version = this.#slots.acquire(this.#now(), name, minimumVersion);
     if (version !== undefined) {
-      return await this.#waitForTurn(request, name, version, signal);
+      return await this.#waitForPrefill(request, name, version, signal);
     }
-    const isExpected = this.#isExpected(name);
-    if (!isExpected && !this.#slots.canLoad(this.#now(), name)) {
+    const isLoadPending = this.#isLoadPending(name);
+    if (!isLoadPending && !this.#slots.canLoad(this.#now(), name)) {
       return { kind: "no_room" };
     }
-    if (!this.#parts.ordersSoon()) return { kind: "no_room" };
+    if (!this.#parts.canOrderSoon()) return { kind: "no_room" };
     this.#slots.requestLoad(this.#now(), name, minimumVersion);
     const answer = this.#waiters.add(name, request, signal, () => {
       if (!this.#waiters.has(name)) this.#slots.cancelLoadRequest(name);
     });
-    this.#parts.changed();
+    this.#parts.onChange();
     return await answer;
   }
 
-  /** Lets those wait for their turn whose adapters have come. */
-  serveWaiters(): void {
+  /** Queues the requests whose adapters are now loaded for prefill. */
+  grantLoadedAdapters(): void {
     const now = this.#now();
     for (const { name, request, signal, answer } of this.#waiters.all) {
       const version = this.#slots.acquire(now, name, request.minimumVersion);
       if (version === undefined) continue;
       this.#slots.cancelLoadRequest(name);
-      answer(this.#waitForTurn(request, name, version, signal));
+      answer(this.#waitForPrefill(request, name, version, signal));
     }
   }
 
-  /** Answers those who wait that there is no room, and forgets their wishes. */
-  sendWaitersAway(): void {
+  /** Refuses all waiting requests with `no_room`, and cancels their loads. */
+  refuseWaiting(): void {
     for (const { name } of this.#waiters.all) {
       this.#slots.cancelLoadRequest(name);
     }
     this.#waiters.answerAll({ kind: "no_room" });
-    this.#endTurns({ kind: "no_room" });
+    this.#refuseQueued({ kind: "no_room" });
   }
 
-  /** Ends with the engine's start: who waits may ask for the next one. */
+  /**
+   * Ends all uses because the engine has restarted. Waiting requests are
+   * refused and may be made again for the next start.
+   */
   end(): void {
-    this.sendWaitersAway();
-    for (const over of this.#running) over.abort();
+    this.refuseWaiting();
+    for (const useEnd of this.#running) useEnd.abort();
     this.#running.clear();
   }
 
-  /** Tells all who wait that this node owns the engine no more. */
+  /** Refuses all waiting requests because this node lost the ownership. */
   stop(): void {
     this.#waiters.answerAll({ kind: "not_owner" });
-    this.#endTurns({ kind: "not_owner" });
+    this.#refuseQueued({ kind: "not_owner" });
   }
 
-  /** Waits until the prompt may be read; the adapter is in use meanwhile. */
-  #waitForTurn(
+  /** Waits until the prompt may be prefilled; the adapter stays in use. */
+  #waitForPrefill(
     request: UseRequest,
     name: AdapterName | undefined,
     version: number,
     signal: AbortSignal,
   ): Promise<UseAnswer> {
     return new Promise((resolve) => {
-      const leave = () => {
-        if (!this.#turns.delete(turn)) return;
+      const cancel = () => {
+        if (!this.#prefillQueue.delete(queued)) return;
         this.#endUse(name);
         resolve({ kind: "no_room" });
       };
-      const turn: Turn = {
+      const queued: QueuedPrefill = {
         name,
         version,
         answer: (answer) => {
-          signal.removeEventListener("abort", leave);
+          signal.removeEventListener("abort", cancel);
           resolve(answer);
         },
       };
       const now = this.#now();
-      this.#turns.add(turn, {
-        prefillTime: request.reading,
+      this.#prefillQueue.add(queued, {
+        prefillTime: request.prefillTime,
         deadline: later(now, request.timeLeft),
         needsBreak: request.needsBreak,
       });
-      signal.addEventListener("abort", leave, { once: true });
-      if (signal.aborted) leave();
-      this.#takeTurns();
+      signal.addEventListener("abort", cancel, { once: true });
+      if (signal.aborted) cancel();
+      this.#grantDuePrefills();
     });
   }
 
-  /** Grants the uses whose prompts may be read now, and returns for the next. */
-  #takeTurns(): void {
+  /** Grants the uses that may be prefilled now, and schedules the next one. */
+  #grantDuePrefills(): void {
     for (;;) {
-      const turn = this.#turns.next(this.#now());
-      if (turn === undefined) break;
-      turn.answer(this.#grant(turn));
+      const queued = this.#prefillQueue.next(this.#now());
+      if (queued === undefined) break;
+      queued.answer(this.#grant(queued));
     }
-    clearTimeout(this.#turnTimer);
-    const at = this.#turns.nextAt;
+    clearTimeout(this.#prefillTimer);
+    const at = this.#prefillQueue.nextAt;
     if (at === undefined) return;
-    this.#turnTimer = setTimeout(() => {
-      this.#takeTurns();
+    this.#prefillTimer = setTimeout(() => {
+      this.#grantDuePrefills();
     }, Math.max(1, at - this.#now()));
   }
 
-  #endTurns(answer: Exclude<UseAnswer, { kind: "granted" }>): void {
-    clearTimeout(this.#turnTimer);
-    for (const turn of this.#turns.waiting) {
-      this.#turns.delete(turn);
-      this.#endUse(turn.name);
-      turn.answer(answer);
+  #refuseQueued(answer: Exclude<UseAnswer, { kind: "granted" }>): void {
+    clearTimeout(this.#prefillTimer);
+    for (const queued of this.#prefillQueue.waiting) {
+      this.#prefillQueue.delete(queued);
+      this.#endUse(queued.name);
+      queued.answer(answer);
     }
   }
 
-  #grant({ name, version }: Turn): UseAnswer {
+  #grant({ name, version }: QueuedPrefill): UseAnswer {
     this.occupancy.begin();
-    const over = new AbortController();
-    this.#running.add(over);
+    const useEnd = new AbortController();
+    this.#running.add(useEnd);
     let isReleased = false;
     const release = () => {
       if (isReleased) return;
       isReleased = true;
-      this.#running.delete(over);
+      this.#running.delete(useEnd);
       this.occupancy.end();
       this.#endUse(name);
     };
@@ -200,17 +206,17 @@
       kind: "granted",
       version,
       start: this.#parts.start(),
-      over: over.signal,
+      endSignal: useEnd.signal,
       release,
     };
   }
 
   #endUse(name: AdapterName | undefined): void {
     if (name !== undefined) this.#slots.release(this.#now(), name);
-    if (this.#slots.pendingLoads > 0) this.#parts.changed();
+    if (this.#slots.pendingLoads > 0) this.#parts.onChange();
   }
 
-  #isExpected(name: AdapterName): boolean {
+  #isLoadPending(name: AdapterName): boolean {
     return this.#slots.find(name)?.state === "loading" ||
       this.#waiters.has(name);
   }
--- a/packages/node/src/relay/adapter_waiters.ts
+++ b/packages/node/src/relay/adapter_waiters.ts
@@ -1,38 +1,38 @@
 import type { AdapterName } from "@foxtailwind/core";
 import type { UseAnswer, UseRequest } from "./engine_use.ts";
 
-/** A request that waits for an adapter. */
+/** A request that waits until an adapter is loaded. */
 export interface Waiter {
   readonly name: AdapterName;
   readonly request: UseRequest;
-  /** Tells that it leaves, also once it is answered. */
+  /** Aborted when the request is cancelled, also after its answer. */
   readonly signal: AbortSignal;
-  /** Answers it, and takes it out. */
+  /** Answers the request and removes it. */
   readonly answer: (answer: UseAnswer | Promise<UseAnswer>) => void;
 }
 
-/** The requests that wait for adapters of one engine. */
+/** The requests that wait until one engine has loaded their adapters. */
 export class AdapterWaiters {
   readonly #waiters = new Set<Waiter>();
 
-  /** The waiters, in the order of their arrival. */
+  /** The waiting requests, in order of arrival. */
   get all(): readonly Waiter[] {
     return [...this.#waiters];
   }
 
   /**
-   * Adds a waiter until it is answered or leaves.
-   * @param name What it waits for.
-   * @param request What it is for.
-   * @param signal Tells that it leaves.
-   * @param left Called once it has left.
-   * @returns Its answer.
+   * Adds a request until it is answered or cancelled.
+   * @param name The adapter that it waits for.
+   * @param request The requested use.
+   * @param signal Cancels the request.
+   * @param onCancel Called after the cancellation.
+   * @returns The answer.
    */
   add(
     name: AdapterName,
     request: UseRequest,
     signal: AbortSignal,
-    left: () => void,
+    onCancel: () => void,
   ): Promise<UseAnswer> {
     return new Promise((resolve) => {
       const waiter: Waiter = {
@@ -41,23 +41,23 @@
         signal,
         answer: (answer) => {
           this.#waiters.delete(waiter);
-          signal.removeEventListener("abort", leave);
+          signal.removeEventListener("abort", cancel);
           resolve(answer);
         },
       };
-      const leave = () => {
+      const cancel = () => {
         waiter.answer({ kind: "no_room" });
-        left();
+        onCancel();
       };
-      signal.addEventListener("abort", leave, { once: true });
+      signal.addEventListener("abort", cancel, { once: true });
       this.#waiters.add(waiter);
     });
   }
 
   /**
-   * Tells whether anyone waits for an adapter.
+   * Checks whether any request waits for an adapter.
    * @param name The adapter.
-   * @returns Whether someone does.
+   * @returns Whether one does.
    */
   has(name: AdapterName): boolean {
     return this.all.some((waiter) =>
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Gives all waiters the same answer.
-   * @param answer The answer, which grants nothing.
+   * Refuses all waiting requests with the same answer.
+   * @param answer The refusal.
    */
   answerAll(answer: Exclude<UseAnswer, { kind: "granted" }>): void {
     for (const waiter of this.all) waiter.answer(answer);
--- a/packages/node/src/relay/call_watch.ts
+++ b/packages/node/src/relay/call_watch.ts
@@ -4,65 +4,65 @@
 import type { AnswerPassage } from "./answer_passage.ts";
 import type { BackendCall } from "./backend_call.ts";
 
-/** How many targets a silent server gets where another may be tried. */
-const SILENT_TARGETS = 2;
-/** A pause in a resumable stream after which another server is tried. */
-const SILENT_STREAM_MILLISECONDS = 1_200;
-/** Between two looks at a call that may be replaced. */
-const LOOK_MILLISECONDS = 40;
+/** A silent call that may be replaced is cut after this many targets. */
+const SILENCE_TARGET_RATIO = 2;
+/** Silence in a resumable stream before another server is tried, at least. */
+const MINIMUM_STREAM_SILENCE_MILLISECONDS = 1_200;
+/** The interval between checks of a call that may be replaced. */
+const CHECK_INTERVAL_MILLISECONDS = 40;
 /**
- * How long a call waits for a connection: a new one takes a few milliseconds,
- * and the first lost packet of one is sent again after a second.
+ * How long a call waits for a connection: opening one takes a few milliseconds,
+ * and if its first packet is lost, it is retransmitted only after a second.
  */
-const CONNECTION_MILLISECONDS = 300;
+const CONNECTION_TIMEOUT_MILLISECONDS = 300;
 
-/** What a call is watched for. */
+/** How a call is watched. */
 export interface CallWatch {
   readonly clock: SteadyClock;
   readonly passage: AnswerPassage;
-  /** The time in which an answer, or a first event, is wanted. */
+  /** The target latency of the answer or of its first event. */
   readonly target: Duration;
-  /** Whether another server may take the request over. */
+  /** Whether the request may be sent to another server instead. */
   readonly mayBeReplaced: boolean;
-  /** Called before a silent call is cut. */
+  /** Called before a call is cut because of silence. */
   readonly fellSilent: () => void;
 }
 
 /**
- * Cuts a call that gets no connection, or no answer though another server
- * could be tried. A server's silence alone never ends any other call.
+ * Cuts a call that gets no connection, or that stays silent while another
+ * server could be tried. Silence alone never ends any other call.
  * @param call The call.
- * @param watch What it is watched for.
- * @returns Ends the watch.
+ * @param watch How it is watched.
+ * @returns A function that stops watching.
  */
 export function watchCall(call: BackendCall, watch: CallWatch): () => void {
   let isOver = false;
-  const connecting = setTimeout(() => {
+  const connectionTimer = setTimeout(() => {
     afterPendingInput(() => {
       if (!isOver && !call.wasSent) call.cut("No connection was ready.");
     });
-  }, CONNECTION_MILLISECONDS);
-  const looking = watch.mayBeReplaced
+  }, CONNECTION_TIMEOUT_MILLISECONDS);
+  const silenceTimer = watch.mayBeReplaced
     ? setInterval(() => {
       if (!isSilent(watch)) return;
       afterPendingInput(() => {
         if (!isOver && isSilent(watch)) cutSilent(call, watch);
       });
-    }, LOOK_MILLISECONDS)
+    }, CHECK_INTERVAL_MILLISECONDS)
     : undefined;
   return () => {
     isOver = true;
-    clearTimeout(connecting);
-    clearInterval(looking);
+    clearTimeout(connectionTimer);
+    clearInterval(silenceTimer);
   };
 }
 
 function isSilent({ clock, passage, target }: CallWatch): boolean {
-  const limit = target * SILENT_TARGETS;
-  const most = passage.hasBegun
-    ? Math.max(SILENT_STREAM_MILLISECONDS, limit)
+  const limit = target * SILENCE_TARGET_RATIO;
+  const maximumSilence = passage.hasBegun
+    ? Math.max(MINIMUM_STREAM_SILENCE_MILLISECONDS, limit)
     : limit;
-  return passage.silence(clock.now()) >= most;
+  return passage.silence(clock.now()) >= maximumSilence;
 }
 
 function cutSilent(call: BackendCall, { fellSilent }: CallWatch): void {
--- a/packages/node/src/relay/crash_reports.ts
+++ b/packages/node/src/relay/crash_reports.ts
@@ -20,18 +20,21 @@
 import type { RequestContent } from "./request_content.ts";
 import type { SharedLog, SuspicionChange } from "./shared_log.ts";
 
-/** After so long, a server that lives has sent bytes of other answers. */
-const SETTLING_TIME = milliseconds(200);
-/** What a server sent before its end is read within this time after it. */
-const LATE_BYTES_TIME = milliseconds(60);
-/** Changes of so many milliseconds are written together. */
-const GATHERING_MILLISECONDS = 20;
-/** Between two tries to write, in milliseconds. */
-const RETRY_MILLISECONDS = 500;
-/** Changes that wait to be written at most; the oldest are left out. */
-const MOST_UNWRITTEN = 2_000;
+/**
+ * How long after a broken call a suspicion is settled: within this time, a
+ * server that still runs has sent bytes of other answers.
+ */
+const SETTLE_DELAY = milliseconds(200);
+/** Bytes that a server sent before it ended may be read this long after. */
+const LATE_BYTES_ALLOWANCE = milliseconds(60);
+/** How long changes are collected before they are written together. */
+const BATCH_DELAY_MILLISECONDS = 20;
+/** The delay between two attempts to write. */
+const RETRY_DELAY_MILLISECONDS = 500;
+/** The maximum number of unwritten changes; the oldest are dropped. */
+const MAXIMUM_UNWRITTEN_CHANGES = 2_000;
 
-/** What crash reports work with. */
+/** Dependencies of `CrashReports`. */
 export interface CrashReportsParts {
   readonly knowledge: Knowledge;
   readonly log: Pick<SharedLog, "changeSuspicions">;
@@ -39,19 +42,19 @@
   readonly logger: PartLogger;
 }
 
-/** A call that the server's side broke off. */
+/** A call that was broken off on the server's side. */
 export interface BrokenCall {
   readonly server: RegisteredServer;
   readonly load: ServerLoad;
-  /** Tells whether other connections to the server are open. */
+  /** Whether other connections to the server are open. */
   readonly isConnected: () => boolean;
-  /** From the first bytes of its answer to its end, where some came. */
+  /** The time from the answer's first bytes to its end, if any came. */
   readonly ranFor: Duration | undefined;
 }
 
 /**
- * Suspects requests of having ended their servers, and shares that with all
- * nodes through the platform's log, which outlasts them.
+ * Suspects requests of crashing their servers, and shares the suspicions with
+ * all nodes through the platform's log, which outlives the nodes.
  */
 export class CrashReports {
   readonly #parts: CrashReportsParts;
@@ -60,7 +63,7 @@
   #isWriting = false;
   #isStopped = false;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: CrashReportsParts) {
     this.#parts = parts;
     const { knowledge } = parts;
@@ -75,9 +78,10 @@
   }
 
   /**
-   * Tells whether a content is refused.
-   * @param content The content.
-   * @returns The time until it may be tried again, or nothing.
+   * Returns how long requests with a content are still refused.
+   * @param content The request's content.
+   * @returns The time until it may be tried again, or `undefined` if it isn't
+   * refused.
    */
   refusedFor(content: RequestContent): Duration | undefined {
     if (this.#quarantine.isEmpty) return undefined;
@@ -86,8 +90,8 @@
   }
 
   /**
-   * Takes note of a request that was served to its end.
-   * @param content Its content.
+   * Records that a request was served completely.
+   * @param content The request's content.
    */
   served(content: RequestContent): void {
     if (this.#quarantine.isEmpty) return;
@@ -95,25 +99,26 @@
   }
 
   /**
-   * Takes note of a call that the server's side broke off.
-   * @param content What was asked for.
+   * Records a call that was broken off on the server's side.
+   * @param content The request's content.
    * @param call The call.
    */
   broke(content: RequestContent, call: BrokenCall): void {
     const time = suspectRunTime(call.ranFor);
     if (time === undefined) return;
     const brokeAt = this.#parts.clock.now();
-    const suspicion = suspicionOf(call.server, content.digest, time);
+    const suspicion = createSuspicion(call.server, content.digest, time);
     this.#quarantine.addSuspicion(brokeAt, suspicion);
     setTimeout(() => {
       afterPendingInput(() => {
         this.#settle(suspicion, call, brokeAt);
       });
-    }, SETTLING_TIME);
+    }, SETTLE_DELAY);
   }
 
   /**
-   * Forgets what is too old. Of all nodes the watchers drop it from the log.
+   * Drops expired suspicions. Only the watcher nodes also drop them from the
+   * log.
    * @param now The present time.
    */
   expire(now: Instant): void {
@@ -121,13 +126,15 @@
     if (this.#parts.knowledge.isWatcher) this.#writeDropped(expired);
   }
 
-  /** Writes no more. */
+  /** Stops writing to the log. */
   stop(): void {
     this.#isStopped = true;
   }
 
   #writeDropped(dropped: readonly SuspicionKey[]): void {
-    for (const key of dropped) this.#change(key, { kind: "dropped", key });
+    for (const key of dropped) {
+      this.#enqueueChange(key, { kind: "dropped", key });
+    }
   }
 
   #settle(
@@ -136,41 +143,41 @@
     brokeAt: Instant,
   ): void {
     if (this.#isStopped) return;
-    const { lastBytesAt: heardAt } = load;
-    const wasHeard = heardAt !== undefined &&
-      heardAt > later(brokeAt, LATE_BYTES_TIME);
-    if (wasHeard || isConnected()) {
+    const { lastBytesAt } = load;
+    const isAlive = lastBytesAt !== undefined &&
+      lastBytesAt > later(brokeAt, LATE_BYTES_ALLOWANCE);
+    if (isAlive || isConnected()) {
       this.#quarantine.dropSuspicion(suspicion);
       return;
     }
-    this.#parts.logger.info("A server may have ended under a request.", {
+    this.#parts.logger.info("A request may have crashed a server.", {
       server: suspicion.server,
       start: suspicion.start,
       content: suspicion.content,
       ran_for: Math.round(suspicion.ranFor),
     });
-    this.#change(suspicion, { kind: "added", suspicion });
+    this.#enqueueChange(suspicion, { kind: "added", suspicion });
   }
 
-  #change(key: SuspicionKey, change: SuspicionChange): void {
-    if (this.#unwritten.size >= MOST_UNWRITTEN) {
+  #enqueueChange(key: SuspicionKey, change: SuspicionChange): void {
+    if (this.#unwritten.size >= MAXIMUM_UNWRITTEN_CHANGES) {
       const [oldest] = this.#unwritten.keys();
       if (oldest !== undefined) this.#unwritten.delete(oldest);
     }
     this.#unwritten.set(`${key.content} ${suspectedRunKey(key)}`, change);
-    if (!this.#isWriting) void this.#write();
+    if (!this.#isWriting) void this.#writeChanges();
   }
 
-  async #write(): Promise<void> {
+  async #writeChanges(): Promise<void> {
     this.#isWriting = true;
-    await sleep(GATHERING_MILLISECONDS);
+    await sleep(BATCH_DELAY_MILLISECONDS);
     while (this.#unwritten.size > 0 && !this.#isStopped) {
       const changes = [...this.#unwritten];
       const written = await this.#parts.log.changeSuspicions(
         changes.map(([, change]) => change),
       );
       if (written.isErr()) {
-        await sleep(RETRY_MILLISECONDS);
+        await sleep(RETRY_DELAY_MILLISECONDS);
         continue;
       }
       for (const [key, change] of changes) {
@@ -181,7 +188,7 @@
   }
 }
 
-function suspicionOf(
+function createSuspicion(
   { id, start }: RegisteredServer,
   content: ContentDigest,
   ranFor: Duration,
--- a/packages/node/src/relay/engine_control.ts
+++ b/packages/node/src/relay/engine_control.ts
@@ -10,54 +10,54 @@
 } from "@foxtailwind/core";
 import type { Result } from "neverthrow";
 
-/** What an engine is ordered to do. */
+/** An order to an engine to load or unload a model or an adapter. */
 export interface EngineOrder {
   readonly kind: "load" | "unload";
   readonly model: ModelId;
-  /** Left out to load the base model itself. */
+  /** `undefined` for an order about the base model itself. */
   readonly adapter?: AdapterName["adapter"];
-  /** The adapter's version; the newest where left out. */
+  /** The adapter's version; the newest if `undefined`. */
   readonly version?: number;
   readonly owner: NodeId;
   readonly fence: FencingNumber;
-  /** Orders that the engine must have accepted so far, to accept this one. */
+  /** The engine accepts the order only if it has accepted this many so far. */
   readonly expectedOrders: number;
 }
 
-/** What came of an order. */
+/** The result of an order. */
 export type OrderResult =
   | { readonly kind: OrderAnswer; readonly detail?: string }
-  /** A newer owner has ordered; the number must not be used again. */
+  /** A newer owner has sent orders; this fencing number is no longer valid. */
   | { readonly kind: "fenced" }
-  /** Another server has the engine's address. */
+  /** The engine's address now belongs to another server. */
   | { readonly kind: "misdirected" }
   | { readonly kind: "invalid"; readonly failure: Failure };
 
-/** An answer after which the owner can't go on as before. */
-export type OrderTrouble = Extract<
+/** A result after which the owner can't continue as before. */
+export type OrderRejection = Extract<
   OrderResult,
   { readonly kind: "fenced" | "misdirected" | "invalid" }
 >;
 
-/** What an engine reports of itself. */
+/** An engine's report of its own state. */
 export interface EngineReport {
-  /** Which start reports; left out where the engine does not tell it. */
+  /** The start that reports; `undefined` if the engine doesn't state it. */
   readonly start?: ServerStart;
   readonly models: readonly ModelId[];
   readonly adapters: readonly (AdapterName & { readonly version: number })[];
   readonly incoming: readonly AdapterName[];
-  /** Whether an order for a base model is being carried out. */
+  /** Whether an order for a base model is in progress. */
   readonly isBusy: boolean;
   readonly orderCount: number;
 }
 
-/** Orders to engines, and their reports. */
+/** Sends orders to engines and reads their reports. */
 export abstract class EngineControl {
   /**
    * Sends an order.
    * @param engine The engine.
    * @param order The order.
-   * @returns What came of it.
+   * @returns The result.
    */
   abstract order(
     engine: RegisteredServer,
@@ -65,9 +65,9 @@
   ): Promise<OrderResult>;
 
   /**
-   * Asks an engine what it holds.
+   * Reads an engine's report.
    * @param engine The engine.
-   * @returns The report, which may be some hundred milliseconds old.
+   * @returns The report, which may lag by some hundred milliseconds.
    */
   abstract report(
     engine: RegisteredServer,
--- a/packages/node/src/relay/engine_digest.ts
+++ b/packages/node/src/relay/engine_digest.ts
@@ -2,13 +2,13 @@
 import type { EngineDigest, HeldAdapter } from "@foxtailwind/protocol";
 
 /**
- * Writes what an owner tells other nodes of its engine.
+ * Builds the digest of an engine that its owner sends to other nodes.
  * @param server The engine.
- * @param slots Its adapters.
- * @param state How it fares.
- * @returns The message.
+ * @param slots The engine's adapter slots.
+ * @param state The engine's other state.
+ * @returns The digest.
  */
-export function writeEngineDigest(
+export function buildEngineDigest(
   server: RegisteredServer,
   slots: readonly AdapterSlot[],
   state: Omit<EngineDigest, "engine" | "adapters">,
--- a/packages/node/src/relay/engine_model.ts
+++ b/packages/node/src/relay/engine_model.ts
@@ -9,21 +9,21 @@
 import type { EngineOrders } from "./engine_orders.ts";
 import type { Knowledge } from "./knowledge.ts";
 
-/** Between two orders to load a base model: longer than a load takes. */
-const MODEL_PAUSE = milliseconds(2_500);
+/** Time between two orders to load a base model; longer than a load takes. */
+const MODEL_LOAD_INTERVAL = milliseconds(2_500);
 
-/** The base model of one engine, which adapters need. */
+/** The base model of one engine, which its adapters need. */
 export class EngineModel {
   readonly #server: RegisteredServer;
   readonly #knowledge: Knowledge;
   readonly #orders: EngineOrders;
-  #held: readonly ModelId[];
-  #orderedAt: Instant | undefined;
+  #loadedModels: readonly ModelId[];
+  #lastOrderedAt: Instant | undefined;
 
   /**
    * @param server The engine, with the models that it is known to hold.
-   * @param knowledge Tells which model it should hold.
-   * @param orders Orders the engine.
+   * @param knowledge The configuration, which names the model to load.
+   * @param orders Sends orders to the engine.
    */
   constructor(
     server: RegisteredServer,
@@ -33,37 +33,37 @@
     this.#server = server;
     this.#knowledge = knowledge;
     this.#orders = orders;
-    this.#held = server.models.map((held) => held.model);
+    this.#loadedModels = server.models.map((held) => held.model);
   }
 
-  /** Whether the engine holds a model. */
-  get isThere(): boolean {
-    return this.#held.length > 0;
+  /** Whether the engine has loaded a model. */
+  get isLoaded(): boolean {
+    return this.#loadedModels.length > 0;
   }
 
   /**
-   * Takes what the engine reports.
-   * @param models The models that it holds.
+   * Applies the engine's report.
+   * @param models The models that the engine holds.
    */
-  reported(models: readonly ModelId[]): void {
-    this.#held = models;
+  applyReport(models: readonly ModelId[]): void {
+    this.#loadedModels = models;
   }
 
   /**
-   * Orders the model, unless that was done just now.
+   * Orders the model to be loaded, unless that was ordered a short time ago.
    * @param now The present time.
-   * @param right The right to order.
-   * @returns Whether there is a model to be loaded.
+   * @param permission The permission to send orders.
+   * @returns Whether a model is configured for the engine.
    */
-  async load(now: Instant, right: OrderPermission): Promise<boolean> {
+  async load(now: Instant, permission: OrderPermission): Promise<boolean> {
     const service = this.#knowledge.routes?.service(this.#server.service);
     const model = service?.engine?.models[0]?.model;
     if (model === undefined) return false;
-    const isAllowed = this.#orderedAt === undefined ||
-      later(this.#orderedAt, MODEL_PAUSE) <= now;
-    if (isAllowed) {
-      this.#orderedAt = now;
-      await this.#orders.loadModel(model, right);
+    const isDue = this.#lastOrderedAt === undefined ||
+      later(this.#lastOrderedAt, MODEL_LOAD_INTERVAL) <= now;
+    if (isDue) {
+      this.#lastOrderedAt = now;
+      await this.#orders.loadModel(model, permission);
     }
     return true;
   }
--- a/packages/node/src/relay/engine_orders.ts
+++ b/packages/node/src/relay/engine_orders.ts
@@ -15,138 +15,142 @@
   OrderResult,
 } from "./engine_control.ts";
 
-/** How often an order is sent while no answer comes. */
-const MOST_COPIES = 5;
-/** Calls without an answer in a row after which an engine is out of reach. */
-const SILENT_CALLS = 4;
+/** How many times an order is sent at most while no answer arrives. */
+const MAXIMUM_SENDS = 5;
+/** Consecutive calls without an answer that make an engine unreachable. */
+const MAXIMUM_UNANSWERED_CALLS = 4;
 
-/** What orders are sent with. */
+/** Dependencies of `EngineOrders`. */
 export interface EngineOrdersParts {
   readonly self: NodeId;
   readonly control: EngineControl;
   readonly logger: PartLogger;
-  /** Whether a report that names a start is to be believed. */
-  readonly isBelieved: (start: ServerStart | undefined) => boolean;
-  /** Called where a load got no answer, with the count that it expects. */
-  readonly loadUnanswered: (expectedOrders: number) => void;
-  /** Called once when the engine falls out of reach. */
-  readonly fellSilent: () => void;
+  /** Whether to accept a report that names a start. */
+  readonly acceptsReport: (start: ServerStart | undefined) => boolean;
+  /** Called when a load got no answer, with the order count it expects. */
+  readonly onLoadUnanswered: (expectedOrders: number) => void;
+  /** Called once when the engine becomes unreachable. */
+  readonly onUnreachable: () => void;
 }
 
-/** Sends the orders of one owner to one engine, and counts them. */
+/** Sends the orders of one owner to one engine, and counts those accepted. */
 export class EngineOrders {
   readonly #parts: EngineOrdersParts;
   #server: RegisteredServer;
-  #count: number | undefined;
-  #silentCalls = 0;
+  #acceptedOrders: number | undefined;
+  #unansweredCalls = 0;
   #isStopped = false;
 
   /**
    * @param server The engine.
-   * @param parts What orders are sent with.
+   * @param parts The dependencies.
    */
   constructor(server: RegisteredServer, parts: EngineOrdersParts) {
     this.#server = server;
     this.#parts = parts;
   }
 
-  /** Whether the orders that the engine has accepted can be counted on. */
-  get isCounted(): boolean {
-    return this.#count !== undefined;
+  /** Whether the number of orders that the engine accepted is known. */
+  get hasCount(): boolean {
+    return this.#acceptedOrders !== undefined;
   }
 
-  /** The orders that the engine has accepted; 0 where they are unknown. */
+  /** The number of orders that the engine accepted; 0 if unknown. */
   get count(): number {
-    return this.#count ?? 0;
+    return this.#acceptedOrders ?? 0;
   }
 
-  /** Whether the engine has answered lately. */
+  /** Whether the engine has answered recently. */
   get isReachable(): boolean {
-    return this.#silentCalls < SILENT_CALLS;
+    return this.#unansweredCalls < MAXIMUM_UNANSWERED_CALLS;
   }
 
   /**
-   * Takes a newer description of the engine.
+   * Updates the engine's registry entry.
    * @param server The engine.
    */
   update(server: RegisteredServer): void {
     this.#server = server;
   }
 
-  /** Trusts no count until the engine has reported. */
+  /** Discards the order count until the engine has reported. */
   forgetCount(): void {
-    this.#count = undefined;
+    this.#acceptedOrders = undefined;
   }
 
-  /** Counts an order that the engine has accepted. */
-  accepted(): void {
-    if (this.#count !== undefined) this.#count += 1;
+  /** Records that the engine has accepted an order. */
+  recordAccepted(): void {
+    if (this.#acceptedOrders !== undefined) this.#acceptedOrders += 1;
   }
 
-  /** Sends no further copies. */
+  /** Stops sending orders again. */
   stop(): void {
     this.#isStopped = true;
   }
 
   /**
-   * Asks the engine what it holds, and counts on its count from then on.
-   * @returns The report, or nothing where it gave none or is at work.
+   * Reads the engine's report and adopts its order count.
+   * @returns The report, or `undefined` if there is none, if its start isn't
+   * accepted, or if the engine is busy.
    */
-  async report(): Promise<EngineReport | undefined> {
+  async readReport(): Promise<EngineReport | undefined> {
     const report = await this.#parts.control.report(this.#server);
     if (this.#isStopped) return undefined;
-    this.#heard(report.isOk());
+    this.#recordResponse(report.isOk());
     if (report.isErr()) {
-      this.#parts.logger.warn("An engine gave no report.", {
+      this.#parts.logger.warn("An engine's report could not be read.", {
         engine: this.#server.id,
         detail: report.error.message,
       });
       return undefined;
     }
-    if (!this.#parts.isBelieved(report.value.start)) return undefined;
+    if (!this.#parts.acceptsReport(report.value.start)) return undefined;
     if (report.value.isBusy) return undefined;
-    this.#count = report.value.orderCount;
+    this.#acceptedOrders = report.value.orderCount;
     return report.value;
   }
 
   /**
    * Orders a base model to be loaded.
    * @param model The model.
-   * @param right The right to order.
-   * @returns What came of it.
+   * @param permission The permission to send orders.
+   * @returns The result.
    */
-  loadModel(model: ModelId, right: OrderPermission): Promise<OrderResult> {
-    return this.#send("load", { kind: "load", model }, right);
+  loadModel(model: ModelId, permission: OrderPermission): Promise<OrderResult> {
+    return this.#send("load", { kind: "load", model }, permission);
   }
 
   /**
-   * Orders a load that was ordered before, to learn whether it has ended.
+   * Sends an earlier load order once more, to learn whether it is done.
    * @param order The load.
-   * @param right The right to order.
-   * @returns What came of it.
+   * @param permission The permission to send orders.
+   * @returns The result.
    */
-  ask(order: SlotOrder, right: OrderPermission): Promise<OrderResult> {
-    return this.#send("ask", toEngineOrder(order), right);
+  checkLoad(
+    order: SlotOrder,
+    permission: OrderPermission,
+  ): Promise<OrderResult> {
+    return this.#send("ask", toEngineOrder(order), permission);
   }
 
   /**
-   * Sends an order, and again while no answer comes. All copies expect the
-   * same number of orders before them, so that one at most is carried out,
-   * however late.
+   * Sends an order, and sends it again while no answer arrives. All copies
+   * expect the same order count, so that the engine executes at most one of
+   * them, however late.
    * @param order The order.
-   * @param right The right to order.
-   * @returns What came of it.
+   * @param permission The permission to send orders.
+   * @returns The result.
    */
-  async carryOut(
+  async execute(
     order: SlotOrder,
-    right: OrderPermission,
+    permission: OrderPermission,
   ): Promise<OrderResult> {
     let result: OrderResult = { kind: "unknown" };
-    for (let sends = 0; sends < MOST_COPIES; sends += 1) {
+    for (let sends = 0; sends < MAXIMUM_SENDS; sends += 1) {
       const isCopy = sends > 0;
-      result = await this.#send(order.kind, toEngineOrder(order), right);
-      this.#heard(result.kind !== "unknown");
-      // An earlier copy may be what the engine counts as another order.
+      result = await this.#send(order.kind, toEngineOrder(order), permission);
+      this.#recordResponse(result.kind !== "unknown");
+      // The order that the engine has counted may be an earlier copy.
       if (isCopy && result.kind === "conflict") return { kind: "unknown" };
       if (result.kind !== "unknown" || this.#isStopped) return result;
     }
@@ -156,18 +160,18 @@
   async #send(
     purpose: string,
     order: OrderContent,
-    right: OrderPermission,
+    permission: OrderPermission,
   ): Promise<OrderResult> {
     const { control, self, logger } = this.#parts;
     const expectedOrders = this.count;
     const result = await control.order(this.#server, {
       ...order,
       owner: self,
-      fence: right.fence,
+      fence: permission.fence,
       expectedOrders,
     });
     if (result.kind === "unknown" && order.kind === "load") {
-      this.#parts.loadUnanswered(expectedOrders);
+      this.#parts.onLoadUnanswered(expectedOrders);
     }
     logger.debug("An order was answered.", {
       engine: this.#server.id,
@@ -180,14 +184,14 @@
     return result;
   }
 
-  /** Takes note of an answer, or of its absence. */
-  #heard(hasAnswered: boolean): void {
-    this.#silentCalls = hasAnswered ? 0 : this.#silentCalls + 1;
-    if (this.#silentCalls !== SILENT_CALLS) return;
+  /** Records whether a call was answered. */
+  #recordResponse(hasAnswered: boolean): void {
+    this.#unansweredCalls = hasAnswered ? 0 : this.#unansweredCalls + 1;
+    if (this.#unansweredCalls !== MAXIMUM_UNANSWERED_CALLS) return;
     this.#parts.logger.warn(RELAY_SENTENCE.outOfReach, {
       engine: this.#server.id,
     });
-    this.#parts.fellSilent();
+    this.#parts.onUnreachable();
   }
 }
 
--- a/packages/node/src/relay/engine_owner.ts
+++ b/packages/node/src/relay/engine_owner.ts
@@ -10,112 +10,112 @@
 import type { UseAnswer, UseRequest } from "./engine_use.ts";
 
 /**
- * Orders one engine while this node has the right to, from one start of the
- * engine to the next: what is known of a start ends with it.
+ * Controls one engine while this node owns it. State that belongs to one start
+ * of the engine is kept in an `EngineRun` and discarded on a restart.
  */
 export class EngineOwner {
   readonly #parts: EngineOwnerParts;
-  readonly #terms: EngineSpecification;
+  readonly #specification: EngineSpecification;
   readonly #start: EngineStart;
   #server: RegisteredServer;
   #run: EngineRun;
 
   /**
    * @param server The engine.
-   * @param terms What it can hold.
-   * @param parts What the owner works with.
+   * @param specification The engine's capacity.
+   * @param parts The dependencies.
    */
   constructor(
     server: RegisteredServer,
-    terms: EngineSpecification,
+    specification: EngineSpecification,
     parts: EngineOwnerParts,
   ) {
     this.#server = server;
-    this.#terms = terms;
+    this.#specification = specification;
     this.#parts = parts;
     this.#start = new EngineStart(server.start);
-    this.#run = this.#begin(server);
+    this.#run = this.#createRun(server);
   }
 
-  /** What other nodes are told of the engine. */
+  /** The digest of the engine that is sent to other nodes. */
   get digest(): EngineDigest {
     return this.#run.digest;
   }
 
   /**
-   * Takes a newer description of the engine.
+   * Updates the engine's registry entry.
    * @param server The engine.
    */
   update(server: RegisteredServer): void {
     this.#server = server;
-    if (this.#start.applyRegistered(server.start)) this.#restarted();
+    if (this.#start.applyRegistered(server.start)) this.#handleRestart();
     else this.#run.update(server);
   }
 
   /**
-   * Asks for the use of an adapter or of a base model.
-   * @param request What is to be used.
-   * @param signal Ends the wait.
+   * Requests the use of an adapter or a base model.
+   * @param request The requested use.
+   * @param signal Cancels the request.
    * @returns The answer.
    */
-  use(request: UseRequest, signal: AbortSignal): Promise<UseAnswer> {
-    return this.#run.use(request, signal);
+  requestUse(request: UseRequest, signal: AbortSignal): Promise<UseAnswer> {
+    return this.#run.requestUse(request, signal);
   }
 
   /**
-   * Takes note that the engine lacked what a use was granted of: it may have
-   * started again.
+   * Records that the engine lacked an adapter or model whose use was granted:
+   * it may have restarted.
    */
   missed(): void {
-    this.#run.missed();
+    this.#run.recordMiss();
   }
 
-  /** Gives up the engine: nobody waits here any more. */
+  /** Stops controlling the engine and refuses waiting requests. */
   stop(): void {
     this.#run.stop();
   }
 
-  /** Carries out what is due; called by itself when more becomes due. */
-  async pump(): Promise<void> {
-    await this.#run.pump();
+  /** Runs the steps that are due; later ones are scheduled automatically. */
+  async runDueSteps(): Promise<void> {
+    await this.#run.runDueSteps();
   }
 
-  #begin(server: RegisteredServer): EngineRun {
-    return new EngineRun(server, this.#terms, {
+  #createRun(server: RegisteredServer): EngineRun {
+    return new EngineRun(server, this.#specification, {
       ...this.#parts,
       start: () => this.#start.current,
-      isBelieved: (start) => this.#isBelieved(start),
+      acceptsReport: (start) => this.#acceptsReport(start),
     });
   }
 
-  /** Begins anew with an engine that holds nothing that is known. */
-  #restarted(): void {
-    const before = this.#run;
-    this.#run = this.#begin({ ...this.#server, models: [] });
-    this.#parts.logger.info("An engine has started again.", {
+  /** Starts over with a restarted engine, of which nothing is known yet. */
+  #handleRestart(): void {
+    const previous = this.#run;
+    this.#run = this.#createRun({ ...this.#server, models: [] });
+    this.#parts.logger.info("An engine has restarted.", {
       engine: this.#server.id,
       start: this.#start.current,
     });
-    before.end();
-    void this.#run.pump();
+    previous.end();
+    void this.#run.runDueSteps();
   }
 
-  /** Whether a report is of the start that is known. */
-  #isBelieved(start: ServerStart | undefined): boolean {
-    const before = this.#start.current;
-    const news = this.#start.applyReported(start);
-    switch (news) {
+  /** Whether a report comes from the current start. */
+  #acceptsReport(start: ServerStart | undefined): boolean {
+    const previous = this.#start.current;
+    const comparison = this.#start.applyReported(start);
+    switch (comparison) {
       case "current":
         return true;
       case "late":
-        this.#parts.logger.warn("A report of an older start is left out.", {
+        this.#parts.logger.warn("A report of an older start was ignored.", {
           engine: this.#server.id,
           start,
-          known: before,
+          known: previous,
         });
         return false;
       case "restarted":
-        this.#restarted();
+        this.#handleRestart();
         return false;
     }
   }
--- a/packages/node/src/relay/engine_owner_parts.ts
+++ b/packages/node/src/relay/engine_owner_parts.ts
@@ -5,21 +5,21 @@
 import type { Knowledge } from "./knowledge.ts";
 import type { RelaySettings } from "./relay_settings.ts";
 
-/** What an owner works with. */
+/** Dependencies of `EngineOwner`. */
 export interface EngineOwnerParts {
   readonly settings: RelaySettings;
   readonly knowledge: Knowledge;
   readonly control: EngineControl;
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
-  /** This node's loads of the engine that got no answer, before this owner. */
-  readonly lateOrders: UnansweredLoads;
+  /** Unanswered loads that this node sent before this owner was created. */
+  readonly earlierUnansweredLoads: UnansweredLoads;
 }
 
-/** What an owner works with at one start of its engine. */
+/** Dependencies of `EngineRun`. */
 export interface EngineRunParts extends EngineOwnerParts {
-  /** The start, if it is known. */
+  /** Returns the engine's current start, if known. */
   readonly start: () => ServerStart | undefined;
-  /** Whether a report that names a start is to be believed. */
-  readonly isBelieved: (start: ServerStart | undefined) => boolean;
+  /** Whether to accept a report that names a start. */
+  readonly acceptsReport: (start: ServerStart | undefined) => boolean;
 }
--- a/packages/node/src/relay/engine_owners.ts
+++ b/packages/node/src/relay/engine_owners.ts
@@ -14,67 +14,67 @@
 import type { Result } from "neverthrow";
 import type { ClaimRecord, SharedLog } from "./shared_log.ts";
 
-/** What owners need besides an engine. */
+/** Dependencies of `EngineOwners`. */
 export interface EngineOwnersParts
-  extends Omit<EngineOwnerParts, "lateOrders"> {
+  extends Omit<EngineOwnerParts, "earlierUnansweredLoads"> {
   readonly log: SharedLog;
   readonly incarnation: string;
-  /** Whether this node is stopping, and gives its engines to others. */
+  /** Whether this node is stopping and hands its engines over. */
   readonly isLeaving: () => boolean;
-  /** Called once this node owns an engine more, which others should know. */
+  /** Called when this node has gained an engine, to inform other nodes. */
   readonly gained: () => void;
 }
 
-/** A node claims engines only after it has listened to its peers so long. */
-const LISTENING_MILLISECONDS = 1_000;
+/** After its start, a node listens to its peers this long before it claims. */
+const INITIAL_LISTENING_MILLISECONDS = 1_000;
 /**
- * Where another node's claim came first, a node waits for a part of so many
- * milliseconds for each node before it claims again: a claim takes about
- * 10 ms, so that of nodes that all wait, one after the other finds the log as
- * it has read it.
+ * After another node's claim came first, a node waits a random part of this
+ * time, multiplied by the number of nodes, before it claims again. A claim
+ * takes about 10 ms, so nodes that all wait then claim one after the other,
+ * each with an up-to-date view of the log.
  */
-const CLAIM_SPACING = 10;
+const CLAIM_SPACING_MILLISECONDS = 10;
 
-/** The engines that this node owns, and the claims that it adds. */
+/** Manages the engines that this node owns, and claims further ones. */
 export class EngineOwners {
   readonly #parts: EngineOwnersParts;
   readonly #owners = new Map<BackendServerId, EngineOwner>();
   /**
-   * Kept past the end of an owner: the engine may leave the registry, or be
-   * another node's, and start again while its orders are on their way.
+   * Outlives the owners: the engine may leave the registry or pass to another
+   * node, and restart while this node's orders are still in flight.
    */
-  readonly #lateOrders = new Map<BackendServerId, UnansweredLoads>();
+  readonly #unansweredLoads = new Map<BackendServerId, UnansweredLoads>();
   readonly #startedAt: Instant;
   #isClaiming = false;
-  /** Before it, claims would most likely meet those of other nodes again. */
-  #claimsFrom: Instant | undefined;
+  /** Earlier claims would probably conflict with other nodes' claims again. */
+  #nextClaimAt: Instant | undefined;
 
-  /** @param parts What owners work with. */
+  /** @param parts The dependencies. */
   constructor(parts: EngineOwnersParts) {
     this.#parts = parts;
     this.#startedAt = parts.clock.now();
   }
 
-  /** Whether this node owns an engine. */
+  /** Whether this node owns any engine. */
   get ownsAny(): boolean {
     return this.#owners.size > 0;
   }
 
-  /** What other nodes are told of this node's engines. */
+  /** The digests of this node's engines that are sent to other nodes. */
   get digests(): readonly EngineDigest[] {
     return [...this.#owners.values()].map((owner) => owner.digest);
   }
 
   /**
-   * Finds the owner of an engine, where this node owns it.
+   * Finds the owner object of an engine.
    * @param engine The engine.
-   * @returns The owner, or nothing.
+   * @returns The owner, or `undefined` if this node doesn't own the engine.
    */
   find(engine: BackendServerId): EngineOwner | undefined {
     return this.#owners.get(engine);
   }
 
-  /** Follows the claims and servers that are known, and adds claims. */
+  /** Applies the known claims and servers, and claims further engines. */
   refresh(): void {
     const { knowledge } = this.#parts;
     const engines = knowledge.engines;
@@ -88,7 +88,7 @@
       this.#owners.delete(id);
     }
     if (this.#parts.isLeaving()) return;
-    for (const engine of engines) this.#own(engine.id);
+    for (const engine of engines) this.#updateOwner(engine.id);
     void this.#claim();
   }
 
@@ -98,7 +98,7 @@
     this.#owners.clear();
   }
 
-  #own(id: BackendServerId): void {
+  #updateOwner(id: BackendServerId): void {
     const { knowledge } = this.#parts;
     const server = knowledge.registry.find(id);
     if (server === undefined) return;
@@ -108,14 +108,18 @@
       return;
     }
     if (knowledge.claims.orderPermission(id) === undefined) return;
-    const terms = knowledge.routes?.service(server.service)?.engine;
-    if (terms === undefined) return;
-    const lateOrders = this.#lateOrders.get(id) ?? new UnansweredLoads();
-    this.#lateOrders.set(id, lateOrders);
-    const parts = { ...this.#parts, lateOrders };
-    const owner = new EngineOwner(server, terms, parts);
+    const specification = knowledge.routes?.service(server.service)?.engine;
+    if (specification === undefined) return;
+    const unansweredLoads = this.#unansweredLoads.get(id) ??
+      new UnansweredLoads();
+    this.#unansweredLoads.set(id, unansweredLoads);
+    const parts = {
+      ...this.#parts,
+      earlierUnansweredLoads: unansweredLoads,
+    };
+    const owner = new EngineOwner(server, specification, parts);
     this.#owners.set(id, owner);
-    void owner.pump();
+    void owner.runDueSteps();
     this.#parts.gained();
   }
 
@@ -123,18 +127,19 @@
     const { knowledge, clock, log, logger } = this.#parts;
     const now = clock.now();
     if (this.#isClaiming || !knowledge.isInContact(now)) return;
-    if (this.#claimsFrom !== undefined && now < this.#claimsFrom) return;
-    if (this.#wanted(now).length === 0) return;
+    if (this.#nextClaimAt !== undefined && now < this.#nextClaimAt) return;
+    if (this.#enginesToClaim(now).length === 0) return;
     this.#isClaiming = true;
     await log.catchUp();
     const added = await this.#addClaims(clock.now());
     this.#isClaiming = false;
     if (added?.isOk() === true && !added.value) {
-      const spread = CLAIM_SPACING * knowledge.readers * Math.random();
-      this.#claimsFrom = later(clock.now(), milliseconds(spread));
+      const delay = CLAIM_SPACING_MILLISECONDS * knowledge.readers *
+        Math.random();
+      this.#nextClaimAt = later(clock.now(), milliseconds(delay));
     }
     if (added?.isErr() === true) {
-      logger.warn("Claims got no answer.", {
+      logger.warn("Claims of engines were not answered.", {
         step: added.error.step,
         peer: added.error.peer,
         detail: added.error.message,
@@ -146,42 +151,44 @@
     now: Instant,
   ): Promise<Result<boolean, Failure> | undefined> {
     const { knowledge, log } = this.#parts;
-    const left = knowledge.peers.left(now);
-    const claims = this.#wanted(now)
-      .map((engine) => this.#record(engine, left));
+    const stoppedNodes = knowledge.peers.left(now);
+    const claims = this.#enginesToClaim(now)
+      .map((engine) => this.#createClaim(engine, stoppedNodes));
     return claims.length === 0 ? undefined : await log.claim(claims);
   }
 
-  #wanted(now: Instant): readonly BackendServerId[] {
+  #enginesToClaim(now: Instant): readonly BackendServerId[] {
     const { knowledge, settings } = this.#parts;
-    const left = knowledge.peers.left(now);
+    const stoppedNodes = knowledge.peers.left(now);
     const engines = knowledge.engines.map((engine) => engine.id);
-    if (now - this.#startedAt < LISTENING_MILLISECONDS) {
+    if (now - this.#startedAt < INITIAL_LISTENING_MILLISECONDS) {
       return knowledge.claims.enginesToReclaim(engines);
     }
     const peers = knowledge.peers.alive(now)
       .filter((peer) => !peer.isLeaving)
       .map((peer) => nodeId(peer.node));
     const nodes = [settings.node.id, ...peers];
-    const taking = nodes.filter((node) => knowledge.serving.takesEngines(node));
+    const accepting = nodes.filter((node) =>
+      knowledge.serving.takesEngines(node)
+    );
     return knowledge.claims.enginesToClaim(now, {
       engines,
       nodes,
-      candidates: taking.length > 0 ? taking : nodes,
-      stoppedNodes: left,
+      candidates: accepting.length > 0 ? accepting : nodes,
+      stoppedNodes,
     });
   }
 
-  #record(
+  #createClaim(
     engine: BackendServerId,
-    left: ReadonlySet<NodeId>,
+    stoppedNodes: ReadonlySet<NodeId>,
   ): ClaimRecord {
     const { settings, incarnation, knowledge } = this.#parts;
     return {
       engine,
       owner: settings.node.id,
       incarnation,
-      wait: knowledge.claims.waitAfterClaim(engine, left),
+      wait: knowledge.claims.waitAfterClaim(engine, stoppedNodes),
     };
   }
 }
--- a/packages/node/src/relay/engine_run.ts
+++ b/packages/node/src/relay/engine_run.ts
@@ -14,22 +14,25 @@
 } from "@foxtailwind/core";
 import type { EngineDigest } from "@foxtailwind/protocol";
 import { AdapterUses } from "./adapter_uses.ts";
-import type { OrderResult, OrderTrouble } from "./engine_control.ts";
-import { writeEngineDigest } from "./engine_digest.ts";
+import type { OrderRejection, OrderResult } from "./engine_control.ts";
+import { buildEngineDigest } from "./engine_digest.ts";
 import { EngineModel } from "./engine_model.ts";
 import { EngineOrders } from "./engine_orders.ts";
 import type { EngineRunParts } from "./engine_owner_parts.ts";
-import { takeTrouble } from "./engine_trouble.ts";
+import { handleOrderRejection } from "./order_rejection.ts";
 import type { UseAnswer, UseRequest } from "./engine_use.ts";
 import { writeStart } from "./start_message.ts";
 import { StepLoop } from "./step_loop.ts";
 
-/** Between two questions whether a load has ended. */
-const LOAD_POLL = milliseconds(20);
-/** An owner whose orders may go within a load's time counts as able to order. */
-const SOON = milliseconds(250);
+/** The interval between checks whether a load has finished. */
+const LOAD_CHECK_INTERVAL = milliseconds(20);
+/**
+ * An owner that may send orders within this time, about that of a load, counts
+ * as able to order.
+ */
+const ORDER_WAIT_LIMIT = milliseconds(250);
 
-/** What an engine's owner knows and orders at one start of the engine. */
+/** An owner's state of one start of its engine, and the orders sent to it. */
 export class EngineRun {
   readonly #parts: EngineRunParts;
   readonly #slots: EngineSlots;
@@ -37,19 +40,19 @@
   readonly #model: EngineModel;
   readonly #loop: StepLoop;
   readonly #uses: AdapterUses;
-  readonly #doubt = new ReportTrigger();
-  /** Loads of this start; their slots are known while it lasts. */
-  #unanswered = new UnansweredLoads();
+  readonly #reportTrigger = new ReportTrigger();
+  /** Unanswered loads of this start, whose slots are known while it lasts. */
+  #unansweredLoads = new UnansweredLoads();
   #server: RegisteredServer;
 
   /**
    * @param server The engine.
-   * @param terms What it can hold.
-   * @param parts What the owner works with.
+   * @param specification The engine's capacity.
+   * @param parts The dependencies.
    */
   constructor(
     server: RegisteredServer,
-    terms: EngineSpecification,
+    specification: EngineSpecification,
     parts: EngineRunParts,
   ) {
     this.#server = server;
@@ -57,48 +60,48 @@
     this.#loop = new StepLoop(parts.clock, () => this.#step());
     const { engines, node } = parts.settings;
     this.#slots = new EngineSlots({
-      slots: terms.adapterSlots,
+      slots: specification.adapterSlots,
       concurrentLoads: engines.transfers,
       cachedAdapters: engines.kept_adapters,
     });
     this.#uses = new AdapterUses(this.#slots, {
       clock: parts.clock,
       start: parts.start,
-      ordersSoon: () => this.#ordersSoon(),
-      changed: () => void this.pump(),
+      canOrderSoon: () => this.#canOrderSoon(),
+      onChange: () => void this.runDueSteps(),
     });
     this.#orders = new EngineOrders(server, {
       self: node.id,
       control: parts.control,
       logger: parts.logger,
-      isBelieved: parts.isBelieved,
-      loadUnanswered: (expected) => {
-        this.#unanswered.add(this.#now(), expected);
+      acceptsReport: parts.acceptsReport,
+      onLoadUnanswered: (expected) => {
+        this.#unansweredLoads.add(this.#now(), expected);
       },
-      fellSilent: () => {
-        this.#uses.sendWaitersAway();
+      onUnreachable: () => {
+        this.#uses.refuseWaiting();
       },
     });
     this.#model = new EngineModel(server, parts.knowledge, this.#orders);
   }
 
   /**
-   * Takes a newer description of the engine.
+   * Updates the engine's registry entry.
    * @param server The engine.
    */
   update(server: RegisteredServer): void {
     this.#server = server;
     this.#orders.update(server);
-    void this.pump();
+    void this.runDueSteps();
   }
 
-  /** What other nodes are told of the engine. */
+  /** The digest of the engine that is sent to other nodes. */
   get digest(): EngineDigest {
     const now = this.#now();
-    return writeEngineDigest(this.#server, this.#slots.slots, {
+    return buildEngineDigest(this.#server, this.#slots.slots, {
       start: writeStart(this.#parts.start()),
-      waitMilliseconds: this.#uses.wait(now),
-      room: this.#ordersSoon() ? this.#slots.availableSlots(now) : 0,
+      waitMilliseconds: this.#uses.expectedWait(now),
+      room: this.#canOrderSoon() ? this.#slots.availableSlots(now) : 0,
       isReachable: this.#orders.isReachable,
       running: this.#uses.occupancy.running,
       isFull: this.#isFull(),
@@ -106,95 +109,114 @@
   }
 
   /**
-   * Asks for the use of an adapter or of a base model.
-   * @param request What is to be used.
-   * @param signal Ends the wait.
+   * Requests the use of an adapter or a base model.
+   * @param request The requested use.
+   * @param signal Cancels the request.
    * @returns The answer.
    */
-  async use(request: UseRequest, signal: AbortSignal): Promise<UseAnswer> {
+  async requestUse(
+    request: UseRequest,
+    signal: AbortSignal,
+  ): Promise<UseAnswer> {
     if (this.#loop.isStopped) return { kind: "not_owner" };
     if (this.#isFull() || !this.#orders.isReachable) return { kind: "no_room" };
-    return await this.#uses.ask(request, signal);
+    return await this.#uses.requestUse(request, signal);
   }
 
-  /** Takes note that the engine lacked what a use was granted of. */
-  missed(): void {
-    if (!this.#doubt.recordMiss(this.#now())) return;
-    this.#askAgain();
-    void this.pump();
+  /** Records that the engine lacked an adapter or model in a granted use. */
+  recordMiss(): void {
+    if (!this.#reportTrigger.recordMiss(this.#now())) return;
+    this.#scheduleReport();
+    void this.runDueSteps();
   }
 
-  /** Gives up the engine: nobody waits here any more. */
+  /** Stops sending orders and refuses waiting requests. */
   stop(): void {
-    const { lateOrders } = this.#parts;
-    if (!this.#loop.isStopped) lateOrders.merge(this.#unanswered);
-    this.#unanswered = lateOrders;
+    const { earlierUnansweredLoads } = this.#parts;
+    if (!this.#loop.isStopped) {
+      earlierUnansweredLoads.merge(this.#unansweredLoads);
+    }
+    this.#unansweredLoads = earlierUnansweredLoads;
     this.#loop.stop();
     this.#orders.stop();
     this.#uses.stop();
   }
 
-  /** Ends with the start: who waits is sent away, and uses end. */
+  /** Ends all uses and refuses waiting requests because the start is over. */
   end(): void {
     this.#uses.end();
     this.stop();
   }
 
-  /** Carries out what is due; called by itself when more becomes due. */
-  async pump(): Promise<void> {
+  /** Runs the steps that are due; later ones are scheduled automatically. */
+  async runDueSteps(): Promise<void> {
     await this.#loop.run();
   }
 
-  /** One step; whether another one may follow at once. */
+  /** Runs one step; returns whether another one may follow at once. */
   async #step(): Promise<boolean> {
     const now = this.#now();
-    const right = this.#parts.knowledge.claims.orderPermission(this.#server.id);
-    if (right === undefined) return false;
-    const askFrom = this.#doubt.dueAt ?? now;
-    if (askFrom > now) return this.#loop.wakeAt(askFrom);
-    // What the engine holds may be used, and asked for, before orders may go.
-    if (!this.#orders.isCounted) return await this.#readReport();
-    this.#keepSlotsFree(now);
-    if (right.validFrom > now) return this.#loop.wakeAt(right.validFrom);
-    if (!this.#model.isThere) return await this.#loadModel(now, right);
-    if (await this.#askAfterLoads(now, right)) return true;
+    const permission = this.#parts.knowledge.claims.orderPermission(
+      this.#server.id,
+    );
+    if (permission === undefined) return false;
+    const reportDueAt = this.#reportTrigger.dueAt ?? now;
+    if (reportDueAt > now) return this.#loop.wakeAt(reportDueAt);
+    // Loaded adapters may be reported and used before orders may be sent.
+    if (!this.#orders.hasCount) return await this.#readReport();
+    this.#reserveSlots(now);
+    if (permission.validFrom > now) {
+      return this.#loop.wakeAt(permission.validFrom);
+    }
+    if (!this.#model.isLoaded) return await this.#loadModel(now, permission);
+    if (await this.#checkLoad(now, permission)) return true;
     const order = this.#slots.nextOrder(now);
     if (order !== undefined) {
-      await this.#carryOut(order, right);
+      await this.#execute(order, permission);
       return true;
     }
-    if (this.#slots.pendingLoads > 0) this.#loop.wakeAt(later(now, LOAD_POLL));
+    if (this.#slots.pendingLoads > 0) {
+      this.#loop.wakeAt(later(now, LOAD_CHECK_INTERVAL));
+    }
     return false;
   }
 
-  /** Keeps slots for what was ordered of an earlier start and may come. */
-  #keepSlotsFree(now: Instant): void {
-    const { lateOrders } = this.#parts;
-    this.#slots.reserve(lateOrders.reservedSlots(now, this.#orders.count));
+  /** Reserves slots for loads from earlier starts that may still arrive. */
+  #reserveSlots(now: Instant): void {
+    const { earlierUnansweredLoads } = this.#parts;
+    this.#slots.reserve(
+      earlierUnansweredLoads.reservedSlots(now, this.#orders.count),
+    );
   }
 
   async #readReport(): Promise<boolean> {
-    const report = await this.#orders.report();
+    const report = await this.#orders.readReport();
     if (this.#loop.isStopped) return false;
     const now = this.#now();
     if (report === undefined) {
       return this.#loop.wakeAt(later(now, REPORT_DELAY));
     }
-    this.#model.reported(report.models);
-    this.#doubt.recordAgreement();
+    this.#model.applyReport(report.models);
+    this.#reportTrigger.recordAgreement();
     this.#slots.applyReport(now, report.adapters, report.incoming);
-    this.#uses.serveWaiters();
+    this.#uses.grantLoadedAdapters();
     return true;
   }
 
-  async #loadModel(now: Instant, right: OrderPermission): Promise<boolean> {
-    const isWanted = await this.#model.load(now, right);
-    if (isWanted) this.#askAgain();
-    return isWanted;
+  async #loadModel(
+    now: Instant,
+    permission: OrderPermission,
+  ): Promise<boolean> {
+    const isConfigured = await this.#model.load(now, permission);
+    if (isConfigured) this.#scheduleReport();
+    return isConfigured;
   }
 
-  /** Asks whether a load that should have ended has; one at a time. */
-  async #askAfterLoads(now: Instant, right: OrderPermission): Promise<boolean> {
+  /** Checks whether a load that should be done is done; one at a time. */
+  async #checkLoad(
+    now: Instant,
+    permission: OrderPermission,
+  ): Promise<boolean> {
     const due = this.#slots.nextLoadCheck();
     if (due === undefined) return false;
     if (due.at > now) {
@@ -204,85 +226,97 @@
     const { name } = due;
     const version = this.#slots.find(name)?.version ?? 0;
     const order = { kind: "load", name, version } as const;
-    this.#takeLoadState(name, await this.#orders.ask(order, right), right);
+    this.#applyLoadCheck(
+      name,
+      await this.#orders.checkLoad(order, permission),
+      permission,
+    );
     return true;
   }
 
-  #takeLoadState(
+  #applyLoadCheck(
     name: AdapterName,
     result: OrderResult,
-    right: OrderPermission,
+    permission: OrderPermission,
   ): void {
     if (this.#loop.isStopped) return;
     const now = this.#now();
     switch (result.kind) {
       case "holds":
-        this.#doubt.recordAgreement();
+        this.#reportTrigger.recordAgreement();
         this.#slots.markLoaded(now, name);
-        this.#uses.serveWaiters();
+        this.#uses.grantLoadedAdapters();
         break;
       case "conflict":
-        this.#slots.postponeLoadCheck(now, name, LOAD_POLL);
-        if (this.#doubt.recordConflict()) this.#askAgain();
+        this.#slots.postponeLoadCheck(now, name, LOAD_CHECK_INTERVAL);
+        if (this.#reportTrigger.recordConflict()) this.#scheduleReport();
         break;
       case "accepted":
       case "unknown":
-        this.#slots.postponeLoadCheck(now, name, LOAD_POLL);
+        this.#slots.postponeLoadCheck(now, name, LOAD_CHECK_INTERVAL);
         break;
       case "fenced":
       case "misdirected":
       case "invalid":
-        this.#takeTrouble(result, right);
+        this.#applyRejection(result, permission);
     }
   }
 
-  async #carryOut(order: SlotOrder, right: OrderPermission): Promise<void> {
-    const result = await this.#orders.carryOut(order, right);
-    // A late answer says nothing of what came after: a new start, or owner.
+  async #execute(order: SlotOrder, permission: OrderPermission): Promise<void> {
+    const result = await this.#orders.execute(order, permission);
+    // A late answer doesn't apply to a new start or a new owner.
     if (this.#loop.isStopped) return;
     const now = this.#now();
     switch (result.kind) {
       case "holds":
       case "accepted":
-        this.#doubt.recordAgreement();
+        this.#reportTrigger.recordAgreement();
         this.#slots.applyAnswer(now, order, result.kind);
-        this.#orders.accepted();
+        this.#orders.recordAccepted();
         break;
       case "conflict":
         this.#slots.applyAnswer(now, order, "conflict");
-        if (this.#doubt.recordConflict()) this.#askAgain();
+        if (this.#reportTrigger.recordConflict()) this.#scheduleReport();
         break;
       case "unknown":
         this.#slots.applyAnswer(now, order, "unknown");
-        this.#askAgain();
+        this.#scheduleReport();
         break;
       case "fenced":
       case "misdirected":
       case "invalid":
-        this.#takeTrouble(result, right);
+        this.#applyRejection(result, permission);
     }
   }
 
-  /** Trusts nothing that is known until the engine has reported. */
-  #askAgain(): void {
+  /** Discards the order count and schedules a report of the engine. */
+  #scheduleReport(): void {
     this.#orders.forgetCount();
-    this.#doubt.schedule(this.#now());
+    this.#reportTrigger.schedule(this.#now());
   }
 
-  #takeTrouble(result: OrderTrouble, right: OrderPermission): void {
-    const step = takeTrouble(this.#parts, this.#server.id, result, right);
-    if (step === "stop") this.stop();
-    if (step === "ask_again") this.#askAgain();
+  #applyRejection(result: OrderRejection, permission: OrderPermission): void {
+    const action = handleOrderRejection(
+      this.#parts,
+      this.#server.id,
+      result,
+      permission,
+    );
+    if (action === "stop") this.stop();
+    if (action === "ask_again") this.#scheduleReport();
   }
 
   #isFull(): boolean {
     return this.#uses.occupancy.isFull(this.#server.slots);
   }
 
-  /** Whether orders may go now, or as soon as a load takes anyway. */
-  #ordersSoon(): boolean {
-    const right = this.#parts.knowledge.claims.orderPermission(this.#server.id);
-    return right !== undefined && right.validFrom - this.#now() < SOON;
+  /** Whether orders may be sent now, or within about the time of a load. */
+  #canOrderSoon(): boolean {
+    const permission = this.#parts.knowledge.claims.orderPermission(
+      this.#server.id,
+    );
+    return permission !== undefined &&
+      permission.validFrom - this.#now() < ORDER_WAIT_LIMIT;
   }
 
   #now(): Instant {
--- a/packages/node/src/relay/engine_use.ts
+++ b/packages/node/src/relay/engine_use.ts
@@ -5,30 +5,30 @@
   ServerStart,
 } from "@foxtailwind/core";
 
-/** The use of an adapter that is asked for. */
+/** A request to use an adapter or a base model. */
 export interface UseRequest {
   readonly model: ModelId;
-  /** Left out for the base model itself. */
+  /** `undefined` for the base model itself. */
   readonly adapter?: AdapterName["adapter"];
   readonly minimumVersion: number;
-  /** How long the engine reads the prompt, as the asker estimates it. */
-  readonly reading: Duration;
-  /** Until the first event is wanted; less than 0 where that is over. */
+  /** The requesting node's estimate of the prompt's prefill time. */
+  readonly prefillTime: Duration;
+  /** The time until the first event is due; negative if it is overdue. */
   readonly timeLeft: Duration;
-  /** Whether the prompts before it have to be read first. */
+  /** Whether the prefill of earlier prompts has to be finished first. */
   readonly needsBreak: boolean;
 }
 
-/** What an owner answers to a request for use. */
+/** An owner's answer to a request for a use. */
 export type UseAnswer =
   | {
     readonly kind: "granted";
-    /** 0 where the engine has not told it, or for the base model. */
+    /** 0 for the base model, or if the engine hasn't reported a version. */
     readonly version: number;
-    /** The start of the engine that it is granted at, if known. */
+    /** The engine's start that the use is granted for, if known. */
     readonly start: ServerStart | undefined;
-    /** Tells that the use has ended with that start. */
-    readonly over: AbortSignal;
+    /** Aborted when the use ends with that start. */
+    readonly endSignal: AbortSignal;
     /** Ends the use. */
     readonly release: () => void;
   }
--- a/packages/node/src/relay/kept_answer.ts
+++ b/packages/node/src/relay/kept_answer.ts
@@ -1,34 +1,34 @@
 import type { AnswerHead } from "./backend_call.ts";
 
 /**
- * A kept answer above this size is passed on before its end is known: a
- * request must not hold more of a node's 350 MB than a body may have.
+ * A buffered answer above this size is passed on before its end is known: one
+ * request must not take more of a node's 350 MB than a body may.
  */
-const LARGE_BYTES = 256 * 1_024;
+const LARGE_ANSWER_BYTES = 256 * 1_024;
 
-/** An answer that is kept until it is known what becomes of it. */
+/** An answer that is buffered until it is decided whether to pass it on. */
 export class KeptAnswer {
   readonly head: AnswerHead;
   readonly #chunks: Buffer[] = [];
   #length = 0;
 
-  /** @param head Its beginning. */
+  /** @param head The status and headers. */
   constructor(head: AnswerHead) {
     this.head = head;
   }
 
-  /** What has come of its body. */
+  /** The body received so far. */
   get body(): Buffer {
     return Buffer.concat(this.#chunks);
   }
 
-  /** Whether so much of its body has come that it should not grow further. */
+  /** Whether the body is too large to buffer any more of it. */
   get isLarge(): boolean {
-    return this.#length > LARGE_BYTES;
+    return this.#length > LARGE_ANSWER_BYTES;
   }
 
   /**
-   * Takes bytes of its body.
+   * Appends bytes to the body.
    * @param bytes The next bytes.
    */
   add(bytes: Buffer): void {
--- a/packages/node/src/relay/place_finder.ts
+++ b/packages/node/src/relay/place_finder.ts
@@ -14,40 +14,43 @@
 import type { Place, PlaceAnswer } from "./request_placer.ts";
 import type { SendRecord } from "./send_record.ts";
 
-/** Between two looks for a place, in milliseconds. */
-const PLACE_PAUSE_MILLISECONDS = 40;
-/** The share of a caller's patience in which a place is looked for. */
-const PLACE_SHARE = 0.4;
-/** Callers leave a stream without events after the longest of these. */
-const STREAM_PATIENCE = { least: 2_000, targets: 4, pauses: 8 } as const;
-/** Engines that were asked for a place, in one line of the log. */
-const MOST_ASKED_LOGGED = 8;
+/** The delay between two attempts to find a place. */
+const RETRY_DELAY_MILLISECONDS = 40;
+/** The share of the caller's waiting time in which a place is searched for. */
+const SEARCH_SHARE = 0.4;
+/**
+ * Callers give up a stream without events after the longest of these: a number
+ * of milliseconds, of target latencies or of longest pauses.
+ */
+const STREAM_TIMEOUT = { minimum: 2_000, targets: 4, pauses: 8 } as const;
+/** The maximum number of asked engines in one line of the log. */
+const MAXIMUM_LOGGED_ANSWERS = 8;
 
-/** What bounds the search for a place. */
+/** The bounds of the search for a place. */
 export interface PlaceTerms {
-  /** When the first event is wanted, earlier tries of the caller counted. */
+  /** When the first event is due, counted from the caller's first attempt. */
   readonly wantedBy: Instant;
-  /** Tells when the request's time is over; a stop may shorten it. */
+  /** Returns the request's deadline; a stop of this node may shorten it. */
   readonly endsAt: () => Instant;
-  /** Where it was sent before. */
+  /** The servers that the request was sent to before. */
   readonly sent: SendRecord;
-  /** Tells that nobody waits for the request any more. */
+  /** Aborted when nobody waits for the request any longer. */
   readonly over: AbortSignal;
 }
 
-/** Looks for servers for one request. */
+/** Searches for servers that can run one request. */
 export class PlaceFinder {
   readonly #parts: RelayParts;
   readonly #request: ReadRequest;
   readonly #terms: PlaceTerms;
   readonly #asked: PlaceAnswer[] = [];
-  #queued: LimitQueuePlace | undefined;
+  #queuePlace: LimitQueuePlace | undefined;
   #comeBackAfter: Duration | undefined;
 
   /**
-   * @param parts What it works with.
+   * @param parts The dependencies.
    * @param request The request.
-   * @param terms What bounds the search.
+   * @param terms The bounds of the search.
    */
   constructor(parts: RelayParts, request: ReadRequest, terms: PlaceTerms) {
     this.#parts = parts;
@@ -55,83 +58,89 @@
     this.#terms = terms;
   }
 
-  /** The first engines that were asked for a place, and their answers. */
+  /** The first engines that were asked for a place, with their answers. */
   get asked(): readonly PlaceAnswer[] {
     return this.#asked;
   }
 
-  /** When a place is likely, where servers' limits left none. */
+  /** When a place is expected, if the servers' limits leave none now. */
   get comeBackAfter(): Duration | undefined {
     return this.#comeBackAfter;
   }
 
   /**
-   * Looks for a place until there is one or it is too late for one.
-   * @returns The place, or nothing.
+   * Searches until a place is found or it is too late for one.
+   * @returns The place, or `undefined`.
    */
   async find(): Promise<Place | undefined> {
     const { arrivedAt, route } = this.#request;
-    const patience = Math.min(
+    const timeout = Math.min(
       this.#terms.endsAt() - arrivedAt,
-      firstEventPatience(route),
+      firstEventTimeout(route),
     );
-    // A stream that goes on elsewhere has used up its first patience long ago.
-    const from = this.#terms.sent.sends === 0 ? arrivedAt : this.#now();
-    const until = later(from, milliseconds(patience * PLACE_SHARE));
-    const left = Math.max(1, Math.ceil(until - this.#now()));
-    const search = new BoundedSignal(this.#terms.over, left);
+    // A stream that resumes elsewhere has long used up its first waiting time.
+    const startsAt = this.#terms.sent.sends === 0 ? arrivedAt : this.#now();
+    const searchEnd = later(startsAt, milliseconds(timeout * SEARCH_SHARE));
+    const timeLeft = Math.max(1, Math.ceil(searchEnd - this.#now()));
+    const searchSignal = new BoundedSignal(this.#terms.over, timeLeft);
     try {
       for (;;) {
-        const place = await this.#look(search.signal);
+        const place = await this.#tryPlace(searchSignal.signal);
         if (place !== undefined || this.#terms.over.aborted) return place;
-        if (this.#now() >= until || this.#isTooFarBack(until)) return undefined;
-        await sleep(PLACE_PAUSE_MILLISECONDS);
+        if (this.#now() >= searchEnd || this.#exceedsQueueWait(searchEnd)) {
+          return undefined;
+        }
+        await sleep(RETRY_DELAY_MILLISECONDS);
       }
     } finally {
-      search.release();
-      this.#queued?.leave();
-      this.#queued = undefined;
+      searchSignal.release();
+      this.#queuePlace?.leave();
+      this.#queuePlace = undefined;
     }
   }
 
   /**
-   * Whether the servers' limits keep the request waiting for longer than it
-   * can. It is then told at once when a place is likely.
+   * Whether the servers' limits make the request wait for longer than it can.
+   * The caller is then told at once when a place is expected.
    */
-  #isTooFarBack(until: Instant): boolean {
+  #exceedsQueueWait(searchEnd: Instant): boolean {
     const { limits } = this.#parts;
     const servers = this.#servers();
     if (!limits.areReached(servers)) return false;
-    const isQueued = this.#queued !== undefined;
-    this.#queued ??= limits.queue(this.#request.service.id);
-    const wait = limits.waitBehind(servers, this.#queued.ahead);
+    const isQueued = this.#queuePlace !== undefined;
+    this.#queuePlace ??= limits.queue(this.#request.service.id);
+    const wait = limits.waitBehind(servers, this.#queuePlace.ahead);
     this.#comeBackAfter = wait;
     if (wait === undefined) return true;
-    return !isQueued && later(this.#now(), wait) > until;
+    return !isQueued && later(this.#now(), wait) > searchEnd;
   }
 
-  /** The servers that could run the request, those it was not sent to first. */
+  /** The servers that can run the request, preferring those not tried yet. */
   #servers(): readonly RegisteredServer[] {
     const { service } = this.#request;
-    const there = this.#parts.knowledge.servers(service.id)
+    const available = this.#parts.knowledge.servers(service.id)
       .filter((one) => !one.leaving);
-    const untried = there.filter((one) => !this.#terms.sent.hasTried(one.id));
-    return untried.length > 0 ? untried : there;
+    const untried = available.filter((one) =>
+      !this.#terms.sent.hasTried(one.id)
+    );
+    return untried.length > 0 ? untried : available;
   }
 
-  async #look(signal: AbortSignal): Promise<Place | undefined> {
+  async #tryPlace(signal: AbortSignal): Promise<Place | undefined> {
     const { service, caller } = this.#request;
     const { placer } = this.#parts;
     const servers = this.#servers();
     if (service.engine === undefined || caller.use === undefined) {
-      return placer.choosePlain(this.#now(), servers);
+      return placer.placeOnServer(this.#now(), servers);
     }
     return await placer.placeOnEngine(caller.use, servers, {
       signal,
-      wantedBy: this.#terms.wantedBy,
+      firstEventDeadline: this.#terms.wantedBy,
       longestPause: this.#request.route.longestPause,
-      note: (answer) => {
-        if (this.#asked.length < MOST_ASKED_LOGGED) this.#asked.push(answer);
+      onAnswer: (answer) => {
+        if (this.#asked.length < MAXIMUM_LOGGED_ANSWERS) {
+          this.#asked.push(answer);
+        }
       },
     });
   }
@@ -141,12 +150,12 @@
   }
 }
 
-/** How long callers of a route wait for a first event. */
-function firstEventPatience(route: Route): number {
+/** Returns how long callers of a route wait for the first event. */
+function firstEventTimeout(route: Route): number {
   if (!route.streams) return route.timeLimit;
-  const { least, targets, pauses } = STREAM_PATIENCE;
+  const { minimum, targets, pauses } = STREAM_TIMEOUT;
   return Math.max(
-    least,
+    minimum,
     targets * route.target,
     pauses * (route.longestPause ?? 0),
   );
--- a/packages/node/src/relay/request_placer.ts
+++ b/packages/node/src/relay/request_placer.ts
@@ -14,47 +14,48 @@
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type {
   AdapterGrants,
-  GrantAddress,
+  EngineOwnerAddress,
   GrantAnswer,
 } from "./adapter_grants.ts";
 import type { ModelUse } from "./caller_wire.ts";
 import type { EngineOwners } from "./engine_owners.ts";
 import type { Knowledge } from "./knowledge.ts";
-import { type KnownEngine, KnownEngines } from "./known_engines.ts";
+import { type EngineCandidate, EngineCandidates } from "./engine_candidates.ts";
 import type { RequestLimits } from "./request_limits.ts";
 import type { ServerLoads } from "./server_loads.ts";
 
-/** Where a request goes, and what to do once it has ended there. */
+/** The server chosen for a request, with the callbacks for its end. */
 export interface Place {
   readonly server: RegisteredServer;
-  /** The version that must serve it, where known. */
+  /** The adapter version that must serve the request, if known. */
   readonly adapterVersion?: number;
+  /** Ends the use, if one was granted. */
   readonly release: () => void;
-  /** Called where the server lacked what the request needs. */
+  /** Called if the server lacked the model or adapter of the request. */
   readonly missed: () => void;
 }
 
-/** An engine that was asked for a place, and what came of it. */
+/** An engine that was asked for a place, and its answer. */
 export interface PlaceAnswer {
   readonly engine: BackendServerId;
-  /** The owner that was asked; left out where none could be. */
+  /** The owner that was asked; `undefined` if none is known. */
   readonly owner?: NodeId;
   readonly answer: GrantAnswer["kind"] | "no_owner";
 }
 
-/** How a place is looked for. */
-export interface PlaceSearch {
-  /** When the first event is wanted. */
-  readonly wantedBy: Instant;
-  /** The longest pause between two events that is not late, where there is one. */
+/** The terms of the search for a place. */
+export interface PlacementSearch {
+  /** When the first event is due. */
+  readonly firstEventDeadline: Instant;
+  /** The longest pause between two events that isn't late, if limited. */
   readonly longestPause: Duration | undefined;
-  /** Ends the search. */
+  /** Cancels the search. */
   readonly signal: AbortSignal;
-  /** Takes note of what came of each engine that was asked. */
-  readonly note: (answer: PlaceAnswer) => void;
+  /** Called with the answer of each engine that was asked. */
+  readonly onAnswer: (answer: PlaceAnswer) => void;
 }
 
-/** What a placer works with. */
+/** Dependencies of `RequestPlacer`. */
 export interface RequestPlacerParts {
   readonly self: NodeId;
   readonly knowledge: Knowledge;
@@ -65,137 +66,139 @@
   readonly clock: SteadyClock;
 }
 
-/** How many engines are asked for an adapter before the placer waits. */
-const MOST_ASKED = 3;
-/** How long an owner is waited for where the engine holds the adapter. */
-const HELD_ANSWER_MILLISECONDS = 250;
-/** How long an owner may take to bring an adapter before another is asked. */
-const LOAD_ANSWER_MILLISECONDS = 1_000;
+/** How many engines are asked for an adapter before the search pauses. */
+const MAXIMUM_ASKED = 3;
+/** The timeout of an owner's answer if the engine holds the adapter. */
+const HELD_ADAPTER_TIMEOUT_MILLISECONDS = 250;
+/** The timeout of an owner's answer, with a load, before another is asked. */
+const ADAPTER_LOAD_TIMEOUT_MILLISECONDS = 1_000;
 
 type Grant = Extract<GrantAnswer, { readonly kind: "granted" }>;
 
-const nothing = () => undefined;
+const noop = () => undefined;
 
-/** Finds a server for each request, and brings adapters where needed. */
+/** Finds a server for each request, and has adapters loaded if needed. */
 export class RequestPlacer {
   readonly #parts: RequestPlacerParts;
-  readonly #engines: KnownEngines;
+  readonly #candidates: EngineCandidates;
   readonly #refusals = new RecentRefusals();
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: RequestPlacerParts) {
     this.#parts = parts;
-    this.#engines = new KnownEngines(parts);
+    this.#candidates = new EngineCandidates(parts);
   }
 
   /**
-   * Chooses a server of a plain service.
+   * Chooses a server of a service without engines.
    * @param now The present time.
-   * @param servers The servers that may be chosen.
-   * @returns The place, or nothing where there is no server.
+   * @param servers The servers to choose from.
+   * @returns The place, or `undefined` if no server can take the request.
    */
-  choosePlain(
+  placeOnServer(
     now: Instant,
     servers: readonly RegisteredServer[],
   ): Place | undefined {
     const { loads, limits } = this.#parts;
-    const open = servers.filter((server) => limits.wait(server) === 0);
-    const server = loads.choose(now, open, Math.random());
+    const available = servers.filter((server) => limits.wait(server) === 0);
+    const server = loads.choose(now, available, Math.random());
     return server === undefined || !limits.take(server)
       ? undefined
-      : { server, release: nothing, missed: nothing };
+      : { server, release: noop, missed: noop };
   }
 
   /**
-   * Finds an engine for a request, and waits for its adapter where needed.
-   * @param use What the request runs on.
-   * @param servers The engines that may be chosen.
-   * @param search How it is looked for.
-   * @returns The place, or nothing where no engine can take it now.
+   * Chooses an engine for a request, and waits for its adapter if needed.
+   * @param use The model and adapter that the request uses.
+   * @param servers The engines to choose from.
+   * @param search The terms of the search.
+   * @returns The place, or `undefined` if no engine can take the request now.
    */
   async placeOnEngine(
     use: ModelUse,
     servers: readonly RegisteredServer[],
-    search: PlaceSearch,
+    search: PlacementSearch,
   ): Promise<Place | undefined> {
     const now = this.#parts.clock.now();
     const minimumVersion = use.adapter === undefined
       ? 0
       : this.#parts.knowledge.versions.newest(use.model, use.adapter);
-    const engines = servers
+    const candidates = servers
       .filter((server) => !this.#parts.loads.of(server).isPaused(now))
       .filter((server) => this.#parts.limits.wait(server) === 0)
       .map((server) =>
-        this.#engines.describe(now, server, { ...use, minimumVersion })
+        this.#candidates.describe(now, server, { ...use, minimumVersion })
       )
       .filter((engine) => engine !== undefined);
-    const byId = new Map(engines.map((engine) => [engine.id, engine]));
-    for (const id of rankEngines(use, engines).slice(0, MOST_ASKED)) {
-      const engine = byId.get(id);
+    const candidatesById = new Map(
+      candidates.map((engine) => [engine.id, engine]),
+    );
+    for (const id of rankEngines(use, candidates).slice(0, MAXIMUM_ASKED)) {
+      const engine = candidatesById.get(id);
       if (engine === undefined || search.signal.aborted) break;
       const { server } = engine;
-      if (!this.#isOpen(server)) continue;
-      if (!this.#mayTake(engine) || !this.#parts.limits.take(server)) continue;
-      const place = await this.#ask(engine, use, minimumVersion, search);
+      if (!this.#takesRequests(server)) continue;
+      if (!this.#hasRoom(engine) || !this.#parts.limits.take(server)) continue;
+      const place = await this.#requestUse(engine, use, minimumVersion, search);
       if (place !== undefined) return place;
       this.#parts.limits.giveBack(server);
     }
     return undefined;
   }
 
-  /** Whether a question to an engine may be answered by a place. */
-  #mayTake({ id, holdsAdapter: holds, isLoading }: KnownEngine): boolean {
+  /** Whether an engine probably has room for the request. */
+  #hasRoom({ id, holdsAdapter, isLoading }: EngineCandidate): boolean {
     const now = this.#parts.clock.now();
-    return holds || isLoading || !this.#refusals.isLikelyFull(now, id);
+    return holdsAdapter || isLoading || !this.#refusals.isLikelyFull(now, id);
   }
 
-  async #ask(
-    engine: KnownEngine,
+  async #requestUse(
+    engine: EngineCandidate,
     use: ModelUse,
     minimumVersion: number,
-    { signal, note, wantedBy, longestPause }: PlaceSearch,
+    { signal, onAnswer, firstEventDeadline, longestPause }: PlacementSearch,
   ): Promise<Place | undefined> {
     const { server, owner, address } = engine;
     if (owner === undefined || address === undefined) {
-      note({ engine: engine.id, answer: "no_owner" });
+      onAnswer({ engine: engine.id, answer: "no_owner" });
       return engine.holdsAdapter
-        ? { server, release: nothing, missed: nothing }
+        ? { server, release: noop, missed: noop }
         : undefined;
     }
-    const answerTime = engine.holdsAdapter
-      ? HELD_ANSWER_MILLISECONDS
-      : LOAD_ANSWER_MILLISECONDS;
-    const patience = Math.ceil(engine.expectedWait + answerTime);
-    const where = { engine: engine.id, owner, address };
+    const answerTimeout = engine.holdsAdapter
+      ? HELD_ADAPTER_TIMEOUT_MILLISECONDS
+      : ADAPTER_LOAD_TIMEOUT_MILLISECONDS;
+    const timeout = Math.ceil(engine.expectedWait + answerTimeout);
+    const target = { engine: engine.id, owner, address };
     if (owner !== this.#parts.self) {
       this.#parts.knowledge.work.count("use_asked");
     }
-    const asking = new BoundedSignal(signal, patience);
-    const answer = await this.#parts.grants.ask(
-      where,
+    const answerSignal = new BoundedSignal(signal, timeout);
+    const answer = await this.#parts.grants.requestUse(
+      target,
       {
         model: use.model,
         ...(use.adapter === undefined ? {} : { adapter: use.adapter }),
         minimumVersion,
-        reading: engine.prefillTime,
-        timeLeft: milliseconds(wantedBy - this.#parts.clock.now()),
+        prefillTime: engine.prefillTime,
+        timeLeft: milliseconds(firstEventDeadline - this.#parts.clock.now()),
         needsBreak: longestPause !== undefined &&
           needsBreaks(
             this.#parts.loads.of(server).prefillTimes.tokenTime,
             longestPause,
           ),
       },
-      asking.signal,
+      answerSignal.signal,
     );
-    asking.release();
-    note({ engine: engine.id, owner, answer: answer.kind });
+    answerSignal.release();
+    onAnswer({ engine: engine.id, owner, answer: answer.kind });
     if (answer.kind === "no_room") {
       this.#refusals.recordRefusal(this.#parts.clock.now(), engine.id);
     }
-    const isOpen = this.#isOpen(server);
+    const takesRequests = this.#takesRequests(server);
     if (answer.kind === "granted") {
       const { version, release } = answer;
-      if (!isOpen || this.#isOver(where, answer)) {
+      if (!takesRequests || this.#hasEnded(target, answer)) {
         release();
         return undefined;
       }
@@ -204,27 +207,27 @@
         ...(version === 0 ? {} : { adapterVersion: version }),
         release,
         missed: () => {
-          this.#parts.grants.missed(where);
+          this.#parts.grants.missed(target);
         },
       };
     }
-    const isHeldWithoutOwner = engine.holdsAdapter && answer.kind !== "no_room";
-    return isHeldWithoutOwner && isOpen && !signal.aborted
-      ? { server, release: nothing, missed: nothing }
+    const runsWithoutGrant = engine.holdsAdapter && answer.kind !== "no_room";
+    return runsWithoutGrant && takesRequests && !signal.aborted
+      ? { server, release: noop, missed: noop }
       : undefined;
   }
 
-  /** Whether an engine takes requests: it may leave while owners are asked. */
-  #isOpen({ id }: RegisteredServer): boolean {
+  /** Whether an engine takes requests; it may leave while owners are asked. */
+  #takesRequests({ id }: RegisteredServer): boolean {
     return this.#parts.knowledge.registry.find(id)?.leaving === false;
   }
 
-  /** Whether a use was granted at a start that is over by now. */
-  #isOver(where: GrantAddress, { start, over }: Grant): boolean {
-    if (over.aborted) return true;
-    // This node's own owner knows all that the registry told this node.
-    if (where.owner === this.#parts.self) return false;
-    const known = this.#parts.knowledge.registry.find(where.engine);
+  /** Whether a use was granted for a start that has ended. */
+  #hasEnded(target: EngineOwnerAddress, { start, endSignal }: Grant): boolean {
+    if (endSignal.aborted) return true;
+    // An owner on this node knows everything that this node's registry knows.
+    if (target.owner === this.#parts.self) return false;
+    const known = this.#parts.knowledge.registry.find(target.engine);
     return isOlderStart(start, known?.start);
   }
 }
--- a/packages/node/src/relay/step_loop.ts
+++ b/packages/node/src/relay/step_loop.ts
@@ -1,7 +1,7 @@
 import type { Instant } from "@foxtailwind/core";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 
-/** Takes one step after the other while more is due, never two at once. */
+/** Runs an asynchronous step while it is due, never two at the same time. */
 export class StepLoop {
   readonly #clock: SteadyClock;
   readonly #step: () => Promise<boolean>;
@@ -11,27 +11,27 @@
   #isStopped = false;
 
   /**
-   * @param clock Tells the time of waking.
-   * @param step Takes a step; tells whether another one may follow at once.
+   * @param clock The clock of the wake-up times.
+   * @param step Runs one step; returns whether another one may follow at once.
    */
   constructor(clock: SteadyClock, step: () => Promise<boolean>) {
     this.#clock = clock;
     this.#step = step;
   }
 
-  /** Whether no step is taken any more. */
+  /** Whether the loop has been stopped. */
   get isStopped(): boolean {
     return this.#isStopped;
   }
 
-  /** Takes the steps that are due. */
+  /** Runs the steps that are due. */
   async run(): Promise<void> {
     this.#isDue = true;
     if (this.#isRunning) return;
     this.#isRunning = true;
     try {
       while (this.#isDue && !this.#isStopped) {
-        // What becomes due while the last step ends is seen by one more.
+        // Work that becomes due during the last step gets another step.
         this.#isDue = false;
         if (await this.#step()) this.#isDue = true;
       }
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Runs again at a time, and at no earlier one that was set.
-   * @param at The time.
-   * @returns That no step follows at once.
+   * Schedules the next run, in place of any run scheduled before.
+   * @param at The time of the run.
+   * @returns `false`: no step follows at once.
    */
   wakeAt(at: Instant): false {
     clearTimeout(this.#timer);
@@ -52,7 +52,7 @@
     return false;
   }
 
-  /** Takes no step after the present one. */
+  /** Stops the loop after the current step. */
   stop(): void {
     this.#isStopped = true;
     clearTimeout(this.#timer);
--- a/packages/node/tests/relay/engine_owner_test.ts
+++ b/packages/node/tests/relay/engine_owner_test.ts
@@ -1,51 +1,60 @@
 import { adapterId } from "@foxtailwind/core";
 import test from "ava";
-import { release, SERVER, setUpOwner, use } from "./helpers/owned_engine.ts";
+import {
+  release,
+  requestUse,
+  SERVER,
+  setUpOwner,
+} from "./helpers/owned_engine.ts";
 
-test("an adapter is brought for whoever asks, and evicted only when idle", async (t) => {
+test("an adapter is loaded on request, and evicted only when idle", async (t) => {
   const { owner, control, claim } = setUpOwner(1);
   claim("node-1", 4);
-  const first = await use(owner, "a");
+  const first = await requestUse(owner, "a");
   t.is(first.kind, "granted");
-  t.is((await use(owner, "b")).kind, "no_room", "The only slot is in use.");
+  t.is(
+    (await requestUse(owner, "b")).kind,
+    "no_room",
+    "The only slot is in use.",
+  );
   release(first);
-  const second = await use(owner, "b");
+  const second = await requestUse(owner, "b");
   t.is(second.kind, "granted");
   t.deepEqual([...control.adapters.held], ["b"]);
   t.true(control.orders.every((order) => order.fence === 5 as never));
   owner.stop();
 });
 
-test("without the right nothing is ordered", async (t) => {
+test("without an order permission nothing is ordered", async (t) => {
   const { owner, control, claim } = setUpOwner();
   claim("node-2", 4);
-  const answer = await use(owner, "a", 100);
+  const answer = await requestUse(owner, "a", 100);
   t.not(answer.kind, "granted");
   t.deepEqual(control.orders, []);
   owner.stop();
 });
 
-test("a new owner that has to wait grants what the engine holds, and sends others away at once", async (t) => {
+test("a new owner that may not order yet grants loaded adapters, and refuses others at once", async (t) => {
   const { owner, control, claim } = setUpOwner();
   control.adapters.held.add(adapterId("a"));
   claim("node-1", 4, 60_000);
-  void owner.pump();
+  void owner.runDueSteps();
   while (owner.digest.adapters.length === 0) {
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
-  t.is((await use(owner, "a")).kind, "granted");
-  t.is((await use(owner, "b", 60_000)).kind, "no_room");
+  t.is((await requestUse(owner, "a")).kind, "granted");
+  t.is((await requestUse(owner, "b", 60_000)).kind, "no_room");
   t.is(owner.digest.room, 0);
   t.deepEqual(control.orders, []);
   owner.stop();
 });
 
-test("an order without an answer is sent again, and carried out once", async (t) => {
+test("an order without an answer is sent again, and executed once", async (t) => {
   for (const fate of ["lost", "late", "answer_lost"] as const) {
     const { owner, control, claim } = setUpOwner();
     control.fates.nextFates = [fate];
     claim("node-1", 4);
-    const answer = await use(owner, "a");
+    const answer = await requestUse(owner, "a");
     t.is(answer.kind, "granted", fate);
     control.fates.carryOutLate();
     t.deepEqual([...control.adapters.held], ["a"]);
@@ -54,7 +63,7 @@
   }
 });
 
-test("late orders never lead past the slots", async (t) => {
+test("late orders never exceed the slots", async (t) => {
   const { owner, control, claim } = setUpOwner(2);
   control.fates.nextFates = [
     "late",
@@ -66,7 +75,7 @@
   ];
   claim("node-1", 4);
   for (const adapter of ["a", "b", "c", "d", "a"]) {
-    release(await use(owner, adapter));
+    release(await requestUse(owner, adapter));
     control.fates.carryOutLate();
   }
   t.false(control.adapters.isOverfull);
@@ -74,54 +83,54 @@
   owner.stop();
 });
 
-test("a wrong count of orders is found out and put right while a load is asked about", async (t) => {
+test("a wrong order count is detected and corrected while a load is checked", async (t) => {
   const { owner, control, claim } = setUpOwner();
   claim("node-1", 4);
-  const waiting = use(owner, "a");
+  const waiting = requestUse(owner, "a");
   while (control.adapters.held.size === 0) {
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
   control.adapters.count += 1;
   t.is((await waiting).kind, "granted");
-  t.is((await use(owner, "b")).kind, "granted");
+  t.is((await requestUse(owner, "b")).kind, "granted");
   owner.stop();
 });
 
-test("who waits for an engine that falls silent is sent away at once", async (t) => {
+test("a request that waits for an engine that becomes unreachable is refused at once", async (t) => {
   const { owner, control, claim } = setUpOwner();
   claim("node-1", 4);
-  release(await use(owner, "a"));
+  release(await requestUse(owner, "a"));
   control.isDown = true;
-  t.is((await use(owner, "b")).kind, "no_room");
+  t.is((await requestUse(owner, "b")).kind, "no_room");
   t.false(owner.digest.isReachable);
-  t.is((await use(owner, "a")).kind, "no_room");
+  t.is((await requestUse(owner, "a")).kind, "no_room");
   control.isDown = false;
   while (!owner.digest.isReachable) {
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
-  t.is((await use(owner, "b")).kind, "granted");
+  t.is((await requestUse(owner, "b")).kind, "granted");
   owner.stop();
 });
 
-test("a refused fencing number is not used again", async (t) => {
+test("a rejected fencing number is not used again", async (t) => {
   const { owner, control, claim } = setUpOwner();
   claim("node-1", 4);
   control.adapters.highestFence = 9;
-  const answer = await use(owner, "a", 400);
+  const answer = await requestUse(owner, "a", 400);
   t.not(answer.kind, "granted");
   t.is(control.orders.length, 1);
   owner.stop();
 });
 
-test("an engine that runs all it should takes no more until a request ends", async (t) => {
+test("a full engine takes no further request until one ends", async (t) => {
   const { owner, claim } = setUpOwner();
   claim("node-1", 4);
-  const first = await use(owner, "a");
+  const first = await requestUse(owner, "a");
   const uses = [first];
-  while (!owner.digest.isFull) uses.push(await use(owner, "a"));
+  while (!owner.digest.isFull) uses.push(await requestUse(owner, "a"));
   t.true(uses.length < SERVER.slots);
-  t.is((await use(owner, "a")).kind, "no_room");
+  t.is((await requestUse(owner, "a")).kind, "no_room");
   release(first);
-  t.is((await use(owner, "a")).kind, "granted");
+  t.is((await requestUse(owner, "a")).kind, "granted");
   owner.stop();
 });
--- a/packages/node/tests/relay/engine_owners_test.ts
+++ b/packages/node/tests/relay/engine_owners_test.ts
@@ -21,20 +21,20 @@
 const ENGINE = backendServerId("engine");
 const SERVICE = serviceId("engines");
 
-/** A log that keeps every claim, and takes it unless another came first. */
+/** A log that records every claim, and accepts them if told so. */
 class ClaimLog extends SharedLog {
   readonly claims: ClaimRecord[] = [];
-  isTaken = true;
+  acceptsClaims = true;
 
   override start(): void {
-    // Nothing is read: the test tells what the log says.
+    // Nothing is read: the test supplies the log's records.
   }
 
   override claim(
     claims: readonly ClaimRecord[],
   ): Promise<Result<boolean, never>> {
     this.claims.push(...claims);
-    return Promise.resolve(ok(this.isTaken));
+    return Promise.resolve(ok(this.acceptsClaims));
   }
 
   override catchUp(): Promise<void> {
@@ -42,7 +42,7 @@
   }
 
   override hurry(): void {
-    // Nothing is read here.
+    // Nothing is read.
   }
 
   override changeSuspicions(): Promise<Result<void, never>> {
@@ -58,8 +58,8 @@
   }
 }
 
-/** A node that has come back, and whose engine its earlier run had. */
-function comeBack(t: ExecutionContext) {
+/** Sets up a restarted node whose earlier run owned the engine. */
+function setUpRestartedNode(t: ExecutionContext) {
   const { base, knowledge } = relayBase({
     part: "ownership",
     incarnation: "run-2",
@@ -111,35 +111,35 @@
   return { claim, gained: () => gained, knowledge, log, owners };
 }
 
-test("a node that comes back claims its engine at once and says that it has it", async (t) => {
-  const { claim, gained, knowledge, log, owners } = comeBack(t);
+test("a restarted node claims its engine at once and announces that it owns it", async (t) => {
+  const { claim, gained, knowledge, log, owners } = setUpRestartedNode(t);
   owners.refresh();
   await Promise.resolve();
-  t.is(log.claims.length, 1, "Its own earlier run is no other owner.");
+  t.is(log.claims.length, 1, "Its own earlier run isn't another owner.");
   t.is(log.claims[0]?.wait, milliseconds(0));
-  t.is(gained(), 0, "The log has not taken the claim yet.");
+  t.is(gained(), 0, "The log hasn't accepted the claim yet.");
   knowledge.claim({ ...claim, incarnation: "run-2" }, logOffset(5));
   owners.refresh();
   t.is(gained(), 1);
   t.is(owners.digests[0]?.engine, ENGINE);
   owners.refresh();
-  t.is(gained(), 1, "It says so once.");
+  t.is(gained(), 1, "It is announced once.");
 });
 
-test("of 61 nodes whose claims meet, one waits its part before it claims again", async (t) => {
-  const { knowledge, log, owners } = comeBack(t);
+test("of 61 nodes whose claims conflict, one waits a random delay before it claims again", async (t) => {
+  const { knowledge, log, owners } = setUpRestartedNode(t);
   for (let node = 0; node < 60; node += 1) {
     knowledge.node(nodeRecord(`n${node}`));
   }
-  log.isTaken = false;
-  const claimsIn = async (looks: number) => {
+  log.acceptsClaims = false;
+  const claimsIn = async (refreshes: number) => {
     const before = log.claims.length;
-    for (let look = 0; look < looks; look += 1) {
+    for (let refresh = 0; refresh < refreshes; refresh += 1) {
       owners.refresh();
       await sleep(1);
     }
     return log.claims.length - before;
   };
   const claims = await claimsIn(200);
-  t.true(claims >= 1 && claims < 20, `${claims} claims in 200 looks`);
+  t.true(claims >= 1 && claims < 20, `${claims} claims in 200 refreshes`);
 });
--- a/packages/node/tests/relay/helpers/owned_engine.ts
+++ b/packages/node/tests/relay/helpers/owned_engine.ts
@@ -17,7 +17,7 @@
 
 /** The model of the owned engine. */
 export const MODEL = modelId("m");
-/** The engine that is owned, at its first start. */
+/** The owned engine, at its first start. */
 export const SERVER: RegisteredServer = {
   id: backendServerId("engine"),
   start: serverStart(1_000),
@@ -31,10 +31,10 @@
 };
 
 /**
- * Sets up an owner of an engine that answers as a test says.
- * @param slots How many adapters fit.
- * @param write Takes the lines of the log, where a test reads them.
- * @returns The owner and what it works with.
+ * Sets up an owner of a scripted engine.
+ * @param slots The number of adapter slots.
+ * @param write Receives the log lines, if a test reads them.
+ * @returns The owner and its collaborators.
  */
 export function setUpOwner(slots = 2, write?: (line: string) => void) {
   const { base, knowledge } = relayBase({ part: "ownership", write });
@@ -42,22 +42,22 @@
   const control = new ScriptedEngine(slots);
   control.adapters.models = [MODEL];
   control.adapters.start = SERVER.start;
-  const terms = {
+  const specification = {
     models: [{ model: MODEL, megabytes: 1, adapterMegabytes: 1 }],
     megabytes: 10,
     adapterSlots: slots,
   };
-  const lateOrders = new UnansweredLoads();
-  const own = (server: RegisteredServer) =>
-    new EngineOwner(server, terms, {
+  const earlierUnansweredLoads = new UnansweredLoads();
+  const createOwner = (server: RegisteredServer) =>
+    new EngineOwner(server, specification, {
       settings,
       knowledge,
       control,
       clock,
       logger,
-      lateOrders,
+      earlierUnansweredLoads,
     });
-  const owner = own(SERVER);
+  const owner = createOwner(SERVER);
   const claim = (owner: string, offset: number, wait = 0) => {
     knowledge.claim({
       engine: SERVER.id,
@@ -66,33 +66,33 @@
       wait: milliseconds(wait),
     }, logOffset(offset));
   };
-  return { own, owner, control, claim, knowledge };
+  return { createOwner, owner, control, claim, knowledge };
 }
 
 /**
- * Asks an owner for the use of an adapter.
+ * Requests the use of an adapter from an owner.
  * @param owner The owner.
  * @param adapter The adapter.
- * @param patience How long it is waited for, in milliseconds.
+ * @param timeout The timeout in milliseconds.
  * @returns The answer.
  */
-export function use(
+export function requestUse(
   owner: EngineOwner,
   adapter: string,
-  patience = 5_000,
+  timeout = 5_000,
 ): Promise<UseAnswer> {
-  return owner.use({
+  return owner.requestUse({
     model: MODEL,
     adapter: adapterId(adapter),
     minimumVersion: 0,
-    reading: milliseconds(5),
+    prefillTime: milliseconds(5),
     timeLeft: milliseconds(1_000),
     needsBreak: true,
-  }, AbortSignal.timeout(patience));
+  }, AbortSignal.timeout(timeout));
 }
 
 /**
- * Ends a use, where it was granted.
+ * Releases a use, if it was granted.
  * @param answer The answer.
  */
 export function release(answer: UseAnswer): void {
--- a/packages/node/tests/relay/helpers/scripted_engine.ts
+++ b/packages/node/tests/relay/helpers/scripted_engine.ts
@@ -16,20 +16,20 @@
   outcome: "not_run",
 };
 
-/** An engine that counts its orders and checks what they expect. */
+/** An engine that counts orders and checks the counts that they expect. */
 export class ScriptedEngine extends EngineControl {
   readonly orders: EngineOrder[] = [];
   readonly adapters: OrderedAdapters;
   readonly fates: FatedOrders;
   isDown = false;
-  /** How often it was asked for a report. */
-  reports = 0;
-  /** Answers to the next orders, which do not reach it. */
-  nextAnswers: OrderResult[] = [];
-  /** Reports as they are answered, where they aren't the engine's own. */
+  /** The number of reports that were read. */
+  reportCount = 0;
+  /** Results of the next orders, which then don't reach the engine. */
+  nextOrderResults: OrderResult[] = [];
+  /** The next reports, in place of the engine's own. */
   nextReports: EngineReport[] = [];
 
-  /** @param slots How many adapters fit. */
+  /** @param slots The number of adapter slots. */
   constructor(slots: number) {
     super();
     this.adapters = new OrderedAdapters(slots);
@@ -43,11 +43,11 @@
     await Promise.resolve();
     this.orders.push(order);
     if (this.isDown) return { kind: "unknown" };
-    return this.nextAnswers.shift() ?? this.fates.send(order);
+    return this.nextOrderResults.shift() ?? this.fates.send(order);
   }
 
   override async report(): Promise<Result<EngineReport, Failure>> {
-    this.reports += 1;
+    this.reportCount += 1;
     await Promise.resolve();
     if (this.isDown) return err(FAILURE);
     return ok(this.nextReports.shift() ?? this.adapters.report);
--- a/packages/node/tests/relay/peer_grants_test.ts
+++ b/packages/node/tests/relay/peer_grants_test.ts
@@ -19,15 +19,15 @@
 import { ScriptedEngine } from "./helpers/scripted_engine.ts";
 
 const ENGINE = backendServerId("engine");
-const FIRST = serverStart(1_000);
-const SECOND = serverStart(2_000);
+const FIRST_START = serverStart(1_000);
+const SECOND_START = serverStart(2_000);
 
-/** A node that owns an engine, and a peer that asks it for uses. */
+/** Sets up a node that owns an engine, and a peer that requests uses. */
 async function setUp(t: ExecutionContext) {
   const { base, knowledge } = relayBase({ part: "peers" });
   const { settings, clock, logger } = base;
   const control = new ScriptedEngine(2);
-  control.adapters.restart(FIRST);
+  control.adapters.restart(FIRST_START);
   control.adapters.models = [STAND_IN_MODEL];
   const owners = new EngineOwners({
     ...base,
@@ -59,50 +59,50 @@
     owners.refresh();
   };
   const { id: owner } = settings.node;
-  knowEngine(knowledge, { engine: ENGINE, start: FIRST, owner });
+  knowEngine(knowledge, { engine: ENGINE, start: FIRST_START, owner });
   owners.refresh();
-  const where = {
+  const target = {
     engine: ENGINE,
     owner,
     address: `127.0.0.1:${port}`,
   };
   const grants = new AdapterGrants(nodeId("peer"), owners, channels);
-  const ask = () =>
-    grants.ask(where, {
+  const requestUse = () =>
+    grants.requestUse(target, {
       model: STAND_IN_MODEL,
       adapter: adapterId("a"),
       minimumVersion: 0,
-      reading: milliseconds(1),
+      prefillTime: milliseconds(1),
       timeLeft: milliseconds(1_000),
       needsBreak: true,
     }, AbortSignal.timeout(10_000));
-  return { ask, control, grants, owners, register, where };
+  return { requestUse, control, grants, owners, register, target };
 }
 
-async function until(isSo: () => boolean): Promise<void> {
-  while (!isSo()) await sleep(5);
+async function waitUntil(condition: () => boolean): Promise<void> {
+  while (!condition()) await sleep(5);
 }
 
-test("a peer's use ends with the start that it was granted at", async (t) => {
-  const { ask, control, register } = await setUp(t);
-  const granted = await ask();
+test("a peer's use ends with the start that it was granted for", async (t) => {
+  const { requestUse, control, register } = await setUp(t);
+  const granted = await requestUse();
   if (granted.kind !== "granted") return t.fail(granted.kind);
-  t.is(granted.start, FIRST);
-  t.false(granted.over.aborted);
-  control.adapters.restart(SECOND);
+  t.is(granted.start, FIRST_START);
+  t.false(granted.endSignal.aborted);
+  control.adapters.restart(SECOND_START);
   control.adapters.models = [STAND_IN_MODEL];
-  register(SECOND, 2);
-  await until(() => granted.over.aborted);
-  const next = await ask();
-  t.true(next.kind === "granted" && next.start === SECOND);
+  register(SECOND_START, 2);
+  await waitUntil(() => granted.endSignal.aborted);
+  const next = await requestUse();
+  t.true(next.kind === "granted" && next.start === SECOND_START);
 });
 
-test("a peer that finds an engine without what it was granted tells the owner", async (t) => {
-  const { ask, control, grants, owners, where } = await setUp(t);
-  const granted = await ask();
+test("a peer reports to the owner that an engine lacks a granted adapter", async (t) => {
+  const { requestUse, control, grants, owners, target } = await setUp(t);
+  const granted = await requestUse();
   t.is(granted.kind, "granted");
-  control.adapters.restart(SECOND);
-  grants.missed(where);
-  await until(() => owners.find(ENGINE)?.digest.start === SECOND);
+  control.adapters.restart(SECOND_START);
+  grants.missed(target);
+  await waitUntil(() => owners.find(ENGINE)?.digest.start === SECOND_START);
   t.deepEqual(owners.find(ENGINE)?.digest.adapters, []);
 });
--- a/packages/node/tests/relay/quarantine_test.ts
+++ b/packages/node/tests/relay/quarantine_test.ts
@@ -18,10 +18,10 @@
 import { RelayWorld, succeed } from "./helpers/relay_world.ts";
 
 const BODY = Buffer.from("prompt");
-/** Above the time after which a broken call is judged. */
+/** Longer than the delay after which a suspicion is settled. */
 const SETTLED_MILLISECONDS = 400;
 
-/** A front with servers that end the connections of crashing requests. */
+/** Starts servers that close the connection of a crashing request. */
 async function startWorld(t: Parameters<RelayWorld["start"]>[0]) {
   const world = new RelayWorld();
   world.configure();
@@ -40,7 +40,7 @@
   return { world, arrivals };
 }
 
-test("a request that ended three servers is refused as not run, with the time to come back", async (t) => {
+test("a request that crashed three servers is refused as not run, with Retry-After", async (t) => {
   const { world, arrivals } = await startWorld(t);
   const path = "/once/crashing";
   for (const id of ["r1", "r2", "r3", "r4", "r5", "r6", "r7", "r8"]) {
@@ -54,13 +54,13 @@
   t.is(refused.status, 503);
   t.true(Number(refused.headers["retry-after"]) > 3_600);
   t.is(world.outcomes.at(-1), "quarantined");
-  t.is(arrivals.length, before, "No server has it.");
+  t.is(arrivals.length, before, "No server receives it.");
   const other = await world.call(path, { body: Buffer.from("other") });
-  t.is(other.status, 502, "Another content is tried.");
+  t.is(other.status, 502, "A different content is tried.");
   t.is((await world.call("/once/a", { body: BODY })).status, 200);
 });
 
-test("a request that ends servers within one call gets no promise that it has not run", async (t) => {
+test("a request that crashes servers within one call isn't reported as not run", async (t) => {
   const { world } = await startWorld(t);
   const path = "/repeatable/crashing";
   const first = await world.call(path, { body: BODY });
@@ -70,7 +70,7 @@
   t.is((await world.call(path, { body: BODY })).status, 503);
 });
 
-test("an entry that a server writes after it broke a call off clears the request", async (t) => {
+test("a registry entry that a server writes after it broke off a call clears the request", async (t) => {
   const { knowledge } = relayBase({ part: "callers" });
   const dropped: number[] = [];
   knowledge.suspicions.onServersLive = (suspicions) => {
@@ -103,13 +103,13 @@
   t.false(quarantine.isEmpty);
   await sleep(2_600);
   write(2);
-  t.false(quarantine.isEmpty, "It stood there before.");
+  t.false(quarantine.isEmpty, "The entry is not new.");
   write(3);
   t.true(quarantine.isEmpty);
   t.is(dropped.at(-1), 1);
 });
 
-test("a server that goes on with other answers has not ended under a request", async (t) => {
+test("a server that continues other answers hasn't crashed", async (t) => {
   const world = new RelayWorld();
   world.configure();
   await world.addServer("s1", (request, response) => {
@@ -128,16 +128,16 @@
     });
   });
   await world.start(t);
-  const going = world.call("/stream/a", { body: BODY });
+  const continued = world.call("/stream/a", { body: BODY });
   await sleep(100);
   await world.call("/stream/broken", { body: BODY });
   t.false(world.knowledge.suspicions.quarantine.isEmpty);
   await sleep(SETTLED_MILLISECONDS);
   t.true(world.knowledge.suspicions.quarantine.isEmpty);
-  t.is((await going).status, 200);
+  t.is((await continued).status, 200);
 });
 
-test("of requests in progress with a refused content those without an answer end", async (t) => {
+test("requests in progress with a refused content end unless their answer has begun", async (t) => {
   const world = new RelayWorld();
   world.configure();
   let finish = (): void => undefined;
@@ -183,7 +183,7 @@
   );
 });
 
-test("a server whose other connections stay open has not ended under a request", async (t) => {
+test("a server whose other connections stay open hasn't crashed", async (t) => {
   const { world } = await startWorld(t);
   const answers = await Promise.all(
     Array.from({ length: 16 }, () => world.call("/once/a", { body: BODY })),
@@ -195,17 +195,17 @@
   t.true(world.knowledge.suspicions.quarantine.isEmpty);
 });
 
-test("suspicions that the log does not take are written again", async (t) => {
+test("suspicions that the log doesn't accept are written again", async (t) => {
   const { base, knowledge } = relayBase({ part: "callers" });
   const written: SuspicionChange[] = [];
-  let failures = 0;
+  let attempts = 0;
   new CrashReports({
     ...base,
     knowledge,
     log: {
       changeSuspicions: (changes) => {
-        failures += 1;
-        if (failures <= 2) return Promise.resolve(err(undefined as never));
+        attempts += 1;
+        if (attempts <= 2) return Promise.resolve(err(undefined as never));
         written.push(...changes);
         return Promise.resolve(ok(undefined));
       },
@@ -220,5 +220,5 @@
   knowledge.suspicions.onServersLive([suspicion]);
   while (written.length === 0) await sleep(20);
   t.deepEqual(written, [{ kind: "dropped", key: suspicion }]);
-  t.is(failures, 3);
+  t.is(attempts, 3);
 });
--- a/packages/node/tests/relay/request_placer_test.ts
+++ b/packages/node/tests/relay/request_placer_test.ts
@@ -7,8 +7,8 @@
 } from "@foxtailwind/core";
 import {
   AdapterGrants,
+  type EngineOwnerAddress,
   EngineOwners,
-  type GrantAddress,
   type GrantAnswer,
   RequestLimits,
   RequestPlacer,
@@ -25,46 +25,46 @@
 const ENGINE = backendServerId("engine");
 const OWNER = nodeId("node-2");
 const ADAPTER = adapterId("a");
-const OLD = serverStart(1_000);
-const NEW = serverStart(2_000);
+const OLD_START = serverStart(1_000);
+const NEW_START = serverStart(2_000);
 
-/** Grants that a peer gives as a test says. */
+/** Grants with answers that the test controls. */
 class ScriptedGrants extends AdapterGrants {
-  asked = 0;
-  released = 0;
-  readonly over = new AbortController();
-  start = NEW;
+  requests = 0;
+  releases = 0;
+  readonly useEnd = new AbortController();
+  start = NEW_START;
   /** Whether the peer still owns the engine. */
   isOwner = true;
-  /** Called before the answer comes. */
-  meanwhile: () => void = () => undefined;
+  /** Called before the answer is returned. */
+  beforeAnswer: () => void = () => undefined;
 
-  /** Whether the peer stands still, and answers nothing. */
+  /** Whether the peer hangs and doesn't answer. */
   isSilent = false;
 
-  override async ask(
-    _where: GrantAddress,
+  override async requestUse(
+    _target: EngineOwnerAddress,
     _request: UseRequest,
     signal: AbortSignal,
   ): Promise<GrantAnswer> {
-    this.asked += 1;
-    if (this.isSilent) return await endOf(signal);
+    this.requests += 1;
+    if (this.isSilent) return await waitForAbort(signal);
     await Promise.resolve();
-    this.meanwhile();
+    this.beforeAnswer();
     if (!this.isOwner) return { kind: "not_owner" };
     return {
       kind: "granted",
       version: 1,
       start: this.start,
-      over: this.over.signal,
+      endSignal: this.useEnd.signal,
       release: () => {
-        this.released += 1;
+        this.releases += 1;
       },
     };
   }
 }
 
-function endOf(signal: AbortSignal): Promise<GrantAnswer> {
+function waitForAbort(signal: AbortSignal): Promise<GrantAnswer> {
   return new Promise((resolve) => {
     signal.addEventListener("abort", () => {
       resolve({ kind: "unreachable" });
@@ -72,8 +72,13 @@
   });
 }
 
-/** A node that knows an engine at a start, and a peer that owns it. */
-function setUp(known: number, told: number) {
+/**
+ * Sets up a node and the peer that owns an engine.
+ * @param registered The engine's start in the node's registry.
+ * @param reported The start in the owner's digest.
+ * @returns The placer's functions and what it works with.
+ */
+function setUp(registered: number, reported: number) {
   const { base, knowledge } = relayBase({ part: "callers" });
   const { settings, clock } = base;
   const register = (start: number, offset: number, leaving = false) => {
@@ -84,13 +89,13 @@
       leaving,
     });
   };
-  knowEngine(knowledge, { engine: ENGINE, start: known, owner: OWNER });
+  knowEngine(knowledge, { engine: ENGINE, start: registered, owner: OWNER });
   const digest = nodeDigest(OWNER, {
     engineStates: {
       sequence: 1,
       engines: [{
         engine: ENGINE,
-        start: told,
+        start: reported,
         waitMilliseconds: 0,
         room: 1,
         isReachable: true,
@@ -141,81 +146,81 @@
       },
       servers,
       {
-        wantedBy: clock.now(),
+        firstEventDeadline: clock.now(),
         longestPause: undefined,
         signal: new AbortController().signal,
-        note: () => undefined,
+        onAnswer: () => undefined,
       },
     );
   return { grants, knowledge, place, register };
 }
 
-test("what an owner says of an older start of its engine is not believed", async (t) => {
-  const { grants, place } = setUp(NEW, OLD);
+test("an owner's digest of an older start of its engine is ignored", async (t) => {
+  const { grants, place } = setUp(NEW_START, OLD_START);
   t.is(await place(), undefined);
-  t.is(grants.asked, 0);
+  t.is(grants.requests, 0);
 });
 
-test("an owner that knows of a newer start is believed", async (t) => {
-  const { place } = setUp(OLD, NEW);
+test("an owner's digest of a newer start is used", async (t) => {
+  const { place } = setUp(OLD_START, NEW_START);
   t.is((await place())?.adapterVersion, 1);
 });
 
-test("a use that was granted at an older start is given back", async (t) => {
-  const { grants, place } = setUp(NEW, NEW);
-  grants.start = OLD;
+test("a use that was granted for an older start is released", async (t) => {
+  const { grants, place } = setUp(NEW_START, NEW_START);
+  grants.start = OLD_START;
   t.is(await place(), undefined);
-  t.is(grants.released, 1);
+  t.is(grants.releases, 1);
 });
 
-test("a use that was granted before the engine started again is given back", async (t) => {
-  const { grants, place, register } = setUp(OLD, OLD);
-  grants.start = OLD;
-  grants.meanwhile = () => {
-    register(NEW, 2);
+test("a use that was granted before the engine restarted is released", async (t) => {
+  const { grants, place, register } = setUp(OLD_START, OLD_START);
+  grants.start = OLD_START;
+  grants.beforeAnswer = () => {
+    register(NEW_START, 2);
   };
   t.is(await place(), undefined);
-  t.is(grants.released, 1);
+  t.is(grants.releases, 1);
 });
 
-test("a use that its owner has ended is given back", async (t) => {
-  const { grants, place } = setUp(NEW, NEW);
-  grants.meanwhile = () => {
-    grants.over.abort();
+test("a use that its owner has ended is released", async (t) => {
+  const { grants, place } = setUp(NEW_START, NEW_START);
+  grants.beforeAnswer = () => {
+    grants.useEnd.abort();
   };
   t.is(await place(), undefined);
-  t.is(grants.released, 1);
+  t.is(grants.releases, 1);
 });
 
-// Guards against requests that reach an engine long after it said that it
-// leaves: owners that stand still are waited for, one after the other.
+// Guards against requests that reach an engine long after it announced that it
+// leaves, because the placer waited for several hanging owners in turn.
 test("an engine that leaves while its owner is asked gets no request", async (t) => {
   for (const isOwner of [true, false]) {
-    const { grants, place, register } = setUp(NEW, NEW);
+    const { grants, place, register } = setUp(NEW_START, NEW_START);
     grants.isOwner = isOwner;
-    grants.meanwhile = () => {
-      register(NEW, 2, true);
+    grants.beforeAnswer = () => {
+      register(NEW_START, 2, true);
     };
     t.is(await place(), undefined, `The owner is known: ${isOwner}.`);
-    t.is(grants.released, isOwner ? 1 : 0);
+    t.is(grants.releases, isOwner ? 1 : 0);
   }
 });
 
-test("an engine that has left since the servers were listed is not asked", async (t) => {
-  const { grants, knowledge, place, register } = setUp(NEW, NEW);
+test("an engine that has left since the servers were listed isn't asked", async (t) => {
+  const { grants, knowledge, place, register } = setUp(NEW_START, NEW_START);
   const before = knowledge.registry.all;
-  register(NEW, 2, true);
+  register(NEW_START, 2, true);
   t.is(await place(before), undefined);
-  t.is(grants.asked, 0);
+  t.is(grants.requests, 0);
 });
 
 // Guards against requests that wait for a silent owner until their callers
-// leave, since the limit of the wait was collected as garbage.
-test("an owner that says nothing is given up in time", async (t) => {
-  const { grants, place } = setUp(NEW, NEW);
+// give up, because the timeout of the wait was garbage-collected.
+test("the wait for a silent owner times out", async (t) => {
+  const { grants, place } = setUp(NEW_START, NEW_START);
   grants.isSilent = true;
   const placed = place();
   await collectGarbage();
-  const given = await Promise.race([placed, sleep(3_000, "held")]);
-  t.not(given, "held");
+  const outcome = await Promise.race([placed, sleep(3_000, "pending")]);
+  t.not(outcome, "pending");
 });
--- a/packages/node/tests/relay/server_starts_test.ts
+++ b/packages/node/tests/relay/server_starts_test.ts
@@ -23,34 +23,34 @@
   };
 }
 
-test("connections to a start are not used for the next one", async (t) => {
+test("connections to one start aren't used for the next one", async (t) => {
   const pools = new BackendPools();
   t.teardown(() => pools.destroy());
   const pool = (start?: number) => pools.pool(server(start), 10, 1);
   const unknown = pool();
   const first = pool(10);
-  t.is(first, unknown, "Told later.");
-  t.is(pool(), first, "Not told.");
+  t.is(first, unknown, "The start is reported later.");
+  t.is(pool(), first, "The start isn't reported.");
   const second = pool(20);
   t.not(second, first);
   pools.retain([server(20)]);
   t.is(pool(20), second);
   pools.retain([server(30)]);
-  t.not(pool(20), second, "Closed before the next request.");
+  t.not(pool(20), second, "It is closed before the next request.");
   pools.retain([]);
   await t.throwsAsync(
     second.request({ method: "GET", path: "/" }),
     undefined,
-    "No request may use it any more.",
+    "No further request may use it.",
   );
 });
 
-test("what was seen of a start is not held against the next one", (t) => {
+test("failures of one start don't count against the next one", (t) => {
   const loads = new ServerLoads(failureDomainId("d"));
   const first = loads.of(server(10));
-  for (let dead = 0; dead < 3; dead += 1) {
-    first.recordSend(instant(dead));
-    first.recordResult(instant(dead), { kind: "dead" });
+  for (let failure = 0; failure < 3; failure += 1) {
+    first.recordSend(instant(failure));
+    first.recordResult(instant(failure), { kind: "dead" });
   }
   first.recordSend(instant(5));
   t.true(loads.of(server(10)).isPaused(instant(10)));
