--- a/packages/node/src/relay/place_finder.ts
+++ b/packages/node/src/relay/place_finder.ts
@@ -14,9 +14,9 @@
 import type { Place, PlaceAnswer } from "./request_placer.ts";
 import type { SendRecord } from "./send_record.ts";
 
-/** The delay between two attempts to find a place. */
+/** The delay between two attempts to find a placement. */
 const RETRY_DELAY_MILLISECONDS = 40;
-/** The share of the caller's waiting time in which a place is searched for. */
+/** The share of the caller's waiting time spent on the search. */
 const SEARCH_SHARE = 0.4;
 /**
  * Callers give up a stream without events after the longest of these: a number
@@ -26,7 +26,7 @@
 /** The maximum number of asked engines in one line of the log. */
 const MAXIMUM_LOGGED_ANSWERS = 8;
 
-/** The bounds of the search for a place. */
+/** The bounds of the search for a placement. */
 export interface PlaceTerms {
   /** When the first event is due, counted from the caller's first attempt. */
   readonly wantedBy: Instant;
@@ -58,19 +58,19 @@
     this.#terms = terms;
   }
 
-  /** The first engines that were asked for a place, with their answers. */
+  /** The first engines that were asked for a placement, with their answers. */
   get asked(): readonly PlaceAnswer[] {
     return this.#asked;
   }
 
-  /** When a place is expected, if the servers' limits leave none now. */
+  /** When a placement is expected, if the servers' limits leave none now. */
   get comeBackAfter(): Duration | undefined {
     return this.#comeBackAfter;
   }
 
   /**
-   * Searches until a place is found or it is too late for one.
-   * @returns The place, or `undefined`.
+   * Searches until a placement is found or it is too late for one.
+   * @returns The placement, or `undefined`.
    */
   async find(): Promise<Place | undefined> {
     const { arrivedAt, route } = this.#request;
@@ -85,8 +85,10 @@
     const searchSignal = new BoundedSignal(this.#terms.over, timeLeft);
     try {
       for (;;) {
-        const place = await this.#tryPlace(searchSignal.signal);
-        if (place !== undefined || this.#terms.over.aborted) return place;
+        const placement = await this.#tryPlace(searchSignal.signal);
+        if (placement !== undefined || this.#terms.over.aborted) {
+          return placement;
+        }
         if (this.#now() >= searchEnd || this.#exceedsQueueWait(searchEnd)) {
           return undefined;
         }
@@ -101,7 +103,7 @@
 
   /**
    * Whether the servers' limits make the request wait for longer than it can.
-   * The caller is then told at once when a place is expected.
+   * The caller is then told at once when a placement is expected.
    */
   #exceedsQueueWait(searchEnd: Instant): boolean {
     const { limits } = this.#parts;
--- a/packages/node/src/relay/request_placer.ts
+++ b/packages/node/src/relay/request_placer.ts
@@ -35,7 +35,7 @@
   readonly missed: () => void;
 }
 
-/** An engine that was asked for a place, and its answer. */
+/** An engine that was asked for a placement, and its answer. */
 export interface PlaceAnswer {
   readonly engine: BackendServerId;
   /** The owner that was asked; `undefined` if none is known. */
@@ -43,7 +43,7 @@
   readonly answer: GrantAnswer["kind"] | "no_owner";
 }
 
-/** The terms of the search for a place. */
+/** The terms of the search for a placement. */
 export interface PlacementSearch {
   /** When the first event is due. */
   readonly firstEventDeadline: Instant;
@@ -93,7 +93,7 @@
    * Chooses a server of a service without engines.
    * @param now The present time.
    * @param servers The servers to choose from.
-   * @returns The place, or `undefined` if no server can take the request.
+   * @returns The placement, or `undefined` if no server can take the request.
    */
   placeOnServer(
     now: Instant,
@@ -112,7 +112,7 @@
    * @param use The model and adapter that the request uses.
    * @param servers The engines to choose from.
    * @param search The terms of the search.
-   * @returns The place, or `undefined` if no engine can take the request now.
+   * @returns The placement, or `undefined` if no engine has room now.
    */
   async placeOnEngine(
     use: ModelUse,
@@ -139,8 +139,13 @@
       const { server } = engine;
       if (!this.#takesRequests(server)) continue;
       if (!this.#hasRoom(engine) || !this.#parts.limits.take(server)) continue;
-      const place = await this.#requestUse(engine, use, minimumVersion, search);
-      if (place !== undefined) return place;
+      const placement = await this.#requestUse(
+        engine,
+        use,
+        minimumVersion,
+        search,
+      );
+      if (placement !== undefined) return placement;
       this.#parts.limits.giveBack(server);
     }
     return undefined;
--- a/packages/node/tests/relay/engine_owners_test.ts
+++ b/packages/node/tests/relay/engine_owners_test.ts
@@ -21,7 +21,7 @@
 const ENGINE = backendServerId("engine");
 const SERVICE = serviceId("engines");
 
-/** A log that records every claim, and accepts them if told so. */
+/** A log that records every claim and accepts it if `acceptsClaims` is set. */
 class ClaimLog extends SharedLog {
   readonly claims: ClaimRecord[] = [];
   acceptsClaims = true;
