--- a/packages/edges/src/http/after_pending_input.ts
+++ b/packages/edges/src/http/after_pending_input.ts
@@ -18,7 +18,7 @@
   const controller = new AbortController();
   setTimeout(() => {
     afterPendingInput(() => {
-      controller.abort(new Error("The call timed out."));
+      controller.abort(new Error("No answer came in time."));
     });
   }, limitMilliseconds).unref();
   return controller.signal;
--- a/packages/edges/src/http/call_json.ts
+++ b/packages/edges/src/http/call_json.ts
@@ -62,9 +62,7 @@
     reason: "corrupt",
     step,
     peer,
-    message: `The response does not match its schema: ${
-      z.prettifyError(parsed.error)
-    }`,
+    message: `Cannot read the answer: ${z.prettifyError(parsed.error)}`,
     outcome: "unknown",
   });
 }
--- a/packages/edges/src/http/exchange.ts
+++ b/packages/edges/src/http/exchange.ts
@@ -85,7 +85,7 @@
         if (this.#hasReceivedEnd) return;
         this.#abandon(
           createErrorWithCode(
-            "The response timed out",
+            "The answer took too long",
             "UND_ERR_HEADERS_TIMEOUT",
           ),
         );
@@ -105,7 +105,7 @@
   onRequestStart(controller: Dispatcher.DispatchController): void {
     if (this.#isSettled) {
       controller.abort(
-        createErrorWithCode("The call was abandoned", "ABANDONED"),
+        createErrorWithCode("The call was given up", "ABANDONED"),
       );
       return;
     }
@@ -130,7 +130,7 @@
       this.#options;
     if (this.#receivedBytes > maximumAnswerBytes) {
       controller.abort(
-        createErrorWithCode("The response is too large", "TOO_LARGE"),
+        createErrorWithCode("The answer is too large", "TOO_LARGE"),
       );
       return;
     }
@@ -153,13 +153,13 @@
   ): Promise<void> {
     if (await connectionFailed === true) {
       this.#fail(
-        createErrorWithCode("The connection was reset", "RESET"),
+        createErrorWithCode("The answer broke off", "RESET"),
       );
     } else if (await isFollowedByResponse) {
       this.#fail(
         createErrorWithCode(
-          "The connection delivered more than one response",
-          "EXTRA_RESPONSE",
+          "Two answers came",
+          "OUT_OF_STEP",
         ),
       );
     } else {
--- a/packages/edges/src/http/stated_failure.ts
+++ b/packages/edges/src/http/stated_failure.ts
@@ -47,8 +47,7 @@
   return {
     ...call,
     reason: reasonForStatus(response.status),
-    message:
-      `The peer returned status ${response.status} without a readable failure`,
+    message: `Cannot use the answer with status ${response.status}`,
     outcome: "unknown",
   };
 }
--- a/packages/node/src/routing/service_channel.ts
+++ b/packages/node/src/routing/service_channel.ts
@@ -211,7 +211,7 @@
     reason: "cancelled",
     step: "call_service",
     peer: service,
-    message: "The caller disconnected before the answer.",
+    message: "The caller left before its answer.",
     outcome: "unknown",
   };
 }
@@ -221,7 +221,7 @@
     reason: "unavailable",
     step: "call_service",
     peer: service,
-    message: "The answer is no longer available.",
+    message: "The answer is not kept any more.",
     outcome: "unknown",
   };
 }
--- a/packages/node/src/serving/generation_outcomes.ts
+++ b/packages/node/src/serving/generation_outcomes.ts
@@ -34,7 +34,7 @@
     reason: "cancelled",
     step: "dispatch",
     peer: engine,
-    message: "A later attempt replaced this attempt.",
+    message: "A later attempt at the request took its place.",
     outcome: "unknown",
   };
 }
@@ -49,7 +49,7 @@
     reason: "cancelled",
     step: "dispatch",
     peer: engine,
-    message: "The caller disconnected.",
+    message: "The caller left.",
     outcome: "not_run",
   };
 }
@@ -68,7 +68,7 @@
     reason: "overloaded",
     step: "dispatch",
     peer: engine,
-    message: "The request would miss its target.",
+    message: "The target cannot be met.",
     outcome: "not_run",
     retryAfterMilliseconds: retryAfter,
   };
--- a/packages/node/src/serving/generation_router.ts
+++ b/packages/node/src/serving/generation_router.ts
@@ -161,7 +161,7 @@
         err(
           unroutableFailure(
             this.#parts.self,
-            `This node does not control engine "${engine}".`,
+            `Engine ${engine} is not held here.`,
           ),
         ),
       );
@@ -259,7 +259,7 @@
       .find((vm) => vm.id === node);
     if (peer === undefined) {
       sink.onEnd(
-        err(unroutableFailure(this.#parts.self, `Node "${node}" is not live.`)),
+        err(unroutableFailure(this.#parts.self, `Node ${node} is gone.`)),
       );
       return FINISHED_HANDLE;
     }
--- a/packages/node/src/serving/permits/permit_service.ts
+++ b/packages/node/src/serving/permits/permit_service.ts
@@ -75,7 +75,7 @@
   #receive(message: PermitMessage): void {
     const holder = this.#permits.holder;
     if (holder === undefined) {
-      const reason = "This node does not hold the permits.";
+      const reason = "The permits are not held here.";
       this.#send({ $case: "refusal", value: { reason } });
       this.#stream.end();
       return;
--- a/packages/node/src/serving/routing_failures.ts
+++ b/packages/node/src/serving/routing_failures.ts
@@ -26,7 +26,7 @@
  * @returns The failure.
  */
 export function noEngineFailure(self: NodeId, model: ModelId): Failure {
-  return unroutableFailure(self, `No engine runs model "${model}".`);
+  return unroutableFailure(self, `No engine runs ${model}.`);
 }
 
 /**
@@ -37,7 +37,7 @@
  */
 export function callerLeftFailure(self: NodeId): Failure {
   return {
-    ...unroutableFailure(self, "The caller disconnected."),
+    ...unroutableFailure(self, "The caller left."),
     reason: "cancelled",
   };
 }
@@ -55,7 +55,7 @@
   return {
     ...unroutableFailure(
       self,
-      "No engine can meet the target of the class now.",
+      "The class's target cannot be met now.",
     ),
     reason: "overloaded",
     step: "admit",
