--- a/packages/node/src/relay/announce_node.ts
+++ b/packages/node/src/relay/announce_node.ts
@@ -3,7 +3,7 @@
 import type { SharedLog } from "./shared_log.ts";
 
 /** Between two attempts to make a node known. */
-const ANNOUNCE_MILLISECONDS = 500;
+const ANNOUNCE_RETRY_MILLISECONDS = 500;
 
 /**
  * Makes a node known in the log, and tries until that is done or the node
@@ -20,6 +20,6 @@
     const added = await log.announce(record);
     if (added.isOk() && added.value) return;
     if (presence.isLeaving) return;
-    await sleep(ANNOUNCE_MILLISECONDS);
+    await sleep(ANNOUNCE_RETRY_MILLISECONDS);
   }
 }
--- a/packages/node/src/relay/exchange_partner.ts
+++ b/packages/node/src/relay/exchange_partner.ts
@@ -4,16 +4,16 @@
   ExchangeQuestion,
   NodeDigest,
 } from "@foxtailwind/protocol";
-import type { PeerBook } from "./peer_book.ts";
-import { ageOf } from "./told_age.ts";
+import type { PeerTable } from "./peer_table.ts";
+import { decodeAge } from "./encoded_age.ts";
 
 /** What a node wants to hear from a partner. */
-export interface ExchangeWishes {
+export interface ExchangeScope {
   readonly wantsOthers: boolean;
   readonly wantsEngines: boolean;
 }
 
-interface ToldNode {
+interface ReportedNode {
   readonly id: NodeId;
   readonly incarnation: string;
 }
@@ -24,21 +24,21 @@
  */
 export class ExchangePartner {
   readonly #self: NodeId;
-  readonly #peers: PeerBook;
+  readonly #peers: PeerTable;
   #id: NodeId | undefined;
   #incarnation = "";
   /** Up to which of its changes the partner's run has told of others. */
   #cursor = 0;
-  #hadEngines = false;
+  #receivedEngines = false;
   /** The sequence of this node's engines that the partner knows. */
-  #knownEngines = 0;
-  readonly #told = new Map<number, ToldNode>();
+  #acknowledgedEngines = 0;
+  readonly #reportedNodes = new Map<number, ReportedNode>();
 
   /**
    * @param self This node.
    * @param peers Takes what the partner tells.
    */
-  constructor(self: NodeId, peers: PeerBook) {
+  constructor(self: NodeId, peers: PeerTable) {
     this.#self = self;
     this.#peers = peers;
   }
@@ -46,21 +46,22 @@
   /**
    * Writes the next question.
    * @param own What this node says of itself.
-   * @param wishes What it wants to hear.
+   * @param scope What it wants to hear.
    * @returns The question.
    */
-  question(own: NodeDigest, wishes: ExchangeWishes): ExchangeQuestion {
-    const isKnown = own.engineStates?.sequence === this.#knownEngines;
-    const needsAll = wishes.wantsEngines && !this.#hadEngines;
+  nextQuestion(own: NodeDigest, scope: ExchangeScope): ExchangeQuestion {
+    const areEnginesKnown =
+      own.engineStates?.sequence === this.#acknowledgedEngines;
+    const needsAll = scope.wantsEngines && !this.#receivedEngines;
     return {
-      own: isKnown ? { ...own, engineStates: undefined } : own,
-      wantsOthers: wishes.wantsOthers,
-      wantsEngines: wishes.wantsEngines,
+      own: areEnginesKnown ? { ...own, engineStates: undefined } : own,
+      wantsOthers: scope.wantsOthers,
+      wantsEngines: scope.wantsEngines,
       incarnation: this.#incarnation,
       cursor: needsAll ? 0 : this.#cursor,
       knownEngines: this.#id === undefined
         ? 0
-        : this.#peers.enginesKnown(this.#id, this.#incarnation),
+        : this.#peers.knownEngineSequence(this.#id, this.#incarnation),
     };
   }
 
@@ -68,53 +69,55 @@
    * Takes an answer.
    * @param now The present time.
    * @param answer The answer.
-   * @param wishes What was asked for.
+   * @param scope What was asked for.
    * @returns Whether a node has come, has begun to stop or has started again.
    */
-  answered(
+  applyAnswer(
     now: Instant,
     answer: ExchangeAnswer,
-    wishes: ExchangeWishes,
+    scope: ExchangeScope,
   ): boolean {
     const { own } = answer;
     if (own === undefined) return false;
     this.#id = nodeId(own.node);
-    if (own.incarnation !== this.#incarnation) this.#restarted();
+    if (own.incarnation !== this.#incarnation) this.#resetProgress();
     this.#incarnation = own.incarnation;
     // What an answer was not asked for it has not told.
-    if (wishes.wantsOthers) {
+    if (scope.wantsOthers) {
       this.#cursor = answer.cursor;
-      this.#hadEngines = wishes.wantsEngines;
+      this.#receivedEngines = scope.wantsEngines;
     }
-    this.#knownEngines = answer.knownEngines;
-    const isNews = this.#peers.heard(now, own);
-    return this.#hearOthers(now, answer) || isNews;
+    this.#acknowledgedEngines = answer.knownEngines;
+    const isStatusChange = this.#peers.heard(now, own);
+    return this.#applyRelayedNews(now, answer) || isStatusChange;
   }
 
   /** Nothing that an earlier run has told counts for a later one. */
-  #restarted(): void {
-    this.#told.clear();
+  #resetProgress(): void {
+    this.#reportedNodes.clear();
     this.#cursor = 0;
-    this.#hadEngines = false;
+    this.#receivedEngines = false;
   }
 
-  #hearOthers(now: Instant, { news, ages }: ExchangeAnswer): boolean {
-    let isNews = false;
+  #applyRelayedNews(now: Instant, { news, ages }: ExchangeAnswer): boolean {
+    let isStatusChange = false;
     for (const { index, digest } of news) {
       if (digest === undefined) continue;
       const id = nodeId(digest.node);
-      this.#told.set(index, { id, incarnation: digest.incarnation });
-      const age = ageOf(ages[index]);
+      this.#reportedNodes.set(index, { id, incarnation: digest.incarnation });
+      const age = decodeAge(ages[index]);
       if (age === undefined || id === this.#self) continue;
-      const terms = { age, isRelayed: true };
-      if (this.#peers.heard(now, digest, terms)) isNews = true;
+      const origin = { age, isRelayed: true };
+      if (this.#peers.heard(now, digest, origin)) isStatusChange = true;
     }
-    for (const [index, { id, incarnation }] of this.#told) {
-      const age = ageOf(ages[index]);
+    for (const [index, { id, incarnation }] of this.#reportedNodes) {
+      const age = decodeAge(ages[index]);
       if (age === undefined || id === this.#self) continue;
-      if (this.#peers.heardOf(now, id, incarnation, age)) isNews = true;
+      if (this.#peers.recordRelayedContact(now, id, incarnation, age)) {
+        isStatusChange = true;
+      }
     }
-    return isNews;
+    return isStatusChange;
   }
 }
 
@@ -128,25 +131,23 @@
  */
 export function answerExchange(
   now: Instant,
-  peers: PeerBook,
+  peers: PeerTable,
   own: NodeDigest,
   question: ExchangeQuestion,
 ): ExchangeAnswer {
   const { own: asker, wantsOthers, wantsEngines } = question;
   const isSameRun = question.incarnation === own.incarnation;
   const knownEngines = isSameRun ? question.knownEngines : 0;
-  const knowsEngines = !wantsEngines ||
+  const omitsEngines = !wantsEngines ||
     own.engineStates?.sequence === knownEngines;
   const cursor = isSameRun ? question.cursor : 0;
   return {
-    own: knowsEngines ? { ...own, engineStates: undefined } : own,
+    own: omitsEngines ? { ...own, engineStates: undefined } : own,
     cursor: peers.cursor,
-    news: wantsOthers
-      ? [...peers.newsSince(now, { cursor, wantsEngines })]
-      : [],
+    news: wantsOthers ? [...peers.newsFor(now, { cursor, wantsEngines })] : [],
     ages: wantsOthers ? peers.ages(now) : [],
     knownEngines: asker === undefined
       ? 0
-      : peers.enginesKnown(nodeId(asker.node), asker.incarnation),
+      : peers.knownEngineSequence(nodeId(asker.node), asker.incarnation),
   };
 }
--- a/packages/node/src/relay/knowledge.ts
+++ b/packages/node/src/relay/knowledge.ts
@@ -24,8 +24,8 @@
 import type { NodeDigest } from "@foxtailwind/protocol";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { PartLogger } from "../logging/part_logger.ts";
-import { PeerBook } from "./peer_book.ts";
-import { logServer, logStart } from "./registry_lines.ts";
+import { PeerTable } from "./peer_table.ts";
+import { logRestart, logServerChange } from "./registry_logging.ts";
 import type { RelaySettings } from "./relay_settings.ts";
 import { ServersByService } from "./servers_by_service.ts";
 import type { ServingNodes } from "./serving_nodes.ts";
@@ -37,18 +37,18 @@
   type SkipReason,
   type SuspicionChange,
 } from "./shared_log.ts";
-import { SuspicionNews } from "./suspicion_news.ts";
+import { SuspicionTracker } from "./suspicion_tracker.ts";
 import { WorkCounts } from "./work_counts.ts";
 
 /** Without a successful call for so long, the log counts as out of reach. */
-const CONTACT_TIME = milliseconds(2_000);
+const LOG_CONTACT_TIMEOUT = milliseconds(2_000);
 
 /**
  * So many nodes, the first by id among those that reach the log and serve,
  * watch what operators write for all. A second one watches on while the first
  * stops or is cut off.
  */
-const WATCHERS = 2;
+const WATCHER_COUNT = 2;
 
 /** What knowledge is kept for. */
 export interface KnowledgeParts {
@@ -64,7 +64,7 @@
   "has" | "isActive" | "takesEngines"
 >;
 
-const EVERYBODY: ServingView = {
+const ALL_NODES_SERVE: ServingView = {
   has: () => true,
   isActive: () => true,
   takesEngines: () => true,
@@ -74,20 +74,20 @@
 export class Knowledge extends SharedLogListener {
   readonly versions = new AdapterVersions();
   readonly registry = new ServerRegistry();
-  readonly peers = new PeerBook();
+  readonly peers = new PeerTable();
   /** The requests that crash servers. */
-  readonly suspicions: SuspicionNews;
+  readonly suspicions: SuspicionTracker;
   /** What this node does to know all that, and to let others know. */
   readonly work = new WorkCounts();
   readonly claims: EngineClaims;
   readonly #parts: KnowledgeParts;
   #routes: RouteTable | undefined;
   #operatorsEnd = logOffset(0);
-  readonly #byService = new ServersByService(this.registry);
-  #reachedAt: Instant | undefined;
-  #isInContact = false;
+  readonly #serversByService = new ServersByService(this.registry);
+  #lastLogReadAt: Instant | undefined;
+  #lastLogCallSucceeded = false;
   /** Which nodes serve; all of them, until the node has worked it out. */
-  serving: ServingView = EVERYBODY;
+  serving: ServingView = ALL_NODES_SERVE;
   /** Called after each change that may matter to the owners of engines. */
   onChange: () => void = () => undefined;
   /** Called for each record that was left out. */
@@ -98,7 +98,7 @@
   constructor(parts: KnowledgeParts) {
     super();
     this.#parts = parts;
-    this.suspicions = new SuspicionNews(parts);
+    this.suspicions = new SuspicionTracker(parts);
     const { settings, incarnation } = parts;
     this.claims = new EngineClaims(
       { id: settings.node.id, incarnation },
@@ -122,7 +122,7 @@
    * @returns The servers, leaving ones included.
    */
   servers(service: ServiceId): readonly RegisteredServer[] {
-    return this.#byService.of(service);
+    return this.#serversByService.serversOf(service);
   }
 
   /** The model engines that are there and stay. */
@@ -139,22 +139,23 @@
    * @returns Whether it has answered lately.
    */
   isInContact(now: Instant): boolean {
-    if (this.#reachedAt === undefined) return false;
+    if (this.#lastLogReadAt === undefined) return false;
     // A node that others tell calls too rarely to know more than how its last
     // call ended.
     if (hasManyReaders(this.readers) && !this.isWatcher) {
-      return this.#isInContact;
+      return this.#lastLogCallSucceeded;
     }
-    return now - this.#reachedAt < CONTACT_TIME;
+    return now - this.#lastLogReadAt < LOG_CONTACT_TIMEOUT;
   }
 
   override get isWatcher(): boolean {
-    return this.#before((peer) => peer.reachesLog) < WATCHERS;
+    return this.#countPreferredWatchers((peer) => peer.reachesLog) <
+      WATCHER_COUNT;
   }
 
   /** Those that would watch, were the log in everybody's reach. */
   override get triesFirst(): boolean {
-    return this.#before(() => true) < WATCHERS;
+    return this.#countPreferredWatchers(() => true) < WATCHER_COUNT;
   }
 
   override get isActive(): boolean {
@@ -200,11 +201,11 @@
     const before = this.registry.revision;
     const id = entry.kind === "gone" ? entry.id : entry.server.id;
     const known = this.registry.find(id);
-    this.suspicions.noteLife(this.registry, entry);
+    this.suspicions.recordServerEntry(this.registry, entry);
     const outcome = this.registry.apply(this.#parts.clock.now(), entry);
-    logStart(this.#parts.logger, entry, outcome);
+    logRestart(this.#parts.logger, entry, outcome);
     if (this.registry.revision === before) return;
-    logServer(this.#parts.logger, entry, known);
+    logServerChange(this.#parts.logger, entry, known);
     this.onChange();
   }
 
@@ -213,10 +214,12 @@
     end: LogOffset,
   ): void {
     const now = this.#parts.clock.now();
-    for (const entry of entries) this.suspicions.noteLife(this.registry, entry);
+    for (const entry of entries) {
+      this.suspicions.recordServerEntry(this.registry, entry);
+    }
     const outcomes = this.registry.replace(now, entries, end);
     for (const [index, entry] of entries.entries()) {
-      logStart(this.#parts.logger, entry, outcomes[index]);
+      logRestart(this.#parts.logger, entry, outcomes[index]);
     }
     this.onChange();
   }
@@ -235,15 +238,15 @@
 
   override node(node: NodeRecord): void {
     if (node.id === this.#parts.settings.node.id) return;
-    this.peers.record(this.#parts.clock.now(), node);
+    this.peers.recordNode(this.#parts.clock.now(), node);
   }
 
   override suspicion(change: SuspicionChange): void {
-    this.suspicions.changed(change);
+    this.suspicions.applyChange(change);
   }
 
   override suspicionsListed(suspicions: readonly CrashSuspicion[]): void {
-    this.suspicions.listed(suspicions);
+    this.suspicions.applyListing(suspicions);
   }
 
   override recordSkipped(topic: RecordTopic, reason: SkipReason): void {
@@ -252,10 +255,10 @@
 
   override reached(): void {
     this.work.count("log_answered");
-    this.#reachedAt = this.#parts.clock.now();
-    this.suspicions.noteRefused();
-    if (this.#isInContact) return;
-    this.#isInContact = true;
+    this.#lastLogReadAt = this.#parts.clock.now();
+    this.suspicions.reportRefused();
+    if (this.#lastLogCallSucceeded) return;
+    this.#lastLogCallSucceeded = true;
     this.#parts.logger.info("The platform's log is in reach.");
   }
 
@@ -263,8 +266,8 @@
     this.work.count("log_failed");
     const now = this.#parts.clock.now();
     this.registry.recordStoreFailure(now);
-    if (!this.#isInContact) return;
-    this.#isInContact = false;
+    if (!this.#lastLogCallSucceeded) return;
+    this.#lastLogCallSucceeded = false;
     this.#parts.logger.warn(RELAY_SENTENCE.logFailed, {
       step: failure.step,
       peer: failure.peer,
@@ -285,12 +288,12 @@
   }
 
   /** Counts the nodes of some kind that watch before this one. */
-  #before(isCounted: (peer: NodeDigest) => boolean): number {
+  #countPreferredWatchers(isCandidate: (peer: NodeDigest) => boolean): number {
     const { settings, clock } = this.#parts;
     const { id } = settings.node;
     const isServing = this.serving.has(id);
     return this.peers.alive(clock.now()).filter((peer) => {
-      if (!isCounted(peer)) return false;
+      if (!isCandidate(peer)) return false;
       const node = nodeId(peer.node);
       const serves = this.serving.has(node);
       return serves === isServing ? node < id : serves;
--- a/packages/node/src/relay/knowledge_fetch.ts
+++ b/packages/node/src/relay/knowledge_fetcher.ts
@@ -11,20 +11,20 @@
 import { readKnowledge } from "./knowledge_message.ts";
 
 /** After so long without the log, a peer is asked for what it knows. */
-const PATIENCE_WITHOUT_LOG = milliseconds(1_500);
+const LOG_OUTAGE_DELAY = milliseconds(1_500);
 /**
  * How long a node waits for its own read of what a peer has read already, in
  * milliseconds. The store tells all its readers within a few.
  */
-const PATIENCE_BEHIND_PEERS = 100;
+const BEHIND_PEERS_DELAY_MILLISECONDS = 100;
 /**
  * After so many milliseconds another peer is asked. A peer answers within a
  * few; on a link that loses a packet, within about 200.
  */
-const FETCH_LIMIT = 300;
+const FETCH_TIMEOUT_MILLISECONDS = 300;
 
 /** What asking peers works with. */
-export interface KnowledgeFetchParts {
+export interface KnowledgeFetcherParts {
   readonly knowledge: Knowledge;
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
@@ -33,16 +33,16 @@
 }
 
 /** Asks the peers for what this node hasn't read in the log itself. */
-export class KnowledgeFetch {
-  readonly #parts: KnowledgeFetchParts;
+export class KnowledgeFetcher {
+  readonly #parts: KnowledgeFetcherParts;
   readonly #startedAt: Instant;
-  #askedAt: Instant | undefined;
+  #lastOutageFetchAt: Instant | undefined;
   #behindTimer: NodeJS.Timeout | undefined;
-  #isAskingAhead = false;
+  #isCatchingUp = false;
   #isStopped = false;
 
   /** @param parts What it works with. */
-  constructor(parts: KnowledgeFetchParts) {
+  constructor(parts: KnowledgeFetcherParts) {
     this.#parts = parts;
     this.#startedAt = parts.clock.now();
   }
@@ -51,15 +51,15 @@
    * Asks some peer, where the log has been out of reach for long.
    * @param now The present time.
    */
-  askWithoutLog(now: Instant): void {
+  fetchDuringLogOutage(now: Instant): void {
     const { knowledge } = this.#parts;
     if (knowledge.isInContact(now)) return;
-    const since = this.#askedAt ?? this.#startedAt;
-    if (elapsed(since, now) < PATIENCE_WITHOUT_LOG) return;
-    const peer = pick(knowledge.peers.alive(now));
+    const since = this.#lastOutageFetchAt ?? this.#startedAt;
+    if (elapsed(since, now) < LOG_OUTAGE_DELAY) return;
+    const peer = pickRandom(knowledge.peers.alive(now));
     if (peer === undefined) return;
-    this.#askedAt = now;
-    this.#ask(peer, () => undefined);
+    this.#lastOutageFetchAt = now;
+    this.#fetchFrom(peer, () => undefined);
   }
 
   /**
@@ -68,19 +68,19 @@
    * or the store may turn this node away; in a large system few nodes read the
    * registry often.
    */
-  askAhead(): void {
-    if (this.#isStopped || this.#isAskingAhead) return;
-    if (this.#ahead().length === 0) return;
+  catchUpWithPeers(): void {
+    if (this.#isStopped || this.#isCatchingUp) return;
+    if (this.#peersAhead().length === 0) return;
     this.#behindTimer ??= setTimeout(() => {
       this.#behindTimer = undefined;
-      const peer = pick(this.#ahead());
+      const peer = pickRandom(this.#peersAhead());
       if (peer === undefined) return;
-      this.#isAskingAhead = true;
-      this.#ask(peer, () => {
-        this.#isAskingAhead = false;
-        this.askAhead();
+      this.#isCatchingUp = true;
+      this.#fetchFrom(peer, () => {
+        this.#isCatchingUp = false;
+        this.catchUpWithPeers();
       });
-    }, PATIENCE_BEHIND_PEERS);
+    }, BEHIND_PEERS_DELAY_MILLISECONDS);
   }
 
   /** Asks no more. */
@@ -90,7 +90,7 @@
   }
 
   /** The peers that know of more changes. */
-  #ahead(): readonly NodeDigest[] {
+  #peersAhead(): readonly NodeDigest[] {
     const { knowledge, clock } = this.#parts;
     return knowledge.peers.alive(clock.now()).filter((peer) =>
       peer.operatorsEnd > knowledge.operatorsEnd ||
@@ -98,7 +98,7 @@
     );
   }
 
-  #ask(peer: NodeDigest, ended: () => void): void {
+  #fetchFrom(peer: NodeDigest, onEnd: () => void): void {
     const { knowledge, logger, client } = this.#parts;
     knowledge.work.count("knowledge_asked");
     client(peer.address).fetchKnowledge(
@@ -107,7 +107,7 @@
         registryEnd: knowledge.registry.changedAt,
       },
       new Metadata(),
-      { deadline: Date.now() + FETCH_LIMIT },
+      { deadline: Date.now() + FETCH_TIMEOUT_MILLISECONDS },
       (error, answer: KnowledgeMessage | undefined) => {
         if (error !== null || answer === undefined) {
           logger.warn("A peer did not tell what it knows.", {
@@ -118,12 +118,12 @@
           readKnowledge(knowledge, answer);
           logger.info("A peer told what it knows.", { peer: peer.node });
         }
-        ended();
+        onEnd();
       },
     );
   }
 }
 
-function pick(peers: readonly NodeDigest[]): NodeDigest | undefined {
+function pickRandom(peers: readonly NodeDigest[]): NodeDigest | undefined {
   return peers[Math.floor(Math.random() * peers.length)];
 }
--- a/packages/node/src/relay/knowledge_message.ts
+++ b/packages/node/src/relay/knowledge_message.ts
@@ -13,38 +13,38 @@
 } from "@foxtailwind/protocol";
 import type { Knowledge } from "./knowledge.ts";
 
-type StoredModel = Omit<HeldModel, "adapters"> & {
+type SerializedModel = Omit<HeldModel, "adapters"> & {
   readonly adapters: readonly (readonly [string, number])[];
 };
-type StoredServer = Omit<RegisteredServer, "models"> & {
-  readonly models: readonly StoredModel[];
+type SerializedServer = Omit<RegisteredServer, "models"> & {
+  readonly models: readonly SerializedModel[];
 };
-type StoredEntry =
+type SerializedEntry =
   | Extract<RegistryEntry, { kind: "gone" }>
   | (Omit<Extract<RegistryEntry, { kind: "present" }>, "server"> & {
-    readonly server: StoredServer;
+    readonly server: SerializedServer;
   });
 
 /**
  * Writes what a node knows for a peer.
  * @param knowledge What it knows.
- * @param asker What the peer has.
+ * @param request What the peer has.
  * @returns The message.
  */
 export function writeKnowledge(
   knowledge: Knowledge,
-  asker: KnowledgeRequest,
+  request: KnowledgeRequest,
 ): KnowledgeMessage {
   const configuration = knowledge.routes?.configuration;
   const isNewer = configuration !== undefined &&
-    configuration.version > asker.configurationVersion;
+    configuration.version > request.configurationVersion;
   const { registry } = knowledge;
-  const knowsRegistry = asker.registryEnd >= registry.changedAt;
+  const isRegistryKnown = request.registryEnd >= registry.changedAt;
   return {
     configuration: isNewer ? JSON.stringify(configuration) : "",
-    registry: knowsRegistry
+    registry: isRegistryKnown
       ? ""
-      : JSON.stringify(registry.entries.map(storeEntry)),
+      : JSON.stringify(registry.entries.map(serializeEntry)),
     versions: JSON.stringify(knowledge.versions.entries),
     operatorsEnd: knowledge.operatorsEnd,
     registryEnd: registry.changedAt,
@@ -68,8 +68,8 @@
   }
   const entries = message.registry === ""
     ? []
-    : JSON.parse(message.registry) as StoredEntry[];
-  for (const entry of entries) knowledge.registryEntry(restoreEntry(entry));
+    : JSON.parse(message.registry) as SerializedEntry[];
+  for (const entry of entries) knowledge.registryEntry(deserializeEntry(entry));
   const versions = JSON.parse(message.versions) as [string, number][];
   for (const [key, version] of versions) {
     const [model = "", adapter = ""] = key.split("/");
@@ -79,7 +79,7 @@
   knowledge.registry.advanceChangedAt(logOffset(message.registryEnd));
 }
 
-function storeEntry(entry: RegistryEntry): StoredEntry {
+function serializeEntry(entry: RegistryEntry): SerializedEntry {
   if (entry.kind === "gone") return entry;
   const models = entry.server.models.map((held) => ({
     ...held,
@@ -88,7 +88,7 @@
   return { ...entry, server: { ...entry.server, models } };
 }
 
-function restoreEntry(entry: StoredEntry): RegistryEntry {
+function deserializeEntry(entry: SerializedEntry): RegistryEntry {
   // A peer that the store serves has waited for entries that may have lapsed.
   // This node's own calls may fail for reasons of its own, and its doubt would
   // keep it sending to servers that are gone for 2.5 s after the last of them.
--- a/packages/node/src/relay/known_peer.ts
+++ b/packages/node/src/relay/known_peer.ts
@@ -8,17 +8,17 @@
 import type { NodeRecord } from "./shared_log.ts";
 
 /** A node that is silent for longer counts as gone: six missed exchanges. */
-export const SILENCE: Duration = milliseconds(1_500);
+export const SILENCE_TIMEOUT: Duration = milliseconds(1_500);
 /** A node that exchanges more rarely counts as gone after so many periods. */
-const SILENT_PERIODS = 2.5;
+const SILENCE_TIMEOUT_PERIODS = 2.5;
 /**
  * What hubs pass on may be so much older: its node tells its hub every 600 ms,
  * two hubs ask on its way every 300 ms, and the last node every 600 ms.
  */
-const RELAY_TIME = 1_800;
+const RELAY_DELAY_MILLISECONDS = 1_800;
 
 /** Another node, as far as this one has heard of it. */
-export interface Peer {
+export interface KnownPeer {
   readonly record: NodeRecord;
   readonly digest?: NodeDigest;
   readonly heardAt?: Instant | undefined;
@@ -37,8 +37,8 @@
 export interface MergedDigest {
   readonly digest: NodeDigest;
   /** Whether anything but the engines has changed. */
-  readonly isChanged: boolean;
-  readonly hasNewEngines: boolean;
+  readonly hasNewState: boolean;
+  readonly hasNewEngineStates: boolean;
 }
 
 /**
@@ -51,7 +51,7 @@
  * @returns What is known then, or nothing where the digest is of an older run.
  */
 export function mergeDigest(
-  known: Peer | undefined,
+  known: KnownPeer | undefined,
   digest: NodeDigest,
   heardAt: Instant,
 ): MergedDigest | undefined {
@@ -62,19 +62,19 @@
       heardAt <= known.heardAt;
     if (isOlderRun) return undefined;
     const hasNewEngines = digest.engineStates !== undefined;
-    return { digest, isChanged: true, hasNewEngines };
+    return { digest, hasNewState: true, hasNewEngineStates: hasNewEngines };
   }
-  const isChanged = digest.sequence > before.sequence;
+  const hasNewState = digest.sequence > before.sequence;
   const { engineStates } = digest;
   const hasNewEngines = engineStates !== undefined &&
     engineStates.sequence > (before.engineStates?.sequence ?? 0);
   return {
     digest: {
-      ...(isChanged ? digest : before),
+      ...(hasNewState ? digest : before),
       engineStates: hasNewEngines ? engineStates : before.engineStates,
     },
-    isChanged,
-    hasNewEngines,
+    hasNewState: hasNewState,
+    hasNewEngineStates: hasNewEngines,
   };
 }
 
@@ -83,9 +83,11 @@
  * @param peer The node.
  * @returns The time, without what news take by way of other nodes.
  */
-export function silenceOf({ digest }: Peer): Duration {
+export function silenceTimeoutOf({ digest }: KnownPeer): Duration {
   const period = digest?.periodMilliseconds ?? 0;
-  return milliseconds(Math.max(SILENCE, period * SILENT_PERIODS));
+  return milliseconds(
+    Math.max(SILENCE_TIMEOUT, period * SILENCE_TIMEOUT_PERIODS),
+  );
 }
 
 /**
@@ -95,8 +97,12 @@
  * @param limit How long ago at most, where it was heard directly.
  * @returns Whether it was.
  */
-export function isFresh(peer: Peer, now: Instant, limit: Duration): boolean {
-  const allowance = peer.isRelayed ? RELAY_TIME : 0;
+export function isFresh(
+  peer: KnownPeer,
+  now: Instant,
+  limit: Duration,
+): boolean {
+  const allowance = peer.isRelayed ? RELAY_DELAY_MILLISECONDS : 0;
   return peer.heardAt !== undefined &&
     elapsed(peer.heardAt, now) < limit + allowance;
 }
--- a/packages/node/src/relay/make_relay_parts.ts
+++ b/packages/node/src/relay/make_relay_parts.ts
@@ -8,12 +8,12 @@
 import type { RelaySettings } from "./relay_settings.ts";
 import { RequestLimits } from "./request_limits.ts";
 import { RequestPlacer } from "./request_placer.ts";
-import { RetryAllowances } from "./retry_allowances.ts";
+import { RetryBudgets } from "./retry_budgets.ts";
 import type { ServingNodes } from "./serving_nodes.ts";
 import type { SharedLog } from "./shared_log.ts";
 
 /** The parts of a node that relaying requests is put together from. */
-export interface RelayPartsTerms extends
+export interface RelayPartsOptions extends
   Pick<
     RelayParts,
     | "clock"
@@ -31,18 +31,18 @@
   readonly channels: PeerChannels;
   readonly log: SharedLog;
   /** Called where a server has begun or ceased to name a limit. */
-  readonly limitsChanged: () => void;
+  readonly onLimitsChanged: () => void;
 }
 
 /**
  * Puts together what relaying requests works with.
- * @param terms The node's parts.
+ * @param options The node's parts.
  * @returns What a request is relayed with.
  */
-export function makeRelayParts(terms: RelayPartsTerms): RelayParts {
-  const { clock, knowledge, loads, logger, pools } = terms;
+export function makeRelayParts(options: RelayPartsOptions): RelayParts {
+  const { clock, knowledge, loads, logger, pools } = options;
   const { record, wire, settings, owners, presence, serving, channels, log } =
-    terms;
+    options;
   const { node, retries } = settings;
   const nodes = () => presence.countNodes(clock.now());
   const limits = new RequestLimits({
@@ -50,7 +50,7 @@
     knowledge,
     clock,
     logger,
-    changed: terms.limitsChanged,
+    changed: options.onLimitsChanged,
   });
   const window = seconds(retries.window_seconds);
   return {
@@ -66,8 +66,8 @@
     record,
     patience: new CallerTimeouts(),
     plannedStop: () => presence.plannedStop,
-    asked: () => serving.asked(clock.now()) ? log.catchUp() : undefined,
-    allowances: new RetryAllowances({
+    asked: () => serving.recordRequest(clock.now()) ? log.catchUp() : undefined,
+    allowances: new RetryBudgets({
       retriesPerRequest: retries.share,
       reserve: retries.reserve,
       window,
--- a/packages/node/src/relay/node_presence.ts
+++ b/packages/node/src/relay/node_presence.ts
@@ -14,14 +14,14 @@
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { Knowledge } from "./knowledge.ts";
 import type { RelaySettings } from "./relay_settings.ts";
-import { capacityOf } from "./node_load.ts";
+import { decodeCapacity } from "./node_load.ts";
 import type { PlannedStop } from "./relay_stop.ts";
 import type { ServingNodes } from "./serving_nodes.ts";
-import { NumberedState } from "./numbered_state.ts";
+import { StateSequence } from "./state_sequence.ts";
 import type { NodeRecord } from "./shared_log.ts";
 
 /** Nodes heard of in this time share limits, even if silent now. */
-const NODE_MEMORY = milliseconds(20_000);
+const NODE_RETENTION = milliseconds(20_000);
 
 /** What a node's presence is made of. */
 export interface NodePresenceParts {
@@ -34,7 +34,7 @@
   readonly engines: () => readonly EngineDigest[];
   readonly serving: ServingNodes;
   /** Between two exchanges that this node begins, in milliseconds. */
-  readonly exchangePeriod: () => number;
+  readonly exchangePeriodMilliseconds: () => number;
   /** The limits of servers that this node has seen itself. */
   readonly limits: () => readonly ServerLimit[];
 }
@@ -48,9 +48,9 @@
 /** What a node says of itself, and which nodes it knows beside itself. */
 export class NodePresence {
   readonly #parts: NodePresenceParts;
-  readonly #heardNodes = new Map<string, Instant>();
-  readonly #ownState = new NumberedState();
-  readonly #engineStates = new NumberedState();
+  readonly #lastHeardAt = new Map<string, Instant>();
+  readonly #nodeSequence = new StateSequence();
+  readonly #engineSequence = new StateSequence();
   #ports: NodePorts | undefined;
   /** The stop in progress, if this node is stopping. */
   plannedStop: PlannedStop | undefined;
@@ -93,17 +93,17 @@
   /** What other nodes are told of this one. */
   get digest(): NodeDigest {
     const now = this.#parts.clock.now();
-    const unnumbered = this.#unnumbered(now);
+    const unnumbered = this.#createDigest(now);
     const engines = [...this.#parts.engines()];
     return {
       ...unnumbered,
-      sequence: this.#ownState.number(
+      sequence: this.#nodeSequence.numberOf(
         now,
         NodeDigest.encode(unnumbered).finish(),
       ),
       engineStates: {
         engines,
-        sequence: this.#engineStates.number(
+        sequence: this.#engineSequence.numberOf(
           now,
           EngineStates.encode({ engines, sequence: 0 }).finish(),
         ),
@@ -111,8 +111,13 @@
     };
   }
 
-  #unnumbered(now: Instant): NodeDigest {
-    const { knowledge, serving, exchangePeriod, limits } = this.#parts;
+  #createDigest(now: Instant): NodeDigest {
+    const {
+      knowledge,
+      serving,
+      exchangePeriodMilliseconds: exchangePeriod,
+      limits,
+    } = this.#parts;
     const { id, incarnation, address, failureDomain, capacity } = this.record;
     return {
       node: id,
@@ -138,7 +143,7 @@
    * Takes note that the node listens.
    * @param ports The ports taken.
    */
-  listening(ports: NodePorts): void {
+  recordPorts(ports: NodePorts): void {
     this.#ports = ports;
   }
 
@@ -147,8 +152,8 @@
    * @param now The present time.
    */
   refresh(now: Instant): void {
-    for (const { id } of this.#parts.knowledge.peers.candidates(now)) {
-      this.#heardNodes.set(id, now);
+    for (const { id } of this.#parts.knowledge.peers.presentNodes(now)) {
+      this.#lastHeardAt.set(id, now);
     }
   }
 
@@ -162,8 +167,8 @@
   countNodes(now: Instant): number {
     this.refresh(now);
     let count = 1;
-    for (const heardAt of this.#heardNodes.values()) {
-      if (elapsed(heardAt, now) < NODE_MEMORY) count += 1;
+    for (const heardAt of this.#lastHeardAt.values()) {
+      if (elapsed(heardAt, now) < NODE_RETENTION) count += 1;
     }
     return count;
   }
@@ -174,22 +179,22 @@
    * nodes take callers, only they are named.
    * @returns The addresses of nodes that take callers.
    */
-  addresses(failureDomain: string | undefined): readonly string[] {
+  callerAddresses(failureDomain: string | undefined): readonly string[] {
     const { knowledge, clock, serving, settings } = this.#parts;
     const peers = knowledge.peers.alive(clock.now());
     const ready = [this.digest, ...peers].filter((one) =>
       one.isReady && !one.isLeaving
     );
-    const near = ready.filter((one) => one.failureDomain === failureDomain);
-    const inReach = near.length > 1 ? near : ready;
-    const chosen = inReach.filter((one) => serving.has(nodeId(one.node)));
-    if (chosen.length === 0) return inReach.map((one) => one.callerAddress);
+    const local = ready.filter((one) => one.failureDomain === failureDomain);
+    const eligible = local.length > 1 ? local : ready;
+    const chosen = eligible.filter((one) => serving.has(nodeId(one.node)));
+    if (chosen.length === 0) return eligible.map((one) => one.callerAddress);
     const strongest = Math.max(...chosen.map((one) => one.capacity));
     return chosen.filter((one) =>
       isAdvertised(settings.node.id, {
         id: nodeId(one.node),
-        capacity: capacityOf(one.capacity),
-      }, capacityOf(strongest))
+        capacity: decodeCapacity(one.capacity),
+      }, decodeCapacity(strongest))
     ).map((one) => one.callerAddress);
   }
 }
--- a/packages/node/src/relay/operations_server.ts
+++ b/packages/node/src/relay/operations_server.ts
@@ -6,7 +6,7 @@
 import type { OperationsWire } from "./operations_wire.ts";
 
 /** What those around the node may ask of it. */
-export interface OperationsAnswers {
+export interface OperationsHandlers {
   readonly isReady: () => boolean;
   /** Addresses for a caller of a failure domain, best first. */
   readonly addresses: (failureDomain: string | undefined) => readonly string[];
@@ -15,7 +15,7 @@
 }
 
 /** Where those around the node ask. */
-export interface OperationsListen {
+export interface OperationsAddresses {
   readonly readiness: SocketAddress;
   readonly addresses: SocketAddress;
   readonly metrics: SocketAddress;
@@ -28,7 +28,7 @@
 /** Answers questions for readiness, addresses and metrics. */
 export class OperationsServer {
   readonly #wire: OperationsWire;
-  readonly #answers: OperationsAnswers;
+  readonly #handlers: OperationsHandlers;
   readonly #servers: Server[] = [];
   readonly #fastify: FastifyInstance;
 
@@ -36,30 +36,30 @@
    * @param wire How the questions are asked.
    * @param answers What is answered.
    */
-  constructor(wire: OperationsWire, answers: OperationsAnswers) {
+  constructor(wire: OperationsWire, answers: OperationsHandlers) {
     this.#wire = wire;
-    this.#answers = answers;
+    this.#handlers = answers;
     this.#fastify = schemalessFastify();
     this.#addRoutes(this.#fastify);
   }
 
   /**
    * Starts to answer.
-   * @param listen Where; places that are the same are listened at once.
+   * @param addressesByEndpoint Where; places that are the same are listened at once.
    * @returns The port taken for readiness.
    */
-  async listen(listen: OperationsListen): Promise<number> {
+  async listen(addressesByEndpoint: OperationsAddresses): Promise<number> {
     const fastify = this.#fastify;
     await fastify.ready();
-    const { readiness, addresses, metrics } = listen;
-    const places = new Map(
+    const { readiness, addresses, metrics } = addressesByEndpoint;
+    const distinctAddresses = new Map(
       [readiness, addresses, metrics].map((address: SocketAddress) => [
         `${address.host}:${address.port}`,
         address,
       ]),
     );
     const ports: number[] = [];
-    for (const address of places.values()) {
+    for (const address of distinctAddresses.values()) {
       const server = createServer((request, response) => {
         fastify.routing(request, response);
       });
@@ -84,24 +84,24 @@
 
   #addRoutes(fastify: FastifyInstance): void {
     fastify.get(this.#wire.readinessPath, (_request, reply) => {
-      void reply.status(this.#answers.isReady() ? READY : NOT_READY).send("");
+      void reply.status(this.#handlers.isReady() ? READY : NOT_READY).send("");
     });
     fastify.get(this.#wire.addressesPath, (request, reply) => {
       const query = request.query as Record<string, string | undefined>;
       const { failureDomain } = this.#wire.readQuestion(query);
-      const addresses = this.#answers.addresses(failureDomain);
+      const addresses = this.#handlers.addresses(failureDomain);
       if (addresses.length === 0) {
         void reply.status(NOT_READY).send("");
         return;
       }
       const body = this.#wire.writeAddresses(
         addresses,
-        this.#answers.addressLifetimeSeconds,
+        this.#handlers.addressLifetimeSeconds,
       );
       void reply.header("content-type", "application/json").send(body);
     });
     fastify.get(METRICS_PATH, async (_request, reply) => {
-      const text = await this.#answers.metrics();
+      const text = await this.#handlers.metrics();
       return await reply.header("content-type", "text/plain").send(text);
     });
   }
--- a/packages/node/src/relay/partner_choice.ts
+++ b/packages/node/src/relay/partner_selector.ts
@@ -10,23 +10,23 @@
 import type { NodeRecord } from "./shared_log.ts";
 
 /** Between two exchanges of nodes that pass on what they hear, in milliseconds. */
-const HUB_PERIOD = 300;
+const HUB_PERIOD_MILLISECONDS = 300;
 /** Between two exchanges of other nodes that place requests. */
-const MEMBER_PERIOD = 600;
+const MEMBER_PERIOD_MILLISECONDS = 600;
 /** Between two exchanges of nodes that stand by. */
-const STANDBY_PERIOD = 1_000;
+const STANDBY_PERIOD_MILLISECONDS = 1_000;
 /** So long, a hub that has not answered is passed over for another one. */
-const FAILURE_MEMORY = milliseconds(2_000);
+const FAILURE_RETENTION = milliseconds(2_000);
 
 /** Whom a node asks now, and when it does so again. */
-export interface ChosenPartners extends Omit<ExchangePartners, "partners"> {
+export interface PartnerSelection extends Omit<ExchangePartners, "partners"> {
   readonly partners: readonly NodeRecord[];
   /** Until the next exchange, in milliseconds. */
-  readonly period: number;
+  readonly periodMilliseconds: number;
 }
 
 /** Chooses the nodes to exchange with; those that don't answer are passed over. */
-export class PartnerChoice {
+export class PartnerSelector {
   readonly #self: Omit<ExchangeNode, "isServing">;
   readonly #knowledge: Knowledge;
   /** When a node at an address last did not answer. */
@@ -46,11 +46,11 @@
    * @param now The present time.
    * @returns The nodes.
    */
-  choose(now: Instant): ChosenPartners {
+  select(now: Instant): PartnerSelection {
     const { peers, serving } = this.#knowledge;
     const contacts = peers.contacts(now);
-    const reachable = peers.candidates(now)
-      .filter(({ address }) => !this.#hasFailed(now, address))
+    const reachable = peers.presentNodes(now)
+      .filter(({ address }) => !this.#hasFailedRecently(now, address))
       .map(({ id, failureDomain }) => ({
         id,
         failureDomain,
@@ -58,19 +58,21 @@
       }));
     const self = { ...this.#self, isServing: serving.has(this.#self.id) };
     const chosen = exchangePartners(self, reachable);
-    const period = this.#period(now, chosen);
+    const period = this.#periodMilliseconds(now, chosen);
     // While few are known, all that may be there are asked.
-    if (!chosen.isRelayed) return { ...chosen, period, partners: contacts };
+    if (!chosen.isRelayed) {
+      return { ...chosen, periodMilliseconds: period, partners: contacts };
+    }
     const byId = new Map(contacts.map((contact) => [contact.id, contact]));
     const partners = chosen.partners.flatMap((id) => byId.get(id) ?? []);
-    return { ...chosen, period, partners };
+    return { ...chosen, periodMilliseconds: period, partners };
   }
 
   /**
    * Takes note that a node has answered.
    * @param address Its address.
    */
-  answered(address: string): void {
+  recordAnswer(address: string): void {
     this.#failedAt.delete(address);
   }
 
@@ -80,21 +82,24 @@
    * @param address Its address.
    * @returns Whether it was to be asked until then.
    */
-  failed(now: Instant, address: string): boolean {
-    const isNews = !this.#hasFailed(now, address);
+  recordFailure(now: Instant, address: string): boolean {
+    const isFirstFailure = !this.#hasFailedRecently(now, address);
     this.#failedAt.set(address, now);
-    return isNews;
+    return isFirstFailure;
   }
 
-  #period(now: Instant, { isRelayed, isHub }: ExchangePartners): number {
-    if (!isRelayed || isHub) return HUB_PERIOD;
+  #periodMilliseconds(
+    now: Instant,
+    { isRelayed, isHub }: ExchangePartners,
+  ): number {
+    if (!isRelayed || isHub) return HUB_PERIOD_MILLISECONDS;
     return this.#knowledge.serving.isActive(now)
-      ? MEMBER_PERIOD
-      : STANDBY_PERIOD;
+      ? MEMBER_PERIOD_MILLISECONDS
+      : STANDBY_PERIOD_MILLISECONDS;
   }
 
-  #hasFailed(now: Instant, address: string): boolean {
+  #hasFailedRecently(now: Instant, address: string): boolean {
     const failedAt = this.#failedAt.get(address);
-    return failedAt !== undefined && elapsed(failedAt, now) < FAILURE_MEMORY;
+    return failedAt !== undefined && elapsed(failedAt, now) < FAILURE_RETENTION;
   }
 }
--- a/packages/node/src/relay/peer_exchange.ts
+++ b/packages/node/src/relay/peer_exchange.ts
@@ -32,17 +32,17 @@
 import {
   answerExchange,
   ExchangePartner,
-  type ExchangeWishes,
+  type ExchangeScope,
 } from "./exchange_partner.ts";
 import type { Knowledge } from "./knowledge.ts";
-import { KnowledgeFetch } from "./knowledge_fetch.ts";
+import { KnowledgeFetcher } from "./knowledge_fetcher.ts";
 import { writeKnowledge } from "./knowledge_message.ts";
-import { PartnerChoice } from "./partner_choice.ts";
+import { PartnerSelector } from "./partner_selector.ts";
 
 /** News of so many milliseconds go out together. */
-const GATHERING_TIME = 5;
+const NEWS_BATCH_DELAY_MILLISECONDS = 5;
 /** After so many milliseconds, an exchange counts as unanswered. */
-const EXCHANGE_LIMIT = 500;
+const EXCHANGE_TIMEOUT_MILLISECONDS = 500;
 /** What exchanges work with. */
 export interface PeerExchangeParts {
   readonly self: Omit<ExchangeNode, "isServing">;
@@ -61,9 +61,9 @@
   readonly #pending = new Set<string>();
   /** What the node at an address has told and has been told. */
   readonly #partnersByAddress = new Map<string, ExchangePartner>();
-  readonly #choice: PartnerChoice;
-  readonly #fetch: KnowledgeFetch;
-  #period: number;
+  readonly #selector: PartnerSelector;
+  readonly #fetcher: KnowledgeFetcher;
+  #periodMilliseconds: number;
   #timer: NodeJS.Timeout | undefined;
   #newsTimer: NodeJS.Timeout | undefined;
   #isStopped = false;
@@ -71,17 +71,18 @@
   /** @param parts What it works with. */
   constructor(parts: PeerExchangeParts) {
     this.#parts = parts;
-    this.#choice = new PartnerChoice(parts.self, parts.knowledge);
-    this.#period = this.#choice.choose(parts.clock.now()).period;
-    this.#fetch = new KnowledgeFetch({
+    this.#selector = new PartnerSelector(parts.self, parts.knowledge);
+    this.#periodMilliseconds =
+      this.#selector.select(parts.clock.now()).periodMilliseconds;
+    this.#fetcher = new KnowledgeFetcher({
       ...parts,
       client: (address) => this.#client(address),
     });
   }
 
   /** Between two exchanges that this node begins, in milliseconds. */
-  get period(): number {
-    return this.#period;
+  get periodMilliseconds(): number {
+    return this.#periodMilliseconds;
   }
 
   /** The gRPC service that answers the peers. */
@@ -123,7 +124,7 @@
   start(): void {
     this.#timer = setTimeout(() => {
       this.exchange();
-    }, this.#period);
+    }, this.#periodMilliseconds);
   }
 
   /** Exchanges with partners ahead of time, since there is news. */
@@ -132,7 +133,7 @@
     this.#newsTimer ??= setTimeout(() => {
       this.#newsTimer = undefined;
       this.exchange();
-    }, GATHERING_TIME);
+    }, NEWS_BATCH_DELAY_MILLISECONDS);
   }
 
   /** Stops. */
@@ -140,25 +141,25 @@
     this.#isStopped = true;
     clearTimeout(this.#timer);
     clearTimeout(this.#newsTimer);
-    this.#fetch.stop();
+    this.#fetcher.stop();
   }
 
   /** Exchanges with this node's partners now. */
   exchange(): void {
     const { knowledge, clock } = this.#parts;
     const now = clock.now();
-    this.#forget(knowledge.peers.addresses);
-    const chosen = this.#choice.choose(now);
-    this.#period = chosen.period;
+    this.#retainPartners(knowledge.peers.addresses);
+    const chosen = this.#selector.select(now);
+    this.#periodMilliseconds = chosen.periodMilliseconds;
     const own = this.#parts.digest();
-    const wishes = {
+    const scope = {
       wantsOthers: chosen.isRelayed,
       wantsEngines: knowledge.serving.isActive(now),
     };
     for (const { address } of chosen.partners) {
-      this.#exchangeWith(address, own, wishes);
+      this.#exchangeWith(address, own, scope);
     }
-    this.#fetch.askWithoutLog(now);
+    this.#fetcher.fetchDuringLogOutage(now);
     if (this.#isStopped) return;
     clearTimeout(this.#timer);
     this.start();
@@ -167,31 +168,31 @@
   #exchangeWith(
     address: string,
     own: NodeDigest,
-    wishes: ExchangeWishes,
+    scope: ExchangeScope,
   ): void {
     if (this.#pending.has(address)) return;
     this.#pending.add(address);
     this.#parts.knowledge.work.count("exchange_asked");
     const partner = this.#partnerAt(address);
     this.#client(address).exchange(
-      partner.question(own, wishes),
+      partner.nextQuestion(own, scope),
       new Metadata(),
-      { deadline: Date.now() + EXCHANGE_LIMIT },
+      { deadline: Date.now() + EXCHANGE_TIMEOUT_MILLISECONDS },
       (error, answer: ExchangeAnswer | undefined) => {
         this.#pending.delete(address);
         const now = this.#parts.clock.now();
         if (error !== null || answer === undefined) {
-          this.#failed(now, address, wishes);
+          this.#recordFailure(now, address, scope);
           return;
         }
-        this.#choice.answered(address);
-        this.#heard(partner.answered(now, answer, wishes));
+        this.#selector.recordAnswer(address);
+        this.#reactToDigest(partner.applyAnswer(now, answer, scope));
       },
     );
   }
 
   /** Forgets what nodes have told that are at none of some addresses. */
-  #forget(kept: ReadonlySet<string>): void {
+  #retainPartners(kept: ReadonlySet<string>): void {
     this.#parts.channels.retain(kept);
     for (const address of this.#partnersByAddress.keys()) {
       if (!kept.has(address)) this.#partnersByAddress.delete(address);
@@ -207,9 +208,9 @@
   }
 
   /** Passes over a node that did not answer, and asks another hub at once. */
-  #failed(now: Instant, address: string, wishes: ExchangeWishes): void {
-    const isNews = this.#choice.failed(now, address);
-    if (isNews && wishes.wantsOthers) this.exchangeSoon();
+  #recordFailure(now: Instant, address: string, scope: ExchangeScope): void {
+    const isFirstFailure = this.#selector.recordFailure(now, address);
+    if (isFirstFailure && scope.wantsOthers) this.exchangeSoon();
   }
 
   #answer(question: ExchangeQuestion): ExchangeAnswer {
@@ -217,13 +218,13 @@
     const now = clock.now();
     knowledge.work.count("exchange_answered");
     const { own } = question;
-    if (own !== undefined) this.#heard(knowledge.peers.heard(now, own));
+    if (own !== undefined) this.#reactToDigest(knowledge.peers.heard(now, own));
     return answerExchange(now, knowledge.peers, this.#parts.digest(), question);
   }
 
-  #heard(isNews: boolean): void {
-    if (isNews) this.#parts.owners.refresh();
-    this.#fetch.askAhead();
+  #reactToDigest(isStatusChange: boolean): void {
+    if (isStatusChange) this.#parts.owners.refresh();
+    this.#fetcher.catchUpWithPeers();
   }
 
   #client(address: string): RelayPeersClient {
--- a/packages/node/src/relay/peer_book.ts
+++ b/packages/node/src/relay/peer_table.ts
@@ -11,52 +11,52 @@
   type ServingCandidate,
 } from "@foxtailwind/core";
 import type { EngineDigest, NodeDigest, NodeNews } from "@foxtailwind/protocol";
-import { capacityOf, loadOf } from "./node_load.ts";
+import { decodeCapacity, decodeLoad } from "./node_load.ts";
 import {
   isFresh,
+  type KnownPeer,
   mergeDigest,
-  type Peer,
-  SILENCE,
-  silenceOf,
+  SILENCE_TIMEOUT,
+  silenceTimeoutOf,
 } from "./known_peer.ts";
-import { newsOf, type NewsTerms } from "./peer_news.ts";
+import { createNews, type NewsFilter } from "./peer_news.ts";
 import type { NodeRecord } from "./shared_log.ts";
-import { NO_AGE, toldAge } from "./told_age.ts";
+import { encodeAge, UNKNOWN_AGE } from "./encoded_age.ts";
 
 /** A digest that is older says nothing of an engine any more. */
-const STALE_DIGEST: Duration = milliseconds(1_200);
+const ENGINE_STATE_TIMEOUT: Duration = milliseconds(1_200);
 /** How long a node's word that it stops is remembered. */
-const STOP_MEMORY: Duration = milliseconds(20_000);
+const STOP_RETENTION: Duration = milliseconds(20_000);
 /** A node that has not been heard of for so long is asked no more. */
-const FORGOTTEN: Duration = milliseconds(60_000);
+const PEER_RETENTION: Duration = milliseconds(60_000);
 
 /** How a digest came. */
-export interface HeardTerms {
+export interface DigestOrigin {
   /** How long ago its node gave it. */
   readonly age: Duration;
   /** Whether another node passed it on. */
   readonly isRelayed: boolean;
 }
 
-const DIRECT: HeardTerms = { age: milliseconds(0), isRelayed: false };
+const DIRECT: DigestOrigin = { age: milliseconds(0), isRelayed: false };
 
 /** What a node owns and how it fares, with the time at which it was heard. */
-export interface HeardEngine {
+export interface PeerEngine {
   readonly owner: NodeId;
   readonly address: string;
   readonly digest: EngineDigest;
 }
 
 /** The other nodes, as far as this one has heard of them. */
-export class PeerBook {
-  readonly #peers = new Map<NodeId, Peer>();
+export class PeerTable {
+  readonly #peers = new Map<NodeId, KnownPeer>();
   /** The nodes by the order in which they were heard of first. */
   readonly #order: NodeId[] = [];
-  #changes = 0;
+  #changeCount = 0;
 
   /** Counts what has changed of any node, but for the time of hearing it. */
   get cursor(): number {
-    return this.#changes;
+    return this.#changeCount;
   }
 
   /**
@@ -64,7 +64,7 @@
    * @param now The present time.
    * @param record The node.
    */
-  record(now: Instant, record: NodeRecord): void {
+  recordNode(now: Instant, record: NodeRecord): void {
     const known = this.#peers.get(record.id);
     if (known?.record.incarnation === record.incarnation) return;
     this.#peers.set(record.id, {
@@ -81,35 +81,36 @@
    * Takes what a node says of itself, unless something newer is known.
    * @param now The present time.
    * @param digest What it says.
-   * @param terms How it came; from the node itself by default.
+   * @param origin How it came; from the node itself by default.
    * @returns Whether the node has come, has begun to stop or has started again.
    */
-  heard(now: Instant, digest: NodeDigest, terms = DIRECT): boolean {
+  heard(now: Instant, digest: NodeDigest, origin = DIRECT): boolean {
     const id = nodeId(digest.node);
     const known = this.#peers.get(id);
-    const heardAt = instant(now - terms.age);
+    const heardAt = instant(now - origin.age);
     const merged = mergeDigest(known, digest, heardAt);
     if (merged === undefined) return false;
-    const isNews = known?.digest === undefined ||
-      !isFresh(known, now, SILENCE) ||
+    const isStatusChange = known?.digest === undefined ||
+      !isFresh(known, now, SILENCE_TIMEOUT) ||
       known.digest.incarnation !== digest.incarnation ||
       known.digest.isLeaving !== digest.isLeaving;
-    const isSooner = known?.heardAt === undefined || heardAt > known.heardAt ||
+    const isHeardLater = known?.heardAt === undefined ||
+      heardAt > known.heardAt ||
       known.digest?.incarnation !== digest.incarnation;
-    if (merged.isChanged || merged.hasNewEngines) this.#changes += 1;
+    if (merged.hasNewState || merged.hasNewEngineStates) this.#changeCount += 1;
     this.#peers.set(id, {
-      record: recordOf(merged.digest),
+      record: toNodeRecord(merged.digest),
       digest: merged.digest,
-      heardAt: isSooner ? heardAt : known.heardAt,
-      isRelayed: isSooner ? terms.isRelayed : known.isRelayed,
+      heardAt: isHeardLater ? heardAt : known.heardAt,
+      isRelayed: isHeardLater ? origin.isRelayed : known.isRelayed,
       knownSince: known?.knownSince ?? now,
       index: known?.index ?? this.#indexOf(id),
-      changedAt: merged.isChanged ? this.#changes : known?.changedAt ?? 0,
-      enginesChangedAt: merged.hasNewEngines
-        ? this.#changes
+      changedAt: merged.hasNewState ? this.#changeCount : known?.changedAt ?? 0,
+      enginesChangedAt: merged.hasNewEngineStates
+        ? this.#changeCount
         : known?.enginesChangedAt ?? 0,
     });
-    return isNews;
+    return isStatusChange;
   }
 
   /**
@@ -120,7 +121,7 @@
    * @param age How long ago it was heard.
    * @returns Whether the node counted as gone before.
    */
-  heardOf(
+  recordRelayedContact(
     now: Instant,
     id: NodeId,
     incarnation: string,
@@ -130,9 +131,9 @@
     if (known?.digest?.incarnation !== incarnation) return false;
     const heardAt = instant(now - age);
     if (known.heardAt !== undefined && heardAt <= known.heardAt) return false;
-    const wasGone = !isFresh(known, now, SILENCE);
+    const wasGone = !isFresh(known, now, SILENCE_TIMEOUT);
     this.#peers.set(id, { ...known, heardAt, isRelayed: true });
-    return wasGone && isFresh({ ...known, heardAt }, now, SILENCE);
+    return wasGone && isFresh({ ...known, heardAt }, now, SILENCE_TIMEOUT);
   }
 
   /**
@@ -143,7 +144,7 @@
   contacts(now: Instant): readonly NodeRecord[] {
     return [...this.#peers.values()]
       .filter((peer) =>
-        elapsed(peer.heardAt ?? peer.knownSince, now) < FORGOTTEN
+        elapsed(peer.heardAt ?? peer.knownSince, now) < PEER_RETENTION
       )
       .map((peer) => peer.record);
   }
@@ -154,8 +155,8 @@
    * @param now The present time.
    * @returns The nodes.
    */
-  candidates(now: Instant): readonly NodeRecord[] {
-    return this.#there(now).map((peer) => peer.record);
+  presentNodes(now: Instant): readonly NodeRecord[] {
+    return this.#presentPeers(now).map((peer) => peer.record);
   }
 
   /**
@@ -164,25 +165,25 @@
    * @returns The nodes, with what they can do.
    */
   servingCandidates(now: Instant): readonly ServingCandidate[] {
-    return this.#there(now)
+    return this.#presentPeers(now)
       .filter(({ digest }) => digest?.isLeaving !== true)
       .map(({ record, digest }) => ({
         id: record.id,
         failureDomain: record.failureDomain,
-        capacity: capacityOf(digest?.capacity ?? record.capacity),
-        load: loadOf(digest?.load ?? 0),
+        capacity: decodeCapacity(digest?.capacity ?? record.capacity),
+        load: decodeLoad(digest?.load ?? 0),
       }));
   }
 
   /**
    * Lists what another node has not heard yet.
    * @param now The present time.
-   * @param terms Of what it wants to hear.
+   * @param filter Of what it wants to hear.
    * @returns The nodes of which something has changed.
    */
-  newsSince(now: Instant, terms: NewsTerms): readonly NodeNews[] {
+  newsFor(now: Instant, filter: NewsFilter): readonly NodeNews[] {
     return [...this.#peers.values()]
-      .flatMap((peer) => newsOf(now, peer, terms, FORGOTTEN) ?? []);
+      .flatMap((peer) => createNews(now, peer, filter, PEER_RETENTION) ?? []);
   }
 
   /**
@@ -193,9 +194,9 @@
   ages(now: Instant): number[] {
     return this.#order.map((id) => {
       const heardAt = this.#peers.get(id)?.heardAt;
-      if (heardAt === undefined) return NO_AGE;
+      if (heardAt === undefined) return UNKNOWN_AGE;
       const age = elapsed(heardAt, now);
-      return age >= FORGOTTEN ? NO_AGE : toldAge(age);
+      return age >= PEER_RETENTION ? UNKNOWN_AGE : encodeAge(age);
     });
   }
 
@@ -206,7 +207,7 @@
    */
   alive(now: Instant): readonly NodeDigest[] {
     return [...this.#peers.values()].flatMap((peer) =>
-      peer.digest !== undefined && isFresh(peer, now, silenceOf(peer))
+      peer.digest !== undefined && isFresh(peer, now, silenceTimeoutOf(peer))
         ? [peer.digest]
         : []
     );
@@ -219,10 +220,10 @@
    * @returns The nodes.
    */
   left(now: Instant): ReadonlySet<NodeId> {
-    const left = [...this.#peers.values()].filter((peer) =>
-      peer.digest?.isLeaving === true && isFresh(peer, now, STOP_MEMORY)
+    const stopped = [...this.#peers.values()].filter((peer) =>
+      peer.digest?.isLeaving === true && isFresh(peer, now, STOP_RETENTION)
     );
-    return new Set(left.map((peer) => peer.record.id));
+    return new Set(stopped.map((peer) => peer.record.id));
   }
 
   /**
@@ -241,7 +242,7 @@
    * @param incarnation Its run.
    * @returns The sequence of their states, 0 where none are known.
    */
-  enginesKnown(id: NodeId, incarnation: string): number {
+  knownEngineSequence(id: NodeId, incarnation: string): number {
     const digest = this.#peers.get(id)?.digest;
     if (digest?.incarnation !== incarnation) return 0;
     return digest.engineStates?.sequence ?? 0;
@@ -258,21 +259,21 @@
     now: Instant,
     engine: BackendServerId,
     owner: NodeId,
-  ): HeardEngine | undefined {
+  ): PeerEngine | undefined {
     const peer = this.#peers.get(owner);
     if (peer?.digest === undefined) return undefined;
-    if (!isFresh(peer, now, STALE_DIGEST)) return undefined;
+    if (!isFresh(peer, now, ENGINE_STATE_TIMEOUT)) return undefined;
     const digest = peer.digest.engineStates?.engines
       .find((one) => one.engine === engine);
     if (digest === undefined) return undefined;
     return { owner, address: peer.record.address, digest };
   }
 
-  #there(now: Instant): readonly Peer[] {
+  #presentPeers(now: Instant): readonly KnownPeer[] {
     return [...this.#peers.values()].filter((peer) =>
       peer.digest === undefined
-        ? elapsed(peer.knownSince, now) < SILENCE
-        : isFresh(peer, now, silenceOf(peer))
+        ? elapsed(peer.knownSince, now) < SILENCE_TIMEOUT
+        : isFresh(peer, now, silenceTimeoutOf(peer))
     );
   }
 
@@ -284,7 +285,7 @@
   }
 }
 
-function recordOf(digest: NodeDigest): NodeRecord {
+function toNodeRecord(digest: NodeDigest): NodeRecord {
   return {
     id: nodeId(digest.node),
     incarnation: digest.incarnation,
--- a/packages/node/src/relay/registry_lines.ts
+++ b/packages/node/src/relay/registry_logging.ts
@@ -12,7 +12,7 @@
  * @param entry The entry.
  * @param outcome What came of it.
  */
-export function logStart(
+export function logRestart(
   logger: PartLogger,
   entry: RegistryEntry,
   outcome: EntryOutcome | undefined,
@@ -36,7 +36,7 @@
  * @param entry The entry that says so.
  * @param known What was known of it before.
  */
-export function logServer(
+export function logServerChange(
   logger: PartLogger,
   entry: RegistryEntry,
   known: RegisteredServer | undefined,
--- a/packages/node/src/relay/relay_daemon.ts
+++ b/packages/node/src/relay/relay_daemon.ts
@@ -27,8 +27,8 @@
 import type { RelaySettings } from "./relay_settings.ts";
 import {
   ADDRESS_LIFETIME_SECONDS,
+  nextStopStep,
   type PlannedStop,
-  stopStep,
 } from "./relay_stop.ts";
 import { ServerLoads } from "./server_loads.ts";
 import { ServingNodes } from "./serving_nodes.ts";
@@ -43,15 +43,15 @@
 }
 
 /** Between two looks at claims, lapsed servers and limits. */
-const REFRESH_MILLISECONDS = 250;
+const REFRESH_INTERVAL_MILLISECONDS = 250;
 /** The same at a node that stands by. */
-const STANDBY_REFRESH_MILLISECONDS = 500;
-const STOP_CHECK_MILLISECONDS = 100;
+const STANDBY_REFRESH_INTERVAL_MILLISECONDS = 500;
+const STOP_CHECK_INTERVAL_MILLISECONDS = 100;
 
 /** One node that relays requests by route: all its parts together. */
 export class RelayDaemon {
   readonly #settings: RelaySettings;
-  readonly #edges: RelayEdges;
+  readonly #platform: RelayEdges;
   readonly #clock = new ProcessClock();
   readonly #logger: PartLogger;
   readonly #incarnation = randomUUID();
@@ -84,7 +84,7 @@
     loggers: LoggerFactory,
   ) {
     this.#settings = settings;
-    this.#edges = edges;
+    this.#platform = edges;
     this.#logger = loggers.forPart("daemon");
     this.#lastRequestAt = this.#clock.now();
     this.#loads = new ServerLoads(settings.node.failure_domain);
@@ -104,9 +104,9 @@
       startedAt: clock.now(),
       ownsEngines: () => this.#owners.ownsAny,
       isLeaving: () => this.#presence.isLeaving,
-      woken: () => {
+      onActivated: () => {
         this.#exchange.exchangeSoon();
-        this.#edges.log.hurry();
+        this.#platform.log.hurry();
       },
     });
     knowledge.serving = this.#serving;
@@ -130,8 +130,8 @@
       incarnation: this.#incarnation,
       engines: () => this.#owners.digests,
       serving: this.#serving,
-      exchangePeriod: () => this.#exchange.period,
-      limits: () => this.#parts.limits.told,
+      exchangePeriodMilliseconds: () => this.#exchange.periodMilliseconds,
+      limits: () => this.#parts.limits.ownLimits,
     });
     this.#exchange = new PeerExchange({
       self: this.#presence.record,
@@ -143,7 +143,7 @@
       digest: () => this.#presence.digest,
     });
     this.#peerServer = new PeerServer([this.#exchange.registration]);
-    this.#parts = this.#relayParts(loggers);
+    this.#parts = this.#createRelayParts(loggers);
     this.#front = new FrontServer(this.#parts);
     this.#metrics = new RelayMetrics({
       requestsInProgress: () => this.#front.running,
@@ -154,12 +154,13 @@
       isActive: () => this.#serving.isActive(clock.now()) ? 1 : 0,
       contentsRefused: () =>
         knowledge.suspicions.quarantine.quarantinedContents.size,
-      serversLimited: () => this.#parts.limits.count,
-      work: () => knowledge.work.all,
+      serversLimited: () => this.#parts.limits.limitedRunCount,
+      work: () => knowledge.work.counts,
     });
     this.#operations = new OperationsServer(edges.operations, {
       isReady: () => this.#presence.isReady,
-      addresses: (failureDomain) => this.#presence.addresses(failureDomain),
+      addresses: (failureDomain) =>
+        this.#presence.callerAddresses(failureDomain),
       addressLifetimeSeconds: Math.min(
         ADDRESS_LIFETIME_SECONDS,
         settings.addresses.longest_lifetime_seconds,
@@ -169,7 +170,7 @@
     knowledge.onRecordSkipped = (topic, reason) => {
       this.#metrics.recordSkipped(topic, reason);
     };
-    knowledge.suspicions.onRefused = () => {
+    knowledge.suspicions.onContentsRefused = () => {
       this.#front.endCrashing();
     };
     knowledge.onChange = () => {
@@ -192,14 +193,14 @@
   async start(): Promise<void> {
     const { callers, peers, readiness, addresses, metrics } =
       this.#settings.listen;
-    this.#edges.log.start(this.#knowledge);
-    this.#presence.listening({
+    this.#platform.log.start(this.#knowledge);
+    this.#presence.recordPorts({
       peers: await this.#peerServer.listen(peers),
       callers: await this.#front.listen(callers),
     });
     this.#exchange.start();
-    void announceNode(this.#edges.log, this.#presence);
-    this.#refreshLater();
+    void announceNode(this.#platform.log, this.#presence);
+    this.#scheduleRefresh();
     this.#operationsPort = await this.#operations.listen({
       readiness,
       addresses,
@@ -222,14 +223,14 @@
     this.#exchange.exchange();
     this.#owners.refresh();
     for (;;) {
-      const step = stopStep(this.#clock.now(), {
+      const step = nextStopStep(this.#clock.now(), {
         ...stop,
         running: this.#front.running,
         lastRequestAt: this.#lastRequestAt,
       });
       if (step === "end") break;
       if (step === "close_door") this.#front.stopListening();
-      await sleep(STOP_CHECK_MILLISECONDS);
+      await sleep(STOP_CHECK_INTERVAL_MILLISECONDS);
     }
     this.#logger.info("Stopped.", {
       cut: this.#front.running,
@@ -243,7 +244,7 @@
     this.#exchange.stop();
     this.#owners.stop();
     this.#parts.crashes.stop();
-    this.#edges.log.stop();
+    this.#platform.log.stop();
     this.#front.stopListening();
     await this.#front.cut();
     this.#peerServer.cutConnections();
@@ -252,10 +253,10 @@
     await this.#pools.destroy();
   }
 
-  #relayParts(loggers: LoggerFactory): RelayParts {
+  #createRelayParts(loggers: LoggerFactory): RelayParts {
     return makeRelayParts({
       settings: this.#settings,
-      wire: this.#edges.wire,
+      wire: this.#platform.wire,
       knowledge: this.#knowledge,
       owners: this.#owners,
       presence: this.#presence,
@@ -263,26 +264,26 @@
       channels: this.#channels,
       pools: this.#pools,
       loads: this.#loads,
-      log: this.#edges.log,
-      limitsChanged: () => {
+      log: this.#platform.log,
+      onLimitsChanged: () => {
         this.#exchange.exchangeSoon();
       },
       clock: this.#clock,
       logger: loggers.forPart("callers"),
       record: (route, outcome, took, firstAfter) => {
         this.#lastRequestAt = this.#clock.now();
-        this.#metrics.record(route, outcome, took, firstAfter);
+        this.#metrics.recordRequest(route, outcome, took, firstAfter);
       },
     });
   }
 
-  #refreshLater(): void {
+  #scheduleRefresh(): void {
     const pause = this.#serving.isActive(this.#clock.now())
-      ? REFRESH_MILLISECONDS
-      : STANDBY_REFRESH_MILLISECONDS;
+      ? REFRESH_INTERVAL_MILLISECONDS
+      : STANDBY_REFRESH_INTERVAL_MILLISECONDS;
     this.#refreshTimer = setTimeout(() => {
       this.#refresh();
-      this.#refreshLater();
+      this.#scheduleRefresh();
     }, pause);
   }
 
--- a/packages/node/src/relay/relay_metrics.ts
+++ b/packages/node/src/relay/relay_metrics.ts
@@ -4,7 +4,7 @@
 import type { WorkKind } from "./work_counts.ts";
 
 /** Bounds of latency histograms, in seconds: from a lookup to a long stream. */
-const LATENCY_BOUNDS = [
+const LATENCY_BUCKETS_SECONDS = [
   0.01,
   0.025,
   0.05,
@@ -45,18 +45,18 @@
     labelNames: ["service", "priority", "outcome"],
     registers: [this.#registry],
   });
-  readonly #first = new Histogram({
+  readonly #firstBytesSeconds = new Histogram({
     name: "foxtailwind_first_bytes_seconds",
     help: "From the last send to the first bytes of the answer.",
     labelNames: ["service", "priority"],
-    buckets: LATENCY_BOUNDS,
+    buckets: LATENCY_BUCKETS_SECONDS,
     registers: [this.#registry],
   });
-  readonly #whole = new Histogram({
+  readonly #requestSeconds = new Histogram({
     name: "foxtailwind_request_seconds",
     help: "From a request's arrival to the end of its answer.",
     labelNames: ["service", "priority"],
-    buckets: LATENCY_BOUNDS,
+    buckets: LATENCY_BUCKETS_SECONDS,
     registers: [this.#registry],
   });
 
@@ -69,47 +69,47 @@
 
   /** @param gauges Values that are read when metrics are. */
   constructor(gauges: RelayGauges) {
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_requests_in_progress",
       "Requests in progress.",
       gauges.requestsInProgress,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_configuration_version",
       "The configuration in force.",
       gauges.configurationVersion,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_engines_owned",
       "Engines that this node may order.",
       gauges.enginesOwned,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_nodes_alive",
       "Other nodes heard of lately.",
       gauges.nodesAlive,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_nodes_serving",
       "Nodes that take callers and own engines, this one included.",
       gauges.nodesServing,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_active",
       "Whether this node places requests, and does not stand by.",
       gauges.isActive,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_contents_refused",
       "Contents of requests that are refused since they crash servers.",
       gauges.contentsRefused,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_servers_limited",
       "Servers that name a limit of requests a second.",
       gauges.serversLimited,
     );
-    this.#work(gauges.work);
+    this.#addWorkCounter(gauges.work);
   }
 
   /**
@@ -119,7 +119,7 @@
    * @param took From its arrival to its end.
    * @param firstAfter From the last send to the first bytes, if any came.
    */
-  record(
+  recordRequest(
     route: Route,
     outcome: string,
     took: Duration,
@@ -128,9 +128,12 @@
     const service = route.targets[0]?.service ?? "";
     const priority = String(route.priority);
     this.#requests.inc({ service, priority, outcome });
-    this.#whole.observe({ service, priority }, took / MILLISECONDS_PER_SECOND);
+    this.#requestSeconds.observe(
+      { service, priority },
+      took / MILLISECONDS_PER_SECOND,
+    );
     if (firstAfter === undefined) return;
-    this.#first.observe(
+    this.#firstBytesSeconds.observe(
       { service, priority },
       firstAfter / MILLISECONDS_PER_SECOND,
     );
@@ -153,7 +156,7 @@
     return this.#registry.metrics();
   }
 
-  #work(read: RelayGauges["work"]): void {
+  #addWorkCounter(read: RelayGauges["work"]): void {
     new Counter({
       name: "foxtailwind_work_total",
       help: "What the node does beside relaying requests, by kind.",
@@ -166,7 +169,7 @@
     });
   }
 
-  #gauge(name: string, help: string, read: () => number): void {
+  #addGauge(name: string, help: string, read: () => number): void {
     new Gauge({
       name,
       help,
--- a/packages/node/src/relay/relay_parts.ts
+++ b/packages/node/src/relay/relay_parts.ts
@@ -8,7 +8,7 @@
 import type { PlannedStop } from "./relay_stop.ts";
 import type { RequestLimits } from "./request_limits.ts";
 import type { RequestPlacer } from "./request_placer.ts";
-import type { RetryAllowances } from "./retry_allowances.ts";
+import type { RetryBudgets } from "./retry_budgets.ts";
 import type { ServerLoads } from "./server_loads.ts";
 
 /** What relaying requests works with. */
@@ -17,7 +17,7 @@
   readonly placer: RequestPlacer;
   readonly pools: BackendPools;
   readonly loads: ServerLoads;
-  readonly allowances: RetryAllowances;
+  readonly allowances: RetryBudgets;
   readonly crashes: CrashReports;
   readonly limits: RequestLimits;
   readonly patience: CallerTimeouts;
--- a/packages/node/src/relay/relay_settings.ts
+++ b/packages/node/src/relay/relay_settings.ts
@@ -5,35 +5,35 @@
 import { parseIni } from "../settings/parse_ini.ts";
 import type { SettingsProblem } from "../settings/settings_problem.ts";
 
-const name = z.string().min(1).max(128);
+const nameSchema = z.string().min(1).max(128);
 
-function positive(largest: number) {
-  const allowed = `a number above 0, at most ${largest}`;
-  return z.coerce.number(allowed).positive(allowed).max(largest, allowed);
+function positiveNumber(maximum: number) {
+  const allowed = `a number above 0, at most ${maximum}`;
+  return z.coerce.number(allowed).positive(allowed).max(maximum, allowed);
 }
 
-function share(largest: number) {
-  const allowed = `a number from 0 to ${largest}`;
-  return z.coerce.number(allowed).min(0, allowed).max(largest, allowed);
+function numberUpTo(maximum: number) {
+  const allowed = `a number from 0 to ${maximum}`;
+  return z.coerce.number(allowed).min(0, allowed).max(maximum, allowed);
 }
 
-const LONGEST_MILLISECONDS = 600_000;
-const LONGEST_SECONDS = 3_600;
-const MOST_RETRIES = 1_000_000;
-const MOST_LINES = 100_000;
-const MOST_TRANSFERS = 64;
-const MOST_PROCESSORS = 1_024;
+const MAX_MILLISECONDS = 600_000;
+const MAX_SECONDS = 3_600;
+const MAX_COUNT = 1_000_000;
+const MAX_LINES_PER_SECOND = 100_000;
+const MAX_TRANSFERS = 64;
+const MAX_PROCESSORS = 1_024;
 
 /** The sections of the relay's settings. */
 const relaySettingsSchema = z.strictObject({
   node: z.strictObject({
-    id: name.transform(nodeId),
-    failure_domain: name.transform(failureDomainId),
+    id: nameSchema.transform(nodeId),
+    failure_domain: nameSchema.transform(failureDomainId),
   }),
   /** What the VM can do: a share of a processor, so many times as fast. */
   vm: z.strictObject({
-    processor_share: positive(MOST_PROCESSORS).default(1),
-    processor_speed: positive(MOST_PROCESSORS).default(1),
+    processor_share: positiveNumber(MAX_PROCESSORS).default(1),
+    processor_speed: positiveNumber(MAX_PROCESSORS).default(1),
   }).default({ processor_share: 1, processor_speed: 1 }),
   listen: z.strictObject({
     callers: socketAddressSchema,
@@ -45,29 +45,29 @@
   platform: z.strictObject({ store: socketAddressSchema }),
   /** Bounds on sends beyond the first of a request, over all nodes. */
   retries: z.strictObject({
-    share: share(1),
-    reserve: share(MOST_RETRIES),
-    window_seconds: positive(LONGEST_SECONDS),
+    share: numberUpTo(1),
+    reserve: numberUpTo(MAX_COUNT),
+    window_seconds: positiveNumber(MAX_SECONDS),
   }),
   engines: z.strictObject({
     /** How long orders of two owners must lie apart. */
-    lease_milliseconds: positive(LONGEST_MILLISECONDS),
+    lease_milliseconds: positiveNumber(MAX_MILLISECONDS),
     /** Adapters on their way to one engine at once. */
-    transfers: positive(MOST_TRANSFERS).default(4),
+    transfers: positiveNumber(MAX_TRANSFERS).default(4),
     /** Adapters that an engine keeps in memory beside its slots. */
-    kept_adapters: positive(MOST_RETRIES).default(100),
+    kept_adapters: positiveNumber(MAX_COUNT).default(100),
   }),
   stop: z.strictObject({
     /** From the signal to the end of the process by force. */
-    grace_seconds: positive(LONGEST_SECONDS),
+    grace_seconds: positiveNumber(MAX_SECONDS),
   }),
   addresses: z.strictObject({
-    longest_lifetime_seconds: positive(LONGEST_SECONDS),
+    longest_lifetime_seconds: positiveNumber(MAX_SECONDS),
   }),
   logs: z.strictObject({
     level: z.enum(["error", "warn", "info", "debug"]).default("info"),
     /** Lines written in a second at most; the rest is counted. */
-    lines_a_second: positive(MOST_LINES).default(60),
+    lines_a_second: positiveNumber(MAX_LINES_PER_SECOND).default(60),
   }).default({ level: "info", lines_a_second: 60 }),
 });
 
--- a/packages/node/src/relay/relay_stop.ts
+++ b/packages/node/src/relay/relay_stop.ts
@@ -11,19 +11,19 @@
  * its address for as long as the answer that named it may be used.
  */
 export const ADDRESS_LIFETIME_SECONDS = 2;
-const LEAST_SERVING = milliseconds(2 * ADDRESS_LIFETIME_SECONDS * 1_000);
+const MINIMUM_SERVING_TIME = milliseconds(2 * ADDRESS_LIFETIME_SECONDS * 1_000);
 /** Without a request for so long, a stopping node is no longer in use. */
-const QUIET_TIME = milliseconds(500);
+const IDLE_TIME = milliseconds(500);
 /** Before the end by force, what still runs is left to its end. */
-const LAST_MOMENT = milliseconds(250);
+const FINAL_ANSWER_TIME = milliseconds(250);
 /** So long before the end by force, no new connections are taken. */
-const CLOSING_TIME = milliseconds(2_000);
+const LISTENER_CLOSE_TIME = milliseconds(2_000);
 
 /**
  * So long after its begin, a stopping node takes whatever comes. Callers have
  * got other addresses by then, and whoever still comes can go elsewhere.
  */
-const TAKING_TIME = milliseconds(2_800);
+const UNCONDITIONAL_ACCEPT_TIME = milliseconds(2_800);
 
 /** A stop that was asked for. */
 export interface PlannedStop {
@@ -38,7 +38,7 @@
  * @returns The moment, which leaves time to answer before the end by force.
  */
 export function lastMoment({ begunAt, grace }: PlannedStop): Instant {
-  return later(begunAt, milliseconds(grace - LAST_MOMENT));
+  return later(begunAt, milliseconds(grace - FINAL_ANSWER_TIME));
 }
 
 /**
@@ -46,16 +46,17 @@
  * end in time at their latest.
  * @param now The present time.
  * @param stop The stop.
- * @param longest How long the request may take.
+ * @param maximumDuration How long the request may take.
  * @returns Whether it is taken.
  */
 export function isTakenWhileStopping(
   now: Instant,
   { begunAt, grace }: PlannedStop,
-  longest: Duration,
+  maximumDuration: Duration,
 ): boolean {
   const age = elapsed(begunAt, now);
-  return age <= TAKING_TIME || age + longest <= grace - LAST_MOMENT;
+  return age <= UNCONDITIONAL_ACCEPT_TIME ||
+    age + maximumDuration <= grace - FINAL_ANSWER_TIME;
 }
 
 /** What a stopping node does now. */
@@ -67,7 +68,7 @@
  * @param stop When the stop began, how long it may take, and the work.
  * @returns What to do.
  */
-export function stopStep(
+export function nextStopStep(
   now: Instant,
   stop: PlannedStop & {
     readonly running: number;
@@ -75,10 +76,10 @@
   },
 ): StopStep {
   const age = elapsed(stop.begunAt, now);
-  if (age >= stop.grace - LAST_MOMENT) return "end";
-  const isUnused = stop.running === 0 && age >= LEAST_SERVING &&
-    elapsed(stop.lastRequestAt, now) >= QUIET_TIME;
-  if (isUnused) return "end";
-  if (age < stop.grace - CLOSING_TIME) return "serve";
+  if (age >= stop.grace - FINAL_ANSWER_TIME) return "end";
+  const isIdle = stop.running === 0 && age >= MINIMUM_SERVING_TIME &&
+    elapsed(stop.lastRequestAt, now) >= IDLE_TIME;
+  if (isIdle) return "end";
+  if (age < stop.grace - LISTENER_CLOSE_TIME) return "serve";
   return stop.running === 0 ? "end" : "close_door";
 }
--- a/packages/node/src/relay/request_limits.ts
+++ b/packages/node/src/relay/request_limits.ts
@@ -22,7 +22,7 @@
 import type { Knowledge } from "./knowledge.ts";
 
 /** Between two looks at what the other nodes say. */
-const LOOK_TIME = milliseconds(250);
+const REFRESH_INTERVAL = milliseconds(250);
 
 /** A run of a server, as far as its limit goes. */
 type ServerRun = Pick<RegisteredServer, "id" | "start">;
@@ -43,19 +43,19 @@
   readonly leave: () => void;
 }
 
-interface KnownPace {
+interface ServerPacer {
   readonly server: BackendServerId;
-  readonly pace: RequestPacer;
+  readonly pacer: RequestPacer;
 }
 
 /** Keeps this node's part of the limits that servers name. */
 export class RequestLimits {
   readonly #parts: RequestLimitsParts;
-  readonly #memory = new ServerRateLimits();
-  readonly #paces = new Map<string, KnownPace>();
-  readonly #waiting = new Map<ServiceId, number>();
-  #nodes: readonly NodeId[] = [];
-  #lookedAt: Instant | undefined;
+  readonly #rateLimits = new ServerRateLimits();
+  readonly #pacers = new Map<string, ServerPacer>();
+  readonly #queueLengths = new Map<ServiceId, number>();
+  #servingNodes: readonly NodeId[] = [];
+  #refreshedAt: Instant | undefined;
 
   /** @param parts What it works with. */
   constructor(parts: RequestLimitsParts) {
@@ -63,13 +63,13 @@
   }
 
   /** What this node has seen itself, as other nodes are told. */
-  get told(): readonly ServerLimit[] {
-    return this.#memory.ownLimits.map(writeLimit);
+  get ownLimits(): readonly ServerLimit[] {
+    return this.#rateLimits.ownLimits.map(encodeLimit);
   }
 
   /** How many runs of servers have a limit. */
-  get count(): number {
-    return this.#memory.limitedRuns.size;
+  get limitedRunCount(): number {
+    return this.#rateLimits.limitedRuns.size;
   }
 
   /**
@@ -79,9 +79,9 @@
    * @param limit Requests a second, where it names a limit.
    */
   answered(run: ServerRun, sentAt: Instant, limit: number | undefined): void {
-    if (limit === undefined && this.#memory.isEmpty) return;
+    if (limit === undefined && this.#rateLimits.isEmpty) return;
     const { clock, logger, changed } = this.#parts;
-    const isNews = this.#memory.applyAnswer(
+    const isNews = this.#rateLimits.applyAnswer(
       clock.now(),
       startKey(run.id, run.start),
       { sentAt, limit },
@@ -103,7 +103,7 @@
    */
   wait(run: ServerRun): Duration | undefined {
     const now = this.#parts.clock.now();
-    const limited = this.#limited(now, run);
+    const limited = this.#findLimit(now, run);
     return limited === undefined
       ? milliseconds(0)
       : limited.pace.wait(now, limited.rate);
@@ -127,7 +127,7 @@
   waitBehind(runs: readonly ServerRun[], ahead: number): Duration | undefined {
     const now = this.#parts.clock.now();
     const servers = runs.flatMap((run) => {
-      const limited = this.#limited(now, run);
+      const limited = this.#findLimit(now, run);
       if (limited === undefined) return [];
       const { pace, rate } = limited;
       return [{ wait: pace.wait(now, rate), rate }];
@@ -141,12 +141,15 @@
    * @returns How many wait before it, and what ends its wait.
    */
   queue(service: ServiceId): LimitQueuePlace {
-    const ahead = this.#waiting.get(service) ?? 0;
-    this.#waiting.set(service, ahead + 1);
+    const ahead = this.#queueLengths.get(service) ?? 0;
+    this.#queueLengths.set(service, ahead + 1);
     return {
       ahead,
       leave: () => {
-        this.#waiting.set(service, (this.#waiting.get(service) ?? 1) - 1);
+        this.#queueLengths.set(
+          service,
+          (this.#queueLengths.get(service) ?? 1) - 1,
+        );
       },
     };
   }
@@ -158,7 +161,7 @@
    */
   take(run: ServerRun): boolean {
     const now = this.#parts.clock.now();
-    const limited = this.#limited(now, run);
+    const limited = this.#findLimit(now, run);
     return limited === undefined || limited.pace.tryTake(now, limited.rate);
   }
 
@@ -167,7 +170,7 @@
    * @param run The server.
    */
   giveBack(run: ServerRun): void {
-    this.#paces.get(startKey(run.id, run.start))?.pace.refund();
+    this.#pacers.get(startKey(run.id, run.start))?.pacer.refund();
   }
 
   /**
@@ -176,40 +179,40 @@
    */
   refresh(now: Instant): void {
     const { self, knowledge } = this.#parts;
-    this.#lookedAt = now;
+    this.#refreshedAt = now;
     const peers = knowledge.peers.alive(now);
-    this.#memory.applyPeerLimits(
+    this.#rateLimits.applyPeerLimits(
       now,
-      peers.flatMap(({ limits }) => limits.map(readLimit)),
+      peers.flatMap(({ limits }) => limits.map(decodeLimit)),
     );
     const { serving, registry } = knowledge;
-    const nodes = knowledge.peers.candidates(now).map(({ id }) => id);
-    this.#nodes = [self, ...nodes].filter((id) => serving.has(id));
-    for (const [run, { server }] of this.#paces) {
+    const nodes = knowledge.peers.presentNodes(now).map(({ id }) => id);
+    this.#servingNodes = [self, ...nodes].filter((id) => serving.has(id));
+    for (const [run, { server }] of this.#pacers) {
       const remains = registry.find(server) !== undefined &&
-        this.#memory.limitOf(run) !== undefined;
-      if (!remains) this.#paces.delete(run);
+        this.#rateLimits.limitOf(run) !== undefined;
+      if (!remains) this.#pacers.delete(run);
     }
   }
 
-  #limited(now: Instant, { id, start }: ServerRun) {
-    const isDue = this.#lookedAt === undefined ||
-      elapsed(this.#lookedAt, now) >= LOOK_TIME;
+  #findLimit(now: Instant, { id, start }: ServerRun) {
+    const isDue = this.#refreshedAt === undefined ||
+      elapsed(this.#refreshedAt, now) >= REFRESH_INTERVAL;
     if (isDue) this.refresh(now);
-    if (this.#memory.isEmpty) return undefined;
+    if (this.#rateLimits.isEmpty) return undefined;
     const run = startKey(id, start);
-    const limit = this.#memory.limitOf(run);
+    const limit = this.#rateLimits.limitOf(run);
     if (limit === undefined) return undefined;
-    const known = this.#paces.get(run) ??
-      { server: id, pace: new RequestPacer(now) };
-    this.#paces.set(run, known);
+    const known = this.#pacers.get(run) ??
+      { server: id, pacer: new RequestPacer(now) };
+    this.#pacers.set(run, known);
     const { self } = this.#parts;
-    const rate = shareOfLimit({ run, limit, self, nodes: this.#nodes });
-    return { pace: known.pace, rate };
+    const rate = shareOfLimit({ run, limit, self, nodes: this.#servingNodes });
+    return { pace: known.pacer, rate };
   }
 }
 
-function writeLimit({ run, limit }: ServerRateLimit): ServerLimit {
+function encodeLimit({ run, limit }: ServerRateLimit): ServerLimit {
   const at = run.lastIndexOf("@");
   return {
     server: run.slice(0, at),
@@ -218,7 +221,7 @@
   };
 }
 
-function readLimit(
+function decodeLimit(
   { server, start, requestsPerSecond }: ServerLimit,
 ): ServerRateLimit {
   const run = startKey(
--- a/packages/node/src/relay/retry_allowances.ts
+++ b/packages/node/src/relay/retry_budgets.ts
@@ -6,18 +6,18 @@
 } from "@foxtailwind/core";
 
 /** The allowances of all services for this node's further sends. */
-export class RetryAllowances {
-  readonly #terms: RetryBudgetLimits;
-  readonly #nodes: () => number;
-  readonly #allowances = new Map<ServiceId, NodeRetryBudget>();
+export class RetryBudgets {
+  readonly #limits: RetryBudgetLimits;
+  readonly #countNodes: () => number;
+  readonly #budgets = new Map<ServiceId, NodeRetryBudget>();
 
   /**
    * @param terms The bound for all nodes together.
    * @param nodes Counts the nodes that share it.
    */
   constructor(terms: RetryBudgetLimits, nodes: () => number) {
-    this.#terms = terms;
-    this.#nodes = nodes;
+    this.#limits = terms;
+    this.#countNodes = nodes;
   }
 
   /**
@@ -26,7 +26,7 @@
    * @param service The service that it is for.
    */
   earn(now: Instant, service: ServiceId): void {
-    this.#of(service).recordRequest(now);
+    this.#budgetOf(service).recordRequest(now);
   }
 
   /**
@@ -36,14 +36,17 @@
    * @returns Whether the send is allowed.
    */
   take(now: Instant, service: ServiceId): boolean {
-    return this.#of(service).tryTake(now, Math.max(1, this.#nodes()));
+    return this.#budgetOf(service).tryTake(
+      now,
+      Math.max(1, this.#countNodes()),
+    );
   }
 
-  #of(service: ServiceId): NodeRetryBudget {
-    const known = this.#allowances.get(service);
+  #budgetOf(service: ServiceId): NodeRetryBudget {
+    const known = this.#budgets.get(service);
     if (known !== undefined) return known;
-    const allowance = new NodeRetryBudget(this.#terms);
-    this.#allowances.set(service, allowance);
-    return allowance;
+    const budget = new NodeRetryBudget(this.#limits);
+    this.#budgets.set(service, budget);
+    return budget;
   }
 }
--- a/packages/node/src/relay/server_loads.ts
+++ b/packages/node/src/relay/server_loads.ts
@@ -9,7 +9,7 @@
   type ServerStart,
 } from "@foxtailwind/core";
 
-interface SeenServer {
+interface TrackedServer {
   /** Told later where it was unknown at first. */
   start: ServerStart | undefined;
   readonly load: ServerLoad;
@@ -17,7 +17,7 @@
 
 /** What this node has seen of each backend server, since it started. */
 export class ServerLoads {
-  readonly #loads = new Map<BackendServerId, SeenServer>();
+  readonly #loads = new Map<BackendServerId, TrackedServer>();
   readonly #failureDomain: FailureDomainId;
 
   /** @param failureDomain Where this node stands. */
@@ -46,20 +46,20 @@
    * Chooses a server for a request that any server of its service can run.
    * @param now The present time.
    * @param servers The servers.
-   * @param draw A number from 0 up to, and without, 1.
+   * @param random A number from 0 up to, and without, 1.
    * @returns The server, or nothing where there is none.
    */
   choose(
     now: Instant,
     servers: readonly RegisteredServer[],
-    draw: number,
+    random: number,
   ): RegisteredServer | undefined {
     const loaded = servers.map((server) => ({
       server,
       load: this.of(server),
       isNear: server.failureDomain === this.#failureDomain,
     }));
-    return chooseServer(now, loaded, draw);
+    return chooseServer(now, loaded, random);
   }
 
   /**
--- a/packages/node/src/relay/servers_by_service.ts
+++ b/packages/node/src/relay/servers_by_service.ts
@@ -20,12 +20,12 @@
    * @param service The service.
    * @returns The servers, leaving ones included.
    */
-  of(service: ServiceId): readonly RegisteredServer[] {
-    if (this.#revision !== this.#registry.revision) this.#group();
+  serversOf(service: ServiceId): readonly RegisteredServer[] {
+    if (this.#revision !== this.#registry.revision) this.#regroup();
     return this.#groups.get(service) ?? [];
   }
 
-  #group(): void {
+  #regroup(): void {
     const groups = new Map<ServiceId, RegisteredServer[]>();
     for (const server of this.#registry.all) {
       const group = groups.get(server.service) ?? [];
--- a/packages/node/src/relay/serving_nodes.ts
+++ b/packages/node/src/relay/serving_nodes.ts
@@ -7,11 +7,11 @@
   ownerCandidates,
   ServingSet,
 } from "@foxtailwind/core";
-import { capacityOf, NodeLoad, toldCapacity } from "./node_load.ts";
-import type { PeerBook } from "./peer_book.ts";
+import { decodeCapacity, encodeCapacity, NodeLoad } from "./node_load.ts";
+import type { PeerTable } from "./peer_table.ts";
 
 /** A node that was asked by a caller places requests for so long after it. */
-const ACTIVE_TIME = milliseconds(10_000);
+const ACTIVE_TIME_AFTER_REQUEST = milliseconds(10_000);
 
 /** What the choice of serving nodes works with. */
 export interface ServingNodesParts {
@@ -19,13 +19,13 @@
   readonly failureDomain: FailureDomainId;
   /** What this node's VM can do, in processors. */
   readonly processors: number;
-  readonly peers: PeerBook;
+  readonly peers: PeerTable;
   /** Whether this node owns engines. */
   readonly ownsEngines: () => boolean;
   /** Whether this node is stopping. */
   readonly isLeaving: () => boolean;
   /** Called where this node begins to place requests. */
-  readonly woken: () => void;
+  readonly onActivated: () => void;
   /** The time of the node's start. */
   readonly startedAt: Instant;
 }
@@ -33,28 +33,28 @@
 /** Which nodes serve, as this one works it out, and whether it is one. */
 export class ServingNodes {
   readonly #parts: ServingNodesParts;
-  readonly #set = new ServingSet();
+  readonly #servingSet = new ServingSet();
   readonly #load: NodeLoad;
   #serving: ReadonlySet<NodeId>;
-  #owning: ReadonlySet<NodeId>;
-  #askedAt: Instant | undefined;
+  #ownerCandidates: ReadonlySet<NodeId>;
+  #lastRequestAt: Instant | undefined;
 
   /** @param parts What it works with. */
   constructor(parts: ServingNodesParts) {
     this.#parts = parts;
     this.#load = new NodeLoad(parts.startedAt);
     this.#serving = new Set([parts.self]);
-    this.#owning = this.#serving;
+    this.#ownerCandidates = this.#serving;
   }
 
   /** What this node's VM can do, as other nodes are told. */
   get capacity(): number {
-    return toldCapacity(this.#parts.processors);
+    return encodeCapacity(this.#parts.processors);
   }
 
   /** The share of it that is in use, as other nodes are told. */
   get load(): number {
-    return this.#load.told;
+    return this.#load.encoded;
   }
 
   /** How many nodes serve. */
@@ -77,7 +77,7 @@
    * @returns Whether it does.
    */
   takesEngines(node: NodeId): boolean {
-    return this.#owning.has(node);
+    return this.#ownerCandidates.has(node);
   }
 
   /**
@@ -88,8 +88,8 @@
    */
   isActive(now: Instant): boolean {
     return this.has(this.#parts.self) || this.#parts.ownsEngines() ||
-      (this.#askedAt !== undefined &&
-        elapsed(this.#askedAt, now) < ACTIVE_TIME);
+      (this.#lastRequestAt !== undefined &&
+        elapsed(this.#lastRequestAt, now) < ACTIVE_TIME_AFTER_REQUEST);
   }
 
   /**
@@ -97,10 +97,10 @@
    * @param now The present time.
    * @returns Whether the node stood by until then.
    */
-  asked(now: Instant): boolean {
+  recordRequest(now: Instant): boolean {
     const wasActive = this.isActive(now);
-    this.#askedAt = now;
-    if (!wasActive) this.#parts.woken();
+    this.#lastRequestAt = now;
+    if (!wasActive) this.#parts.onActivated();
     return !wasActive;
   }
 
@@ -110,18 +110,18 @@
    */
   refresh(now: Instant): void {
     const { self, failureDomain, processors, peers } = this.#parts;
-    this.#load.sample(now, this.#askedAt !== undefined);
+    this.#load.sample(now, this.#lastRequestAt !== undefined);
     const others = peers.servingCandidates(now);
     const own = {
       id: self,
       failureDomain,
-      capacity: capacityOf(toldCapacity(processors)),
+      capacity: decodeCapacity(encodeCapacity(processors)),
       load: this.#load.share,
     };
     const wasActive = this.isActive(now);
     const candidates = this.#parts.isLeaving() ? others : [own, ...others];
-    this.#serving = this.#set.choose(now, candidates);
-    this.#owning = new Set(ownerCandidates(candidates));
-    if (!wasActive && this.isActive(now)) this.#parts.woken();
+    this.#serving = this.#servingSet.choose(now, candidates);
+    this.#ownerCandidates = new Set(ownerCandidates(candidates));
+    if (!wasActive && this.isActive(now)) this.#parts.onActivated();
   }
 }
--- a/packages/node/src/relay/start_message.ts
+++ b/packages/node/src/relay/start_message.ts
@@ -1,7 +1,7 @@
 import { type ServerStart, serverStart } from "@foxtailwind/core";
 
 /** Stands for an unknown start in messages between nodes. */
-const UNKNOWN = 0;
+const UNKNOWN_START = 0;
 
 /**
  * Writes a start for a peer.
@@ -9,7 +9,7 @@
  * @returns Unix milliseconds; 0 where unknown.
  */
 export function writeStart(start: ServerStart | undefined): number {
-  return start ?? UNKNOWN;
+  return start ?? UNKNOWN_START;
 }
 
 /**
@@ -18,5 +18,5 @@
  * @returns The start, if known.
  */
 export function readStart(value: number): ServerStart | undefined {
-  return value === UNKNOWN ? undefined : serverStart(value);
+  return value === UNKNOWN_START ? undefined : serverStart(value);
 }
--- a/packages/node/src/relay/numbered_state.ts
+++ b/packages/node/src/relay/state_sequence.ts
@@ -1,8 +1,8 @@
 import type { Instant } from "@foxtailwind/core";
 
 /** Numbers the states of something by the times at which they were first seen. */
-export class NumberedState {
-  #number = 0;
+export class StateSequence {
+  #sequence = 0;
   #bytes: Uint8Array | undefined;
 
   /**
@@ -12,13 +12,13 @@
    * @returns The number of the state before where it is the same, else one that
    * is higher; never 0.
    */
-  number(now: Instant, bytes: Uint8Array): number {
+  numberOf(now: Instant, bytes: Uint8Array): number {
     const isSame = this.#bytes !== undefined &&
       Buffer.compare(this.#bytes, bytes) === 0;
     if (!isSame) {
       this.#bytes = bytes;
-      this.#number = Math.max(Math.floor(now), this.#number + 1);
+      this.#sequence = Math.max(Math.floor(now), this.#sequence + 1);
     }
-    return this.#number;
+    return this.#sequence;
   }
 }
--- a/packages/node/src/relay/suspicion_news.ts
+++ b/packages/node/src/relay/suspicion_tracker.ts
@@ -12,25 +12,25 @@
 import type { SuspicionChange } from "./shared_log.ts";
 
 /** What news of suspicions are taken with. */
-export interface SuspicionNewsParts {
+export interface SuspicionTrackerParts {
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
 }
 
 /** Takes what the log says of requests that crash servers. */
-export class SuspicionNews {
+export class SuspicionTracker {
   readonly quarantine = new RequestQuarantine();
-  readonly #parts: SuspicionNewsParts;
-  #refused: ReadonlySet<ContentDigest> = new Set();
+  readonly #parts: SuspicionTrackerParts;
+  #refusedContents: ReadonlySet<ContentDigest> = new Set();
   /** Called with suspicions of servers that were seen to live. */
   onServersLive: (dropped: readonly SuspicionKey[]) => void = () => undefined;
   /** Called once further requests are refused. */
-  onRefused: () => void = () => undefined;
+  onContentsRefused: () => void = () => undefined;
   /** Gives the suspicions of this node that the log may not have yet. */
   unwritten: () => readonly SuspicionKey[] = () => [];
 
   /** @param parts What they are taken with. */
-  constructor(parts: SuspicionNewsParts) {
+  constructor(parts: SuspicionTrackerParts) {
     this.#parts = parts;
   }
 
@@ -38,7 +38,7 @@
    * Takes a change of the log.
    * @param change The change.
    */
-  changed(change: SuspicionChange): void {
+  applyChange(change: SuspicionChange): void {
     if (change.kind === "dropped") this.quarantine.dropSuspicion(change.key);
     else {this.quarantine.addSuspicion(
         this.#parts.clock.now(),
@@ -50,23 +50,25 @@
    * Takes all that the log holds.
    * @param suspicions The suspicions.
    */
-  listed(suspicions: readonly CrashSuspicion[]): void {
+  applyListing(suspicions: readonly CrashSuspicion[]): void {
     this.quarantine.retainOnly([...suspicions, ...this.unwritten()]);
     for (const suspicion of suspicions) {
-      this.changed({ kind: "added", suspicion });
+      this.applyChange({ kind: "added", suspicion });
     }
   }
 
   /** Tells of the contents that are refused since it was last called. */
-  noteRefused(): void {
+  reportRefused(): void {
     const { quarantinedContents: contents } = this.quarantine;
-    if (contents === this.#refused) return;
-    const added = [...contents].filter((one) => !this.#refused.has(one));
-    this.#refused = contents;
+    if (contents === this.#refusedContents) return;
+    const added = [...contents].filter((one) =>
+      !this.#refusedContents.has(one)
+    );
+    this.#refusedContents = contents;
     for (const content of added) {
       this.#parts.logger.warn(RELAY_SENTENCE.quarantined, { content });
     }
-    if (added.length > 0) this.onRefused();
+    if (added.length > 0) this.onContentsRefused();
   }
 
   /**
@@ -74,7 +76,7 @@
    * @param registry What was known before the entry.
    * @param entry The entry.
    */
-  noteLife(registry: ServerRegistry, entry: RegistryEntry): void {
+  recordServerEntry(registry: ServerRegistry, entry: RegistryEntry): void {
     if (entry.kind === "gone" || this.quarantine.isEmpty) return;
     const { id, start } = entry.server;
     const known = registry.newestOffset(id);
--- a/packages/node/src/relay/work_counts.ts
+++ b/packages/node/src/relay/work_counts.ts
@@ -23,7 +23,7 @@
   readonly #counts = new Map<WorkKind, number>();
 
   /** All kinds that were counted, with their counts. */
-  get all(): ReadonlyMap<WorkKind, number> {
+  get counts(): ReadonlyMap<WorkKind, number> {
     return this.#counts;
   }
 
--- a/packages/node/tests/relay/exchange_partner_test.ts
+++ b/packages/node/tests/relay/exchange_partner_test.ts
@@ -7,39 +7,39 @@
 import {
   answerExchange,
   ExchangePartner,
-  PeerBook,
+  PeerTable,
 } from "@foxtailwind/node/relay";
 import test from "ava";
 import { nodeDigest } from "./helpers/node_digest.ts";
 
 const ASKER = nodeId("asker");
 const EVERYTHING = { wantsOthers: true, wantsEngines: true };
-const ITSELF_ONLY = { wantsOthers: false, wantsEngines: true };
+const HUB_ONLY = { wantsOthers: false, wantsEngines: true };
 const NODES_ONLY = { wantsOthers: true, wantsEngines: false };
 
-function engines(sequence: number) {
+function engineStates(sequence: number) {
   return { engines: [], sequence };
 }
 
 /** A node that asks, and a hub that has heard many others. */
 function setUp(others: number) {
-  const asker = { book: new PeerBook(), own: nodeDigest("asker") };
-  const hub = { book: new PeerBook(), own: nodeDigest("hub") };
+  const asker = { book: new PeerTable(), own: nodeDigest("asker") };
+  const hub = { book: new PeerTable(), own: nodeDigest("hub") };
   for (let node = 0; node < others; node += 1) {
     hub.book.heard(instant(0), nodeDigest(`n${node}`, { sequence: 1 }));
   }
   const partner = new ExchangePartner(ASKER, asker.book);
   const exchange = (
     now: number,
-    wishes = EVERYTHING,
+    scope = EVERYTHING,
     own: NodeDigest = asker.own,
   ) => {
     const at = instant(now);
-    const question = partner.question(own, wishes);
+    const question = partner.nextQuestion(own, scope);
     if (question.own !== undefined) hub.book.heard(at, question.own);
     const answer = answerExchange(at, hub.book, hub.own, question);
-    const isNews = partner.answered(at, answer, wishes);
-    return { question, answer, isNews };
+    const isStatusChange = partner.applyAnswer(at, answer, scope);
+    return { question, answer, isNews: isStatusChange };
   };
   return { asker, hub, exchange };
 }
@@ -80,7 +80,7 @@
       instant(0),
       hub.book,
       hub.own,
-      lost.question(asker.own, EVERYTHING),
+      lost.nextQuestion(asker.own, EVERYTHING),
     );
   t.is(ask().news.length, 3);
   t.is(ask().news.length, 3);
@@ -88,14 +88,14 @@
 
 test("a hub that has started again tells all, and is told all", (t) => {
   const { asker, hub, exchange } = setUp(5);
-  asker.own = nodeDigest("asker", { engineStates: engines(7) });
+  asker.own = nodeDigest("asker", { engineStates: engineStates(7) });
   exchange(0, EVERYTHING, asker.own);
   t.is(
     exchange(300, EVERYTHING, asker.own).question.own?.engineStates,
     undefined,
   );
   hub.own = nodeDigest("hub", { incarnation: "run-2" });
-  hub.book = new PeerBook();
+  hub.book = new PeerTable();
   hub.book.heard(instant(400), nodeDigest("n9", { sequence: 1 }));
   const { answer } = exchange(600, EVERYTHING, asker.own);
   t.deepEqual(answer.news.map(({ digest }) => digest?.node), ["n9", "asker"]);
@@ -105,16 +105,19 @@
 
 test("a node that begins to place requests hears of all engines", (t) => {
   const { asker, hub, exchange } = setUp(0);
-  hub.book.heard(instant(0), nodeDigest("n1", { engineStates: engines(3) }));
+  hub.book.heard(
+    instant(0),
+    nodeDigest("n1", { engineStates: engineStates(3) }),
+  );
   exchange(0, NODES_ONLY);
-  t.is(asker.book.enginesKnown(nodeId("n1"), "run-1"), 0);
+  t.is(asker.book.knownEngineSequence(nodeId("n1"), "run-1"), 0);
   exchange(300, EVERYTHING);
-  t.is(asker.book.enginesKnown(nodeId("n1"), "run-1"), 3);
+  t.is(asker.book.knownEngineSequence(nodeId("n1"), "run-1"), 3);
 });
 
 test("a node that asked for a hub's own news alone hears of all others later", (t) => {
   const { asker, exchange } = setUp(20);
-  t.is(exchange(0, ITSELF_ONLY).answer.news.length, 0);
+  t.is(exchange(0, HUB_ONLY).answer.news.length, 0);
   t.is(asker.book.alive(instant(0)).length, 1);
   t.is(exchange(300).answer.news.length, 21, "With the asker itself.");
   t.is(asker.book.alive(instant(300)).length, 21);
--- a/packages/node/tests/relay/helpers/relay_world.ts
+++ b/packages/node/tests/relay/helpers/relay_world.ts
@@ -25,7 +25,7 @@
   type RelayParts,
   RequestLimits,
   RequestPlacer,
-  RetryAllowances,
+  RetryBudgets,
   ServerLoads,
 } from "@foxtailwind/node/relay";
 import type { ExecutionContext } from "ava";
@@ -107,7 +107,7 @@
       asked: () => undefined,
       patience: new CallerTimeouts(),
       plannedStop: () => this.stop,
-      allowances: new RetryAllowances({
+      allowances: new RetryBudgets({
         retriesPerRequest: 0.2,
         reserve: 58,
         window: seconds(10),
--- a/packages/node/tests/relay/knowledge_message_test.ts
+++ b/packages/node/tests/relay/knowledge_message_test.ts
@@ -23,7 +23,7 @@
 import { relaySettings } from "./helpers/relay_settings.ts";
 
 /** A node that knows nothing yet. */
-const ASKER = { configurationVersion: 0, registryEnd: 0 };
+const EMPTY_REQUEST = { configurationVersion: 0, registryEnd: 0 };
 
 function knowledge(): Knowledge {
   return relayBase({ part: "configuration" }).knowledge;
@@ -44,7 +44,7 @@
 }
 
 /** The entry of an engine that is there. */
-function present(id: string, offset: number): RegistryEntry {
+function presentEntry(id: string, offset: number): RegistryEntry {
   return {
     kind: "present",
     offset: logOffset(offset),
@@ -69,9 +69,9 @@
   const peer = knowledge();
   peer.configuration(configuration(7));
   peer.adapterVersion(modelId("m"), adapterId("a1"), 3);
-  peer.registryEntry(present("i-1", 4));
+  peer.registryEntry(presentEntry("i-1", 4));
   const node = knowledge();
-  readKnowledge(node, writeKnowledge(peer, ASKER));
+  readKnowledge(node, writeKnowledge(peer, EMPTY_REQUEST));
   t.is(node.routes?.configuration.version, 7);
   t.is(node.versions.newest(modelId("m"), adapterId("a1")), 3);
   t.deepEqual(node.registry.all, peer.registry.all);
@@ -83,10 +83,11 @@
   peer.configuration(configuration(7));
   const node = knowledge();
   node.configuration(configuration(9));
-  readKnowledge(node, writeKnowledge(peer, ASKER));
+  readKnowledge(node, writeKnowledge(peer, EMPTY_REQUEST));
   t.is(node.routes?.configuration.version, 9);
   t.is(
-    writeKnowledge(peer, { ...ASKER, configurationVersion: 9 }).configuration,
+    writeKnowledge(peer, { ...EMPTY_REQUEST, configurationVersion: 9 })
+      .configuration,
     "",
   );
 });
@@ -151,8 +152,11 @@
   const peer = knowledge();
   const { registry } = peer;
   registry.advanceChangedAt(logOffset(7));
-  t.is(writeKnowledge(peer, { ...ASKER, registryEnd: 7 }).registry, "");
-  t.is(writeKnowledge(peer, { ...ASKER, registryEnd: 6 }).registry, "[]");
+  t.is(writeKnowledge(peer, { ...EMPTY_REQUEST, registryEnd: 7 }).registry, "");
+  t.is(
+    writeKnowledge(peer, { ...EMPTY_REQUEST, registryEnd: 6 }).registry,
+    "[]",
+  );
 });
 
 /**
@@ -165,7 +169,7 @@
 test("a departure that a peer has seen is not doubted by a node whose own calls fail", (t) => {
   const peer = knowledge();
   const node = knowledge();
-  for (const one of [peer, node]) one.registryEntry(present("i-1", 4));
+  for (const one of [peer, node]) one.registryEntry(presentEntry("i-1", 4));
   node.failed({
     reason: "unavailable",
     step: "read_log",
@@ -176,7 +180,7 @@
   const id = backendServerId("i-1");
   peer.registryEntry({ kind: "gone", offset: logOffset(9), id });
   t.deepEqual(peer.registry.all, []);
-  readKnowledge(node, writeKnowledge(peer, ASKER));
+  readKnowledge(node, writeKnowledge(peer, EMPTY_REQUEST));
   t.deepEqual(node.registry.all, []);
 });
 
--- a/packages/node/tests/relay/node_presence_test.ts
+++ b/packages/node/tests/relay/node_presence_test.ts
@@ -23,7 +23,7 @@
     peers: knowledge.peers,
     ownsEngines: () => false,
     isLeaving: () => false,
-    woken: () => undefined,
+    onActivated: () => undefined,
     startedAt: clock.now(),
   });
   const presence = new NodePresence({
@@ -31,10 +31,10 @@
     knowledge,
     serving,
     engines: () => [],
-    exchangePeriod: () => 300,
+    exchangePeriodMilliseconds: () => 300,
     limits: () => [],
   });
-  presence.listening({ peers: 1, callers: 2 });
+  presence.recordPorts({ peers: 1, callers: 2 });
   configure(knowledge);
   return { clock, knowledge, serving, presence };
 }
@@ -77,10 +77,10 @@
       }),
     );
   }
-  t.is(presence.addresses("d1").length, 20, "All, before it has looked.");
+  t.is(presence.callerAddresses("d1").length, 20, "All, before it has looked.");
   serving.refresh(now);
-  t.deepEqual(presence.addresses("d1"), ["n1", "n4", "n7"]);
-  const others = presence.addresses("elsewhere");
+  t.deepEqual(presence.callerAddresses("d1"), ["n1", "n4", "n7"]);
+  const others = presence.callerAddresses("elsewhere");
   t.true(others.length >= 9);
   for (const node of ["n0", "n4", "n8"]) t.true(others.includes(node));
 });
--- a/packages/node/tests/relay/peer_book_test.ts
+++ b/packages/node/tests/relay/peer_table_test.ts
@@ -4,13 +4,13 @@
   milliseconds,
   nodeId,
 } from "@foxtailwind/core";
-import { PeerBook } from "@foxtailwind/node/relay";
+import { PeerTable } from "@foxtailwind/node/relay";
 import { NodeDigest } from "@foxtailwind/protocol";
 import test from "ava";
 import { nodeDigest } from "./helpers/node_digest.ts";
 
 test("a silent node is no longer there, but is still contacted", (t) => {
-  const peers = new PeerBook();
+  const peers = new PeerTable();
   peers.heard(instant(0), nodeDigest("n1"));
   t.is(peers.alive(instant(1_000)).length, 1);
   t.is(peers.alive(instant(1_600)).length, 0);
@@ -19,7 +19,7 @@
 });
 
 test("a node that said that it stops counts as stopped until it is heard again", (t) => {
-  const peers = new PeerBook();
+  const peers = new PeerTable();
   peers.heard(instant(0), nodeDigest("n1", { isLeaving: true }));
   t.true(peers.left(instant(5_000)).has(nodeId("n1")));
   peers.heard(instant(6_000), nodeDigest("n1", { incarnation: "run-2" }));
@@ -27,7 +27,7 @@
 });
 
 test("what an owner says of an engine counts for a moment only", (t) => {
-  const peers = new PeerBook();
+  const peers = new PeerTable();
   const engine = {
     engine: "e1",
     start: 0,
@@ -50,7 +50,7 @@
 });
 
 test("of digests that come by several ways, the newest one counts", (t) => {
-  const peers = new PeerBook();
+  const peers = new PeerTable();
   const later = nodeDigest("n1", { sequence: 7, isReady: false });
   peers.heard(instant(1_000), later);
   const passedOn = { age: milliseconds(100), isRelayed: true };
@@ -66,11 +66,11 @@
   t.is(peers.alive(instant(1_200))[0]?.incarnation, "run-1");
 });
 
-const ENGINES = (sequence: number) => ({ engines: [], sequence });
+const engineStates = (sequence: number) => ({ engines: [], sequence });
 
 /** What a book tells beyond a count of changes: nodes, and whose engines. */
-function news(peers: PeerBook, cursor: number, wantsEngines = true) {
-  return peers.newsSince(instant(250), { cursor, wantsEngines })
+function newsSince(peers: PeerTable, cursor: number, wantsEngines = true) {
+  return peers.newsFor(instant(250), { cursor, wantsEngines })
     .map(({ digest }) => [
       digest?.node,
       digest?.engineStates?.sequence,
@@ -78,67 +78,77 @@
 }
 
 test("another node is told of what it lacks alone, and how old all is", (t) => {
-  const peers = new PeerBook();
+  const peers = new PeerTable();
   peers.heard(instant(0), nodeDigest("n1", { sequence: 1 }));
   const { cursor } = peers;
   peers.heard(instant(50), nodeDigest("n2", { sequence: 5 }));
   peers.heard(instant(100), nodeDigest("n1", { sequence: 1 }));
-  t.deepEqual(news(peers, 0), [["n1", undefined], ["n2", undefined]]);
-  t.deepEqual(news(peers, cursor), [["n2", undefined]]);
-  t.deepEqual(news(peers, peers.cursor), []);
+  t.deepEqual(newsSince(peers, 0), [["n1", undefined], ["n2", undefined]]);
+  t.deepEqual(newsSince(peers, cursor), [["n2", undefined]]);
+  t.deepEqual(newsSince(peers, peers.cursor), []);
   t.deepEqual(peers.ages(instant(250)), [16, 21]);
   t.deepEqual(peers.ages(instant(70_000)), [0, 0]);
 });
 
 test("who places no requests is told of no engines, nor of their changes", (t) => {
-  const peers = new PeerBook();
-  const digest = nodeDigest("n1", { sequence: 1, engineStates: ENGINES(1) });
+  const peers = new PeerTable();
+  const digest = nodeDigest("n1", {
+    sequence: 1,
+    engineStates: engineStates(1),
+  });
   peers.heard(instant(0), digest);
-  t.deepEqual(news(peers, 0, false), [["n1", undefined]]);
-  t.deepEqual(news(peers, 0), [["n1", 1]]);
+  t.deepEqual(newsSince(peers, 0, false), [["n1", undefined]]);
+  t.deepEqual(newsSince(peers, 0), [["n1", 1]]);
   const { cursor } = peers;
-  peers.heard(instant(50), { ...digest, engineStates: ENGINES(2) });
-  t.deepEqual(news(peers, cursor, false), []);
-  t.deepEqual(news(peers, cursor), [["n1", 2]]);
+  peers.heard(instant(50), { ...digest, engineStates: engineStates(2) });
+  t.deepEqual(newsSince(peers, cursor, false), []);
+  t.deepEqual(newsSince(peers, cursor), [["n1", 2]]);
 });
 
 test("engines that are left out stay known through one run of their node", (t) => {
-  const peers = new PeerBook();
-  const digest = nodeDigest("n1", { sequence: 1, engineStates: ENGINES(4) });
+  const peers = new PeerTable();
+  const digest = nodeDigest("n1", {
+    sequence: 1,
+    engineStates: engineStates(4),
+  });
   peers.heard(instant(0), digest);
   peers.heard(instant(50), {
     ...digest,
     sequence: 2,
     engineStates: undefined,
   });
-  t.is(peers.enginesKnown(nodeId("n1"), "run-1"), 4);
+  t.is(peers.knownEngineSequence(nodeId("n1"), "run-1"), 4);
   peers.heard(instant(100), nodeDigest("n1", { incarnation: "run-2" }));
-  t.is(peers.enginesKnown(nodeId("n1"), "run-2"), 0);
+  t.is(peers.knownEngineSequence(nodeId("n1"), "run-2"), 0);
 });
 
 test("a node that others hear is there, in the run that they hear", (t) => {
-  const peers = new PeerBook();
+  const peers = new PeerTable();
   peers.heard(instant(0), nodeDigest("n1"));
   const age = milliseconds(100);
-  t.true(peers.heardOf(instant(9_000), nodeId("n1"), "run-1", age));
+  t.true(
+    peers.recordRelayedContact(instant(9_000), nodeId("n1"), "run-1", age),
+  );
   t.is(peers.alive(instant(9_000)).length, 1);
   t.false(
-    peers.heardOf(instant(9_100), nodeId("n1"), "run-1", age),
+    peers.recordRelayedContact(instant(9_100), nodeId("n1"), "run-1", age),
     "No news.",
   );
-  t.false(peers.heardOf(instant(20_000), nodeId("n1"), "run-0", age));
+  t.false(
+    peers.recordRelayedContact(instant(20_000), nodeId("n1"), "run-0", age),
+  );
   t.is(peers.alive(instant(20_000)).length, 0);
 });
 
 test("a node that exchanges rarely is given its time before it counts as gone", (t) => {
-  const peers = new PeerBook();
+  const peers = new PeerTable();
   peers.heard(instant(0), nodeDigest("n1", { periodMilliseconds: 1_000 }));
   t.is(peers.alive(instant(2_400)).length, 1);
   t.is(peers.alive(instant(2_600)).length, 0);
 });
 
 test("what is passed on may be older before its node counts as gone", (t) => {
-  const peers = new PeerBook();
+  const peers = new PeerTable();
   const terms = { age: milliseconds(500), isRelayed: true };
   peers.heard(instant(500), nodeDigest("n1"), terms);
   t.is(peers.alive(instant(3_200)).length, 1);
@@ -146,7 +156,7 @@
 });
 
 test("digests of a node that has run for months are still numbered upwards", (t) => {
-  const peers = new PeerBook();
+  const peers = new PeerTable();
   const halfAYear = 180 * 24 * 3_600 * 1_000;
   for (const sequence of [halfAYear, halfAYear + 300]) {
     const sent = NodeDigest.decode(
--- a/packages/node/tests/relay/relay_metrics_test.ts
+++ b/packages/node/tests/relay/relay_metrics_test.ts
@@ -14,7 +14,7 @@
 
 test("records that were left out are counted by topic and reason", async (t) => {
   const work = new WorkCounts();
-  const metrics = new RelayMetrics({ ...GAUGES, work: () => work.all });
+  const metrics = new RelayMetrics({ ...GAUGES, work: () => work.counts });
   metrics.recordSkipped("servers", "json");
   metrics.recordSkipped("servers", "json");
   metrics.recordSkipped("nodes", "fields");
@@ -28,7 +28,7 @@
 
 test("what a node does beside relaying is told by kind, each time anew", async (t) => {
   const work = new WorkCounts();
-  const metrics = new RelayMetrics({ ...GAUGES, work: () => work.all });
+  const metrics = new RelayMetrics({ ...GAUGES, work: () => work.counts });
   const lines = async () =>
     (await metrics.text()).split("\n")
       .filter((line) => line.startsWith("foxtailwind_work_total"));
--- a/packages/node/tests/relay/relay_stop_test.ts
+++ b/packages/node/tests/relay/relay_stop_test.ts
@@ -1,9 +1,9 @@
 import { instant, milliseconds, seconds } from "@foxtailwind/core";
-import { isTakenWhileStopping, stopStep } from "@foxtailwind/node/relay";
+import { isTakenWhileStopping, nextStopStep } from "@foxtailwind/node/relay";
 import test from "ava";
 
 function step(now: number, running: number, lastRequestAt = 0): string {
-  return stopStep(instant(now), {
+  return nextStopStep(instant(now), {
     begunAt: instant(0),
     grace: seconds(8),
     running,
--- a/packages/node/tests/relay/stalled_node_test.ts
+++ b/packages/node/tests/relay/stalled_node_test.ts
@@ -12,7 +12,7 @@
   "HTTP/1.1 200 OK\r\nx-id: r1\r\nx-seal: s\r\ncontent-length: 4\r\n\r\nwell";
 
 /** Keeps the process from doing anything else, as a busy VM does. */
-function standStill(milliseconds: number): void {
+function blockEventLoop(milliseconds: number): void {
   const until = performance.now() + milliseconds;
   while (performance.now() < until);
 }
@@ -21,7 +21,7 @@
 async function answerBeforeStall(
   t: ExecutionContext,
   world: RelayWorld,
-  stall: number,
+  stallMilliseconds: number,
 ): Promise<Socket[]> {
   const connections: Socket[] = [];
   const server = createServer((socket) => {
@@ -29,7 +29,7 @@
     socket.on("error", () => undefined);
     socket.once("data", () => {
       socket.write(ANSWER);
-      standStill(stall);
+      blockEventLoop(stallMilliseconds);
     });
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
--- a/packages/node/tests/relay/stop_work_test.ts
+++ b/packages/node/tests/relay/stop_work_test.ts
@@ -29,14 +29,14 @@
 }
 
 /** Waits until the front has as many requests in progress. */
-async function untilRunning(world: RelayWorld, count: number): Promise<void> {
+async function waitForRunning(world: RelayWorld, count: number): Promise<void> {
   while (world.front.running !== count) await sleep(5);
 }
 
 test("a request that waits for the first configuration gets a final answer where the node ends", async (t) => {
   const world = await startWorld(t);
   const call = rawCall(world.port, "/once/a");
-  await untilRunning(world, 1);
+  await waitForRunning(world, 1);
   world.front.stopListening();
   await world.front.cut();
   t.regex((await call.ended).bytes, /^HTTP\/1\.1 503 /);
@@ -72,7 +72,7 @@
   });
   const { socket } = dial(world.port);
   socket.write(REQUEST);
-  await untilRunning(world, 1);
+  await waitForRunning(world, 1);
   socket.destroy();
   await sleep(60);
   world.configure();
@@ -84,7 +84,7 @@
   const world = await startWorld(t);
   const { socket } = dial(world.port);
   socket.write(`POST /once/a ${HEAD}content-length: 10\r\n\r\nhalf`);
-  await untilRunning(world, 1);
+  await waitForRunning(world, 1);
   socket.destroy();
   await sleep(60);
   world.configure();
@@ -139,7 +139,7 @@
   world.configure();
   const call = dial(world.port);
   call.socket.write(REQUEST.replace("/once/", "/short/"));
-  await untilRunning(world, 1);
+  await waitForRunning(world, 1);
   world.stop = { begunAt: world.earlier(0), grace: seconds(8) };
   await sleep(300);
   call.socket.destroy();
@@ -156,7 +156,7 @@
   });
   const { socket, seen } = dial(world.port);
   socket.write(`POST /once/a ${HEAD}content-length: 10\r\n\r\nhalf`);
-  await untilRunning(world, 1);
+  await waitForRunning(world, 1);
   world.front.stopListening();
   t.is(world.front.running, 1, "It keeps a stop from ending early.");
   await world.front.cut();
@@ -178,7 +178,7 @@
   const whole = rawCall(world.port, "/once/a");
   const { socket, seen } = dial(world.port);
   socket.write(`POST /once/a ${HEAD}content-length: 4\r\n\r\nha`);
-  await untilRunning(world, 2);
+  await waitForRunning(world, 2);
   for (let look = 0; look < 3; look += 1) world.front.stopListening();
   socket.write("lf");
   t.regex((await whole.ended).bytes, /well$/);
