--- a/packages/node/src/relay/announce_node.ts
+++ b/packages/node/src/relay/announce_node.ts
@@ -2,14 +2,14 @@
 import type { NodePresence } from "./node_presence.ts";
 import type { SharedLog } from "./shared_log.ts";
 
-/** Between two attempts to make a node known. */
+/** Pause between two attempts to announce a node. */
 const ANNOUNCE_RETRY_MILLISECONDS = 500;
 
 /**
- * Makes a node known in the log, and tries until that is done or the node
- * leaves.
- * @param log The log.
- * @param presence The node.
+ * Announces a node in the shared log and retries until that succeeds or the
+ * node begins to stop.
+ * @param log The shared log.
+ * @param presence The node to announce.
  */
 export async function announceNode(
   log: Pick<SharedLog, "announce">,
--- a/packages/node/src/relay/encoded_age.ts
+++ b/packages/node/src/relay/encoded_age.ts
@@ -1,23 +1,23 @@
 import { type Duration, milliseconds } from "@foxtailwind/core";
 
-/** The unit in which nodes tell each other ages, in milliseconds. */
+/** The unit of the ages that nodes send each other. */
 const AGE_UNIT_MILLISECONDS = 10;
-/** Told of a node that is not known, or was last heard long ago. */
+/** Sent for a node that is unknown or was last heard long ago. */
 export const UNKNOWN_AGE = 0;
 
 /**
- * Writes how long ago a node was heard, to be told to another one.
- * @param age The time.
- * @returns The time in the unit of ages, rounded up, and one more.
+ * Encodes how long ago a node was heard.
+ * @param age The age.
+ * @returns The age in units, rounded up, plus one.
  */
 export function encodeAge(age: Duration): number {
   return Math.ceil(age / AGE_UNIT_MILLISECONDS) + 1;
 }
 
 /**
- * Reads how long ago a node was heard.
- * @param encoded What another node told.
- * @returns The time, or nothing where it told of none.
+ * Decodes how long ago a node was heard.
+ * @param encoded The encoded age from another node.
+ * @returns The age, or undefined if unknown.
  */
 export function decodeAge(encoded: number | undefined): Duration | undefined {
   return encoded === undefined || encoded === UNKNOWN_AGE
--- a/packages/node/src/relay/exchange_partner.ts
+++ b/packages/node/src/relay/exchange_partner.ts
@@ -7,7 +7,7 @@
 import type { PeerTable } from "./peer_table.ts";
 import { decodeAge } from "./encoded_age.ts";
 
-/** What a node wants to hear from a partner. */
+/** What a node requests from an exchange partner. */
 export interface ExchangeScope {
   readonly wantsOthers: boolean;
   readonly wantsEngines: boolean;
@@ -19,24 +19,24 @@
 }
 
 /**
- * What one partner has told and has been told, so that each exchange carries
- * only what has changed since, and how long ago each node was heard.
+ * The exchange state shared with one partner. It limits each exchange to what
+ * has changed since the last one, and to the age of each node's last digest.
  */
 export class ExchangePartner {
   readonly #self: NodeId;
   readonly #peers: PeerTable;
   #id: NodeId | undefined;
   #incarnation = "";
-  /** Up to which of its changes the partner's run has told of others. */
+  /** The partner's change count up to which it has reported other nodes. */
   #cursor = 0;
   #receivedEngines = false;
-  /** The sequence of this node's engines that the partner knows. */
+  /** The sequence of this node's engine states that the partner has. */
   #acknowledgedEngines = 0;
   readonly #reportedNodes = new Map<number, ReportedNode>();
 
   /**
-   * @param self This node.
-   * @param peers Takes what the partner tells.
+   * @param self The id of this node.
+   * @param peers Updated from the partner's answers.
    */
   constructor(self: NodeId, peers: PeerTable) {
     this.#self = self;
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Writes the next question.
-   * @param own What this node says of itself.
-   * @param scope What it wants to hear.
+   * Creates the next question to the partner.
+   * @param own The digest of this node.
+   * @param scope What this node requests.
    * @returns The question.
    */
   nextQuestion(own: NodeDigest, scope: ExchangeScope): ExchangeQuestion {
@@ -66,11 +66,11 @@
   }
 
   /**
-   * Takes an answer.
+   * Applies the partner's answer.
    * @param now The present time.
    * @param answer The answer.
-   * @param scope What was asked for.
-   * @returns Whether a node has come, has begun to stop or has started again.
+   * @param scope What was requested.
+   * @returns Whether a node has joined, begun to stop or restarted.
    */
   applyAnswer(
     now: Instant,
@@ -82,7 +82,7 @@
     this.#id = nodeId(own.node);
     if (own.incarnation !== this.#incarnation) this.#resetProgress();
     this.#incarnation = own.incarnation;
-    // What an answer was not asked for it has not told.
+    // The answer holds only what was requested.
     if (scope.wantsOthers) {
       this.#cursor = answer.cursor;
       this.#receivedEngines = scope.wantsEngines;
@@ -92,7 +92,7 @@
     return this.#applyRelayedNews(now, answer) || isStatusChange;
   }
 
-  /** Nothing that an earlier run has told counts for a later one. */
+  /** Discards what an earlier run of the partner has reported. */
   #resetProgress(): void {
     this.#reportedNodes.clear();
     this.#cursor = 0;
@@ -122,11 +122,11 @@
 }
 
 /**
- * Answers a partner's question with what it has not heard.
+ * Answers a partner's question with what the partner does not have yet.
  * @param now The present time.
- * @param peers What this node has heard.
- * @param own What this node says of itself.
- * @param question The question, whose digest this node has taken.
+ * @param peers The peers known to this node.
+ * @param own The digest of this node.
+ * @param question The question; its digest has already been applied.
  * @returns The answer.
  */
 export function answerExchange(
@@ -135,7 +135,7 @@
   own: NodeDigest,
   question: ExchangeQuestion,
 ): ExchangeAnswer {
-  const { own: asker, wantsOthers, wantsEngines } = question;
+  const { own: askerDigest, wantsOthers, wantsEngines } = question;
   const isSameRun = question.incarnation === own.incarnation;
   const knownEngines = isSameRun ? question.knownEngines : 0;
   const omitsEngines = !wantsEngines ||
@@ -146,8 +146,9 @@
     cursor: peers.cursor,
     news: wantsOthers ? [...peers.newsFor(now, { cursor, wantsEngines })] : [],
     ages: wantsOthers ? peers.ages(now) : [],
-    knownEngines: asker === undefined
-      ? 0
-      : peers.knownEngineSequence(nodeId(asker.node), asker.incarnation),
+    knownEngines: askerDigest === undefined ? 0 : peers.knownEngineSequence(
+      nodeId(askerDigest.node),
+      askerDigest.incarnation,
+    ),
   };
 }
--- a/packages/node/src/relay/knowledge.ts
+++ b/packages/node/src/relay/knowledge.ts
@@ -40,17 +40,17 @@
 import { SuspicionTracker } from "./suspicion_tracker.ts";
 import { WorkCounts } from "./work_counts.ts";
 
-/** Without a successful call for so long, the log counts as out of reach. */
+/** The log counts as unreachable this long after the last successful call. */
 const LOG_CONTACT_TIMEOUT = milliseconds(2_000);
 
 /**
- * So many nodes, the first by id among those that reach the log and serve,
- * watch what operators write for all. A second one watches on while the first
- * stops or is cut off.
+ * The number of nodes that watch the operators' records on behalf of all: the
+ * first by id among the serving nodes that reach the log. The second one takes
+ * over while the first one stops or is cut off.
  */
 const WATCHER_COUNT = 2;
 
-/** What knowledge is kept for. */
+/** The dependencies of {@link Knowledge}. */
 export interface KnowledgeParts {
   readonly settings: RelaySettings;
   readonly incarnation: string;
@@ -58,7 +58,7 @@
   readonly logger: PartLogger;
 }
 
-/** Which nodes serve, as far as what a node knows depends on it. */
+/** The part of {@link ServingNodes} that {@link Knowledge} uses. */
 export type ServingView = Pick<
   ServingNodes,
   "has" | "isActive" | "takesEngines"
@@ -70,14 +70,14 @@
   takesEngines: () => true,
 };
 
-/** What this node knows of configuration, servers, claims and nodes. */
+/** This node's view of the configuration, servers, claims and peers. */
 export class Knowledge extends SharedLogListener {
   readonly versions = new AdapterVersions();
   readonly registry = new ServerRegistry();
   readonly peers = new PeerTable();
-  /** The requests that crash servers. */
+  /** Suspicions that requests crash servers. */
   readonly suspicions: SuspicionTracker;
-  /** What this node does to know all that, and to let others know. */
+  /** Counts of the calls and checks that keep nodes informed. */
   readonly work = new WorkCounts();
   readonly claims: EngineClaims;
   readonly #parts: KnowledgeParts;
@@ -86,15 +86,15 @@
   readonly #serversByService = new ServersByService(this.registry);
   #lastLogReadAt: Instant | undefined;
   #lastLogCallSucceeded = false;
-  /** Which nodes serve; all of them, until the node has worked it out. */
+  /** The nodes that serve; all of them until the serving set is computed. */
   serving: ServingView = ALL_NODES_SERVE;
-  /** Called after each change that may matter to the owners of engines. */
+  /** Called after each change that may affect engine ownership. */
   onChange: () => void = () => undefined;
-  /** Called for each record that was left out. */
+  /** Called for each record that was skipped. */
   onRecordSkipped: (topic: RecordTopic, reason: SkipReason) => void = () =>
     undefined;
 
-  /** @param parts What it is kept for. */
+  /** @param parts The dependencies. */
   constructor(parts: KnowledgeParts) {
     super();
     this.#parts = parts;
@@ -106,26 +106,26 @@
     );
   }
 
-  /** The configuration in force, or nothing before the first. */
+  /** The active configuration, or undefined before the first. */
   get routes(): RouteTable | undefined {
     return this.#routes;
   }
 
-  /** The offset up to which this node knows what operators wrote. */
+  /** The offset up to which this node has the operators' records. */
   get operatorsEnd(): LogOffset {
     return this.#operatorsEnd;
   }
 
   /**
-   * Lists the servers of a service that are there.
+   * Lists the registered servers of a service.
    * @param service The service.
-   * @returns The servers, leaving ones included.
+   * @returns The servers, including those that are leaving.
    */
   servers(service: ServiceId): readonly RegisteredServer[] {
     return this.#serversByService.serversOf(service);
   }
 
-  /** The model engines that are there and stay. */
+  /** The registered model engines that are not leaving. */
   get engines(): readonly RegisteredServer[] {
     const services = this.#routes?.configuration.services ?? [];
     return services.filter((service) => service.engine !== undefined)
@@ -134,14 +134,14 @@
   }
 
   /**
-   * Tells whether the platform's log answers this node.
+   * Determines whether the platform's log answers this node.
    * @param now The present time.
-   * @returns Whether it has answered lately.
+   * @returns Whether it has answered recently.
    */
   isInContact(now: Instant): boolean {
     if (this.#lastLogReadAt === undefined) return false;
-    // A node that others tell calls too rarely to know more than how its last
-    // call ended.
+    // A node that is notified by others calls the log too rarely to use a
+    // timeout, so the result of its last call decides.
     if (hasManyReaders(this.readers) && !this.isWatcher) {
       return this.#lastLogCallSucceeded;
     }
@@ -153,7 +153,7 @@
       WATCHER_COUNT;
   }
 
-  /** Those that would watch, were the log in everybody's reach. */
+  /** True for the nodes that would watch if every node reached the log. */
   override get triesFirst(): boolean {
     return this.#countPreferredWatchers(() => true) < WATCHER_COUNT;
   }
@@ -170,7 +170,7 @@
     const known = this.#routes?.configuration.version ?? -1;
     if (configuration.version <= known) return;
     this.#routes = new RouteTable(configuration);
-    this.#parts.logger.info("A configuration is in force.", {
+    this.#parts.logger.info("A configuration was activated.", {
       version: configuration.version,
       routes: configuration.routes.length,
       before: known,
@@ -185,7 +185,7 @@
   ): void {
     if (this.versions.newest(model, adapter) >= version) return;
     this.versions.record(model, adapter, version);
-    this.#parts.logger.info("A version of an adapter was named.", {
+    this.#parts.logger.info("An adapter version was set.", {
       model,
       adapter,
       version,
@@ -259,7 +259,7 @@
     this.suspicions.reportRefused();
     if (this.#lastLogCallSucceeded) return;
     this.#lastLogCallSucceeded = true;
-    this.#parts.logger.info("The platform's log is in reach.");
+    this.#parts.logger.info("The platform's log is reachable.");
   }
 
   override failed(failure: Failure): void {
@@ -277,9 +277,9 @@
   }
 
   /**
-   * Takes note that an engine refused this node's number.
+   * Records that an engine rejected this node's fencing number.
    * @param engine The engine.
-   * @param fence The number.
+   * @param fence The fencing number.
    */
   fenced(engine: BackendServerId, fence: FencingNumber): void {
     this.claims.recordRefusal(engine, fence);
@@ -287,7 +287,7 @@
     this.onChange();
   }
 
-  /** Counts the nodes of some kind that watch before this one. */
+  /** Counts the candidates that take precedence over this node as watchers. */
   #countPreferredWatchers(isCandidate: (peer: NodeDigest) => boolean): number {
     const { settings, clock } = this.#parts;
     const { id } = settings.node;
--- a/packages/node/src/relay/knowledge_fetcher.ts
+++ b/packages/node/src/relay/knowledge_fetcher.ts
@@ -10,29 +10,29 @@
 import type { Knowledge } from "./knowledge.ts";
 import { readKnowledge } from "./knowledge_message.ts";
 
-/** After so long without the log, a peer is asked for what it knows. */
+/** How long the log is unreachable before a peer is asked instead. */
 const LOG_OUTAGE_DELAY = milliseconds(1_500);
 /**
- * How long a node waits for its own read of what a peer has read already, in
- * milliseconds. The store tells all its readers within a few.
+ * How long a node waits for its own read of records that a peer has already
+ * read. The store notifies all readers within a few milliseconds.
  */
 const BEHIND_PEERS_DELAY_MILLISECONDS = 100;
 /**
- * After so many milliseconds another peer is asked. A peer answers within a
- * few; on a link that loses a packet, within about 200.
+ * The time after which another peer is asked. A peer answers within a few
+ * milliseconds, or within about 200 on a link that loses a packet.
  */
 const FETCH_TIMEOUT_MILLISECONDS = 300;
 
-/** What asking peers works with. */
+/** The dependencies of {@link KnowledgeFetcher}. */
 export interface KnowledgeFetcherParts {
   readonly knowledge: Knowledge;
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
-  /** Gives the client of the peer at an address. */
+  /** Returns the client of the peer at an address. */
   readonly client: (address: string) => RelayPeersClient;
 }
 
-/** Asks the peers for what this node hasn't read in the log itself. */
+/** Fetches from peers what this node has not read from the log itself. */
 export class KnowledgeFetcher {
   readonly #parts: KnowledgeFetcherParts;
   readonly #startedAt: Instant;
@@ -41,14 +41,14 @@
   #isCatchingUp = false;
   #isStopped = false;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: KnowledgeFetcherParts) {
     this.#parts = parts;
     this.#startedAt = parts.clock.now();
   }
 
   /**
-   * Asks some peer, where the log has been out of reach for long.
+   * Fetches from a random peer if the log has long been unreachable.
    * @param now The present time.
    */
   fetchDuringLogOutage(now: Instant): void {
@@ -63,10 +63,9 @@
   }
 
   /**
-   * Asks a peer that knows of more changes, unless this node reads them itself
-   * in a moment: its own read may wait on a connection that has fallen silent,
-   * or the store may turn this node away; in a large system few nodes read the
-   * registry often.
+   * Fetches from a peer that knows of more changes, unless this node reads them
+   * itself shortly. Its own read may hang on a silent connection, or the store
+   * may reject this node; in a large cluster few nodes read the registry often.
    */
   catchUpWithPeers(): void {
     if (this.#isStopped || this.#isCatchingUp) return;
@@ -83,13 +82,13 @@
     }, BEHIND_PEERS_DELAY_MILLISECONDS);
   }
 
-  /** Asks no more. */
+  /** Stops fetching. */
   stop(): void {
     this.#isStopped = true;
     clearTimeout(this.#behindTimer);
   }
 
-  /** The peers that know of more changes. */
+  /** Lists the peers that know of more changes than this node. */
   #peersAhead(): readonly NodeDigest[] {
     const { knowledge, clock } = this.#parts;
     return knowledge.peers.alive(clock.now()).filter((peer) =>
@@ -110,13 +109,13 @@
       { deadline: Date.now() + FETCH_TIMEOUT_MILLISECONDS },
       (error, answer: KnowledgeMessage | undefined) => {
         if (error !== null || answer === undefined) {
-          logger.warn("A peer did not tell what it knows.", {
+          logger.warn("Fetching knowledge from a peer failed.", {
             peer: peer.node,
             detail: error?.message,
           });
         } else {
           readKnowledge(knowledge, answer);
-          logger.info("A peer told what it knows.", { peer: peer.node });
+          logger.info("Fetched knowledge from a peer.", { peer: peer.node });
         }
         onEnd();
       },
--- a/packages/node/src/relay/knowledge_message.ts
+++ b/packages/node/src/relay/knowledge_message.ts
@@ -26,9 +26,9 @@
   });
 
 /**
- * Writes what a node knows for a peer.
- * @param knowledge What it knows.
- * @param request What the peer has.
+ * Encodes what this node knows and a peer lacks.
+ * @param knowledge The knowledge of this node.
+ * @param request States what the peer already has.
  * @returns The message.
  */
 export function writeKnowledge(
@@ -52,9 +52,9 @@
 }
 
 /**
- * Takes what a peer knows. Peers run the same program, so that the message
- * is taken as written.
- * @param knowledge Takes it.
+ * Applies a peer's knowledge message. Peers run the same program, so the
+ * message is not validated.
+ * @param knowledge The knowledge to update.
  * @param message The peer's message.
  */
 export function readKnowledge(
@@ -89,9 +89,9 @@
 }
 
 function deserializeEntry(entry: SerializedEntry): RegistryEntry {
-  // A peer that the store serves has waited for entries that may have lapsed.
-  // This node's own calls may fail for reasons of its own, and its doubt would
-  // keep it sending to servers that are gone for 2.5 s after the last of them.
+  // A peer that reaches the store has already waited for entries that may have
+  // expired. If this node's own calls fail, treating the removal as uncertain
+  // would keep it sending to removed servers for 2.5 s after the last failure.
   if (entry.kind === "gone") return { ...entry, isCertain: true };
   const models = entry.server.models.map((held) => ({
     ...held,
--- a/packages/node/src/relay/known_peer.ts
+++ b/packages/node/src/relay/known_peer.ts
@@ -7,48 +7,49 @@
 import type { NodeDigest } from "@foxtailwind/protocol";
 import type { NodeRecord } from "./shared_log.ts";
 
-/** A node that is silent for longer counts as gone: six missed exchanges. */
+/** A node silent for longer counts as gone: six missed exchanges. */
 export const SILENCE_TIMEOUT: Duration = milliseconds(1_500);
-/** A node that exchanges more rarely counts as gone after so many periods. */
+/** The timeout of nodes that exchange less often, in exchange periods. */
 const SILENCE_TIMEOUT_PERIODS = 2.5;
 /**
- * What hubs pass on may be so much older: its node tells its hub every 600 ms,
- * two hubs ask on its way every 300 ms, and the last node every 600 ms.
+ * The additional age allowed for relayed digests: the origin exchanges with its
+ * hub every 600 ms, two hubs on the way every 300 ms each, and the receiving
+ * node every 600 ms.
  */
 const RELAY_DELAY_MILLISECONDS = 1_800;
 
-/** Another node, as far as this one has heard of it. */
+/** What this node knows about another node. */
 export interface KnownPeer {
   readonly record: NodeRecord;
   readonly digest?: NodeDigest;
   readonly heardAt?: Instant | undefined;
   readonly knownSince: Instant;
-  /** Whether it was heard last by way of another node. */
+  /** Whether the last contact was relayed by another node. */
   readonly isRelayed: boolean;
-  /** Its place in the ages that this node tells. */
+  /** Its index in the ages that this node sends. */
   readonly index: number;
-  /** The count of changes at which something but its engines changed last. */
+  /** The change count at the last change other than of its engines. */
   readonly changedAt: number;
-  /** The count of changes at which its engines changed last. */
+  /** The change count at the last change of its engines. */
   readonly enginesChangedAt: number;
 }
 
-/** What is known of a node once a digest of it has come. */
+/** The result of merging a digest into what is known of its node. */
 export interface MergedDigest {
   readonly digest: NodeDigest;
-  /** Whether anything but the engines has changed. */
+  /** Whether anything other than the engine states has changed. */
   readonly hasNewState: boolean;
   readonly hasNewEngineStates: boolean;
 }
 
 /**
- * Puts a digest together with what is known. Digests of one run are numbered,
- * and so are the states of its engines, which may be left out; of two runs,
- * the one that was given last is of the later one.
+ * Merges a digest into what is known of its node. Digests of one run carry
+ * sequence numbers, and so do the engine states, which may be omitted. Of the
+ * digests of two runs, the one created last belongs to the later run.
  * @param known What is known of the node.
- * @param digest What has come.
- * @param heardAt When the node gave it.
- * @returns What is known then, or nothing where the digest is of an older run.
+ * @param digest The received digest.
+ * @param heardAt When the node created it.
+ * @returns The merged digest, or undefined if the digest is of an older run.
  */
 export function mergeDigest(
   known: KnownPeer | undefined,
@@ -61,27 +62,27 @@
     const isOlderRun = before !== undefined && known?.heardAt !== undefined &&
       heardAt <= known.heardAt;
     if (isOlderRun) return undefined;
-    const hasNewEngines = digest.engineStates !== undefined;
-    return { digest, hasNewState: true, hasNewEngineStates: hasNewEngines };
+    const hasNewEngineStates = digest.engineStates !== undefined;
+    return { digest, hasNewState: true, hasNewEngineStates };
   }
   const hasNewState = digest.sequence > before.sequence;
   const { engineStates } = digest;
-  const hasNewEngines = engineStates !== undefined &&
+  const hasNewEngineStates = engineStates !== undefined &&
     engineStates.sequence > (before.engineStates?.sequence ?? 0);
   return {
     digest: {
       ...(hasNewState ? digest : before),
-      engineStates: hasNewEngines ? engineStates : before.engineStates,
+      engineStates: hasNewEngineStates ? engineStates : before.engineStates,
     },
-    hasNewState: hasNewState,
-    hasNewEngineStates: hasNewEngines,
+    hasNewState,
+    hasNewEngineStates,
   };
 }
 
 /**
- * Tells after how long a silence a node counts as gone.
+ * Returns how long a node may be silent before it counts as gone.
  * @param peer The node.
- * @returns The time, without what news take by way of other nodes.
+ * @returns The time, without the allowance for relayed digests.
  */
 export function silenceTimeoutOf({ digest }: KnownPeer): Duration {
   const period = digest?.periodMilliseconds ?? 0;
@@ -91,11 +92,11 @@
 }
 
 /**
- * Tells whether a node was heard lately.
+ * Determines whether a node was heard recently.
  * @param peer The node.
  * @param now The present time.
- * @param limit How long ago at most, where it was heard directly.
- * @returns Whether it was.
+ * @param limit The maximum age of a direct contact.
+ * @returns Whether its last contact is recent enough.
  */
 export function isFresh(
   peer: KnownPeer,
--- a/packages/node/src/relay/make_relay_parts.ts
+++ b/packages/node/src/relay/make_relay_parts.ts
@@ -12,7 +12,7 @@
 import type { ServingNodes } from "./serving_nodes.ts";
 import type { SharedLog } from "./shared_log.ts";
 
-/** The parts of a node that relaying requests is put together from. */
+/** The parts of a node that {@link makeRelayParts} combines. */
 export interface RelayPartsOptions extends
   Pick<
     RelayParts,
@@ -30,14 +30,14 @@
   readonly serving: ServingNodes;
   readonly channels: PeerChannels;
   readonly log: SharedLog;
-  /** Called where a server has begun or ceased to name a limit. */
+  /** Called when a server begins or ceases to state a rate limit. */
   readonly onLimitsChanged: () => void;
 }
 
 /**
- * Puts together what relaying requests works with.
+ * Creates the dependencies of request relaying.
  * @param options The node's parts.
- * @returns What a request is relayed with.
+ * @returns The dependencies.
  */
 export function makeRelayParts(options: RelayPartsOptions): RelayParts {
   const { clock, knowledge, loads, logger, pools } = options;
--- a/packages/node/src/relay/mod.ts
+++ b/packages/node/src/relay/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The relay: requests by route, whole, to the backend servers that run them.
+ * The relay: forwards whole requests by route to the backend servers.
  * @module
  */
 export { LoggerFactory, type PartLogger } from "../logging/part_logger.ts";
--- a/packages/node/src/relay/node_load.ts
+++ b/packages/node/src/relay/node_load.ts
@@ -1,21 +1,21 @@
 import { elapsed, type Instant, milliseconds } from "@foxtailwind/core";
 import { type EventLoopUtilization, performance } from "node:perf_hooks";
 
-/** Between two looks at the event loop. */
+/** The interval between two samples of the event loop utilization. */
 const SAMPLE_INTERVAL = milliseconds(1_000);
-/** The weight of the newest look. */
+/** The weight of the newest sample in the moving average. */
 const NEWEST_SAMPLE_WEIGHT = 0.5;
 /**
- * What a process does so long after its start is its start: it says nothing of
- * the load. Where callers are there all the same, it counts as full, since they
- * come back together with the nodes.
+ * The utilization this soon after the process start reflects the startup, not
+ * the load. If callers have already connected, the node counts as fully loaded,
+ * since callers come back at the same time as the nodes.
  */
 const STARTUP_TIME = milliseconds(3_000);
-/** Loads are told in so many steps, so that few of their changes are news. */
+/** Loads are sent in this many steps, so that small changes send no news. */
 const LOAD_STEPS = 16;
 const THOUSANDTHS_PER_PROCESSOR = 1_000;
 
-/** How much of what its VM can do a node uses, by what its event loop waits. */
+/** Measures the share of its VM that a node uses, by event loop utilization. */
 export class NodeLoad {
   readonly #startedAt: Instant;
   #sampledAt: Instant;
@@ -29,20 +29,20 @@
     this.#sampledAt = now;
   }
 
-  /** The load as it is told, in steps. */
+  /** The load as sent to peers, in steps. */
   get encoded(): number {
     return Math.round(this.#load * LOAD_STEPS);
   }
 
-  /** The share of its VM that the node uses, as others hear it. */
+  /** The share of its VM that the node uses, as peers decode it. */
   get share(): number {
     return decodeLoad(this.encoded);
   }
 
   /**
-   * Looks at the event loop, where that is due.
+   * Samples the event loop utilization if that is due.
    * @param now The present time.
-   * @param hasCallers Whether callers have come.
+   * @param hasCallers Whether any caller has sent a request.
    */
   sample(now: Instant, hasCallers: boolean): void {
     const isStarting = elapsed(this.#startedAt, now) < STARTUP_TIME;
@@ -61,8 +61,8 @@
 }
 
 /**
- * Reads a load as it is told.
- * @param encoded In steps.
+ * Decodes a load sent by a peer.
+ * @param encoded The load in steps.
  * @returns The share of the VM that is in use, from 0 to 1.
  */
 export function decodeLoad(encoded: number): number {
@@ -70,18 +70,18 @@
 }
 
 /**
- * Reads a capacity as it is told.
- * @param encoded In thousandths of a processor; 0 where a node does not tell.
- * @returns In processors.
+ * Decodes a capacity sent by a peer.
+ * @param encoded In thousandths of a processor; 0 if not stated.
+ * @returns The capacity in processors.
  */
 export function decodeCapacity(encoded: number): number {
   return encoded === 0 ? 1 : encoded / THOUSANDTHS_PER_PROCESSOR;
 }
 
 /**
- * Writes a capacity to be told.
- * @param processors In processors.
- * @returns In thousandths of a processor.
+ * Encodes a capacity for peers.
+ * @param processors The capacity in processors.
+ * @returns The capacity in thousandths of a processor.
  */
 export function encodeCapacity(processors: number): number {
   return Math.max(1, Math.round(processors * THOUSANDTHS_PER_PROCESSOR));
--- a/packages/node/src/relay/node_presence.ts
+++ b/packages/node/src/relay/node_presence.ts
@@ -20,32 +20,32 @@
 import { StateSequence } from "./state_sequence.ts";
 import type { NodeRecord } from "./shared_log.ts";
 
-/** Nodes heard of in this time share limits, even if silent now. */
+/** Nodes heard of within this time share limits, even if silent now. */
 const NODE_RETENTION = milliseconds(20_000);
 
-/** What a node's presence is made of. */
+/** The dependencies of {@link NodePresence}. */
 export interface NodePresenceParts {
   readonly settings: RelaySettings;
   readonly knowledge: Knowledge;
   readonly clock: SteadyClock;
-  /** The run of this process. */
+  /** Identifies the run of this process. */
   readonly incarnation: string;
-  /** What others are told of this node's engines. */
+  /** Digests of the engines that this node owns. */
   readonly engines: () => readonly EngineDigest[];
   readonly serving: ServingNodes;
-  /** Between two exchanges that this node begins, in milliseconds. */
+  /** The interval between two exchanges that this node begins. */
   readonly exchangePeriodMilliseconds: () => number;
-  /** The limits of servers that this node has seen itself. */
+  /** The server rate limits that this node has observed itself. */
   readonly limits: () => readonly ServerLimit[];
 }
 
-/** The ports that a node has taken. */
+/** The ports that a node listens on. */
 export interface NodePorts {
   readonly peers: number;
   readonly callers: number;
 }
 
-/** What a node says of itself, and which nodes it knows beside itself. */
+/** Describes this node to its peers, and counts and lists the other nodes. */
 export class NodePresence {
   readonly #parts: NodePresenceParts;
   readonly #lastHeardAt = new Map<string, Instant>();
@@ -55,7 +55,7 @@
   /** The stop in progress, if this node is stopping. */
   plannedStop: PlannedStop | undefined;
 
-  /** @param parts What it is made of. */
+  /** @param parts The dependencies. */
   constructor(parts: NodePresenceParts) {
     this.#parts = parts;
   }
@@ -65,19 +65,19 @@
     return this.plannedStop !== undefined;
   }
 
-  /** Whether this node takes callers. */
+  /** Whether this node accepts callers. */
   get isReady(): boolean {
     return this.#ports !== undefined && !this.isLeaving &&
       this.#parts.knowledge.routes !== undefined;
   }
 
-  /** Where callers reach this node, once it listens. */
+  /** The address at which callers reach this node, once it listens. */
   get callerAddress(): string {
     const { callers } = this.#parts.settings.listen;
     return `${callers.host}:${this.#ports?.callers ?? callers.port}`;
   }
 
-  /** Where other nodes reach this one, as the log has it. */
+  /** The record of this node for the shared log. */
   get record(): NodeRecord {
     const { settings, incarnation } = this.#parts;
     const { peers } = settings.listen;
@@ -90,7 +90,7 @@
     };
   }
 
-  /** What other nodes are told of this one. */
+  /** The digest of this node for its peers. */
   get digest(): NodeDigest {
     const now = this.#parts.clock.now();
     const unnumbered = this.#createDigest(now);
@@ -115,7 +115,7 @@
     const {
       knowledge,
       serving,
-      exchangePeriodMilliseconds: exchangePeriod,
+      exchangePeriodMilliseconds,
       limits,
     } = this.#parts;
     const { id, incarnation, address, failureDomain, capacity } = this.record;
@@ -134,21 +134,21 @@
       reachesLog: knowledge.isInContact(now),
       capacity,
       load: serving.load,
-      periodMilliseconds: exchangePeriod(),
+      periodMilliseconds: exchangePeriodMilliseconds(),
       limits: [...limits()],
     };
   }
 
   /**
-   * Takes note that the node listens.
-   * @param ports The ports taken.
+   * Records the ports that the node listens on.
+   * @param ports The ports.
    */
   recordPorts(ports: NodePorts): void {
     this.#ports = ports;
   }
 
   /**
-   * Remembers the nodes that are there.
+   * Records which nodes are present.
    * @param now The present time.
    */
   refresh(now: Instant): void {
@@ -158,9 +158,9 @@
   }
 
   /**
-   * Counts the nodes that share limits, this one included. Nodes that the log
-   * names count before they are heard: one that has just started with many
-   * others would take all of a limit for its own.
+   * Counts the nodes that share limits, including this node. Nodes that the log
+   * names count before they are heard; otherwise a node that starts together
+   * with many others would use the whole of a limit by itself.
    * @param now The present time.
    * @returns The count.
    */
@@ -174,27 +174,36 @@
   }
 
   /**
-   * Lists where callers may connect: nodes that serve, where some do.
-   * @param failureDomain The callers' failure domain; where several of its
-   * nodes take callers, only they are named.
-   * @returns The addresses of nodes that take callers.
+   * Lists the addresses that callers may connect to: those of serving nodes, if
+   * there are any.
+   * @param failureDomain The callers' failure domain; if several of its nodes
+   * accept callers, only those are listed.
+   * @returns The addresses of nodes that accept callers.
    */
   callerAddresses(failureDomain: string | undefined): readonly string[] {
     const { knowledge, clock, serving, settings } = this.#parts;
     const peers = knowledge.peers.alive(clock.now());
-    const ready = [this.digest, ...peers].filter((one) =>
-      one.isReady && !one.isLeaving
+    const ready = [this.digest, ...peers].filter((digest) =>
+      digest.isReady && !digest.isLeaving
+    );
+    const local = ready.filter((digest) =>
+      digest.failureDomain === failureDomain
     );
-    const local = ready.filter((one) => one.failureDomain === failureDomain);
     const eligible = local.length > 1 ? local : ready;
-    const chosen = eligible.filter((one) => serving.has(nodeId(one.node)));
-    if (chosen.length === 0) return eligible.map((one) => one.callerAddress);
-    const strongest = Math.max(...chosen.map((one) => one.capacity));
-    return chosen.filter((one) =>
+    const servingNodes = eligible.filter((digest) =>
+      serving.has(nodeId(digest.node))
+    );
+    if (servingNodes.length === 0) {
+      return eligible.map((digest) => digest.callerAddress);
+    }
+    const strongest = Math.max(
+      ...servingNodes.map((digest) => digest.capacity),
+    );
+    return servingNodes.filter((digest) =>
       isAdvertised(settings.node.id, {
-        id: nodeId(one.node),
-        capacity: decodeCapacity(one.capacity),
+        id: nodeId(digest.node),
+        capacity: decodeCapacity(digest.capacity),
       }, decodeCapacity(strongest))
-    ).map((one) => one.callerAddress);
+    ).map((digest) => digest.callerAddress);
   }
 }
--- a/packages/node/src/relay/operations_server.ts
+++ b/packages/node/src/relay/operations_server.ts
@@ -5,7 +5,7 @@
 import type { SocketAddress } from "../settings/settings.ts";
 import type { OperationsWire } from "./operations_wire.ts";
 
-/** What those around the node may ask of it. */
+/** Handlers of the requests that callers and operators send to a node. */
 export interface OperationsHandlers {
   readonly isReady: () => boolean;
   /** Addresses for a caller of a failure domain, best first. */
@@ -14,7 +14,7 @@
   readonly metrics: () => Promise<string>;
 }
 
-/** Where those around the node ask. */
+/** The addresses on which the operations server listens. */
 export interface OperationsAddresses {
   readonly readiness: SocketAddress;
   readonly addresses: SocketAddress;
@@ -25,7 +25,7 @@
 const NOT_READY = 503;
 const METRICS_PATH = "/metrics";
 
-/** Answers questions for readiness, addresses and metrics. */
+/** Serves readiness, caller addresses and metrics over HTTP. */
 export class OperationsServer {
   readonly #wire: OperationsWire;
   readonly #handlers: OperationsHandlers;
@@ -33,20 +33,20 @@
   readonly #fastify: FastifyInstance;
 
   /**
-   * @param wire How the questions are asked.
-   * @param answers What is answered.
+   * @param wire The request and response formats.
+   * @param handlers Provide the answers.
    */
-  constructor(wire: OperationsWire, answers: OperationsHandlers) {
+  constructor(wire: OperationsWire, handlers: OperationsHandlers) {
     this.#wire = wire;
-    this.#handlers = answers;
+    this.#handlers = handlers;
     this.#fastify = schemalessFastify();
     this.#addRoutes(this.#fastify);
   }
 
   /**
-   * Starts to answer.
-   * @param addressesByEndpoint Where; places that are the same are listened at once.
-   * @returns The port taken for readiness.
+   * Starts to listen.
+   * @param addressesByEndpoint The addresses; equal ones share one socket.
+   * @returns The port used for readiness.
    */
   async listen(addressesByEndpoint: OperationsAddresses): Promise<number> {
     const fastify = this.#fastify;
@@ -73,7 +73,7 @@
     return ports[0] ?? 0;
   }
 
-  /** Stops to answer. */
+  /** Closes all sockets. */
   async close(): Promise<void> {
     for (const server of this.#servers) {
       server.close();
--- a/packages/node/src/relay/operations_wire.ts
+++ b/packages/node/src/relay/operations_wire.ts
@@ -1,29 +1,29 @@
-/** Who asks for addresses. */
+/** A caller's query for node addresses. */
 export interface AddressQuestion {
-  /** The failure domain of the caller, where it says so. */
+  /** The failure domain of the caller, if stated. */
   readonly failureDomain?: string;
 }
 
-/** How those around the node ask for its readiness and addresses. */
+/** The HTTP format of readiness checks and address queries. */
 export abstract class OperationsWire {
-  /** The path at which readiness is asked. */
+  /** The path of readiness checks. */
   abstract readonly readinessPath: string;
-  /** The path at which callers ask for addresses. */
+  /** The path of address queries. */
   abstract readonly addressesPath: string;
 
   /**
-   * Reads a question for addresses.
-   * @param query The query's fields.
-   * @returns The question.
+   * Parses an address query.
+   * @param query The fields of the query string.
+   * @returns The address query.
    */
   abstract readQuestion(
     query: Readonly<Record<string, string | undefined>>,
   ): AddressQuestion;
 
   /**
-   * Writes an answer to it.
+   * Formats the answer to an address query.
    * @param addresses IP literals and ports.
-   * @param lifetimeSeconds How long the answer may be used.
+   * @param lifetimeSeconds How long the addresses may be used.
    * @returns The JSON body.
    */
   abstract writeAddresses(
--- a/packages/node/src/relay/partner_selector.ts
+++ b/packages/node/src/relay/partner_selector.ts
@@ -9,32 +9,32 @@
 import type { Knowledge } from "./knowledge.ts";
 import type { NodeRecord } from "./shared_log.ts";
 
-/** Between two exchanges of nodes that pass on what they hear, in milliseconds. */
+/** The exchange period of hubs, which relay what they hear. */
 const HUB_PERIOD_MILLISECONDS = 300;
-/** Between two exchanges of other nodes that place requests. */
+/** The exchange period of other nodes that place requests. */
 const MEMBER_PERIOD_MILLISECONDS = 600;
-/** Between two exchanges of nodes that stand by. */
+/** The exchange period of standby nodes. */
 const STANDBY_PERIOD_MILLISECONDS = 1_000;
-/** So long, a hub that has not answered is passed over for another one. */
+/** How long a hub that did not answer is passed over for another one. */
 const FAILURE_RETENTION = milliseconds(2_000);
 
-/** Whom a node asks now, and when it does so again. */
+/** The partners of the present exchange, and the time until the next one. */
 export interface PartnerSelection extends Omit<ExchangePartners, "partners"> {
   readonly partners: readonly NodeRecord[];
-  /** Until the next exchange, in milliseconds. */
+  /** The time until the next exchange. */
   readonly periodMilliseconds: number;
 }
 
-/** Chooses the nodes to exchange with; those that don't answer are passed over. */
+/** Selects the nodes to exchange with and skips those that don't answer. */
 export class PartnerSelector {
   readonly #self: Omit<ExchangeNode, "isServing">;
   readonly #knowledge: Knowledge;
-  /** When a node at an address last did not answer. */
+  /** The time of the last unanswered exchange, by address. */
   readonly #failedAt = new Map<string, Instant>();
 
   /**
    * @param self This node.
-   * @param knowledge Tells which others there are, and which of them serve.
+   * @param knowledge Provides the other nodes and which of them serve.
    */
   constructor(self: Omit<ExchangeNode, "isServing">, knowledge: Knowledge) {
     this.#self = self;
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Chooses whom to ask.
+   * Selects the partners of the next exchange.
    * @param now The present time.
-   * @returns The nodes.
+   * @returns The partners and the time until the exchange after it.
    */
   select(now: Instant): PartnerSelection {
     const { peers, serving } = this.#knowledge;
@@ -58,29 +58,29 @@
       }));
     const self = { ...this.#self, isServing: serving.has(this.#self.id) };
     const chosen = exchangePartners(self, reachable);
-    const period = this.#periodMilliseconds(now, chosen);
-    // While few are known, all that may be there are asked.
+    const periodMilliseconds = this.#periodMilliseconds(now, chosen);
+    // While few nodes are known, all that may be present are asked.
     if (!chosen.isRelayed) {
-      return { ...chosen, periodMilliseconds: period, partners: contacts };
+      return { ...chosen, periodMilliseconds, partners: contacts };
     }
     const byId = new Map(contacts.map((contact) => [contact.id, contact]));
     const partners = chosen.partners.flatMap((id) => byId.get(id) ?? []);
-    return { ...chosen, periodMilliseconds: period, partners };
+    return { ...chosen, periodMilliseconds, partners };
   }
 
   /**
-   * Takes note that a node has answered.
-   * @param address Its address.
+   * Records that a node has answered.
+   * @param address The node's address.
    */
   recordAnswer(address: string): void {
     this.#failedAt.delete(address);
   }
 
   /**
-   * Takes note that a node did not answer.
+   * Records that a node did not answer.
    * @param now The present time.
-   * @param address Its address.
-   * @returns Whether it was to be asked until then.
+   * @param address The node's address.
+   * @returns Whether the node was not already being passed over.
    */
   recordFailure(now: Instant, address: string): boolean {
     const isFirstFailure = !this.#hasFailedRecently(now, address);
--- a/packages/node/src/relay/peer_exchange.ts
+++ b/packages/node/src/relay/peer_exchange.ts
@@ -39,11 +39,12 @@
 import { writeKnowledge } from "./knowledge_message.ts";
 import { PartnerSelector } from "./partner_selector.ts";
 
-/** News of so many milliseconds go out together. */
+/** How long news are collected before they are sent together. */
 const NEWS_BATCH_DELAY_MILLISECONDS = 5;
-/** After so many milliseconds, an exchange counts as unanswered. */
+/** The time after which an exchange counts as unanswered. */
 const EXCHANGE_TIMEOUT_MILLISECONDS = 500;
-/** What exchanges work with. */
+
+/** The dependencies of {@link PeerExchange}. */
 export interface PeerExchangeParts {
   readonly self: Omit<ExchangeNode, "isServing">;
   readonly knowledge: Knowledge;
@@ -51,15 +52,15 @@
   readonly channels: PeerChannels;
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
-  /** What this node says of itself. */
+  /** Returns the digest of this node. */
   readonly digest: () => NodeDigest;
 }
 
-/** Exchanges digests with the other nodes, both ways in one call. */
+/** Exchanges digests with the other nodes, in both directions in one call. */
 export class PeerExchange {
   readonly #parts: PeerExchangeParts;
   readonly #pending = new Set<string>();
-  /** What the node at an address has told and has been told. */
+  /** The exchange state of each partner, by address. */
   readonly #partnersByAddress = new Map<string, ExchangePartner>();
   readonly #selector: PartnerSelector;
   readonly #fetcher: KnowledgeFetcher;
@@ -68,7 +69,7 @@
   #newsTimer: NodeJS.Timeout | undefined;
   #isStopped = false;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: PeerExchangeParts) {
     this.#parts = parts;
     this.#selector = new PartnerSelector(parts.self, parts.knowledge);
@@ -80,7 +81,7 @@
     });
   }
 
-  /** Between two exchanges that this node begins, in milliseconds. */
+  /** The interval between two exchanges that this node begins. */
   get periodMilliseconds(): number {
     return this.#periodMilliseconds;
   }
@@ -120,14 +121,14 @@
     };
   }
 
-  /** Starts to exchange. */
+  /** Schedules the next exchange. */
   start(): void {
     this.#timer = setTimeout(() => {
       this.exchange();
     }, this.#periodMilliseconds);
   }
 
-  /** Exchanges with partners ahead of time, since there is news. */
+  /** Exchanges with partners ahead of schedule, to spread news. */
   exchangeSoon(): void {
     if (this.#isStopped) return;
     this.#newsTimer ??= setTimeout(() => {
@@ -136,7 +137,7 @@
     }, NEWS_BATCH_DELAY_MILLISECONDS);
   }
 
-  /** Stops. */
+  /** Stops scheduled exchanges and fetches. */
   stop(): void {
     this.#isStopped = true;
     clearTimeout(this.#timer);
@@ -144,19 +145,19 @@
     this.#fetcher.stop();
   }
 
-  /** Exchanges with this node's partners now. */
+  /** Exchanges with this node's partners now, and schedules the next time. */
   exchange(): void {
     const { knowledge, clock } = this.#parts;
     const now = clock.now();
     this.#retainPartners(knowledge.peers.addresses);
-    const chosen = this.#selector.select(now);
-    this.#periodMilliseconds = chosen.periodMilliseconds;
+    const selection = this.#selector.select(now);
+    this.#periodMilliseconds = selection.periodMilliseconds;
     const own = this.#parts.digest();
     const scope = {
-      wantsOthers: chosen.isRelayed,
+      wantsOthers: selection.isRelayed,
       wantsEngines: knowledge.serving.isActive(now),
     };
-    for (const { address } of chosen.partners) {
+    for (const { address } of selection.partners) {
       this.#exchangeWith(address, own, scope);
     }
     this.#fetcher.fetchDuringLogOutage(now);
@@ -191,7 +192,7 @@
     );
   }
 
-  /** Forgets what nodes have told that are at none of some addresses. */
+  /** Removes channels and exchange state of all but the given addresses. */
   #retainPartners(kept: ReadonlySet<string>): void {
     this.#parts.channels.retain(kept);
     for (const address of this.#partnersByAddress.keys()) {
@@ -207,7 +208,7 @@
     return known;
   }
 
-  /** Passes over a node that did not answer, and asks another hub at once. */
+  /** Records an unanswered exchange, and promptly asks another hub. */
   #recordFailure(now: Instant, address: string, scope: ExchangeScope): void {
     const isFirstFailure = this.#selector.recordFailure(now, address);
     if (isFirstFailure && scope.wantsOthers) this.exchangeSoon();
--- a/packages/node/src/relay/peer_news.ts
+++ b/packages/node/src/relay/peer_news.ts
@@ -2,20 +2,20 @@
 import type { NodeNews } from "@foxtailwind/protocol";
 import type { KnownPeer } from "./known_peer.ts";
 
-/** Of what another node wants to hear. */
+/** What another node requests, and what it already has. */
 export interface NewsFilter {
-  /** The count of changes up to which it has heard. */
+  /** The change count up to which it has received news. */
   readonly cursor: number;
   readonly wantsEngines: boolean;
 }
 
 /**
- * Writes what is known of a node for another one, where that lacks something.
+ * Creates the news of a node for a partner that lacks its last changes.
  * @param now The present time.
  * @param peer The node.
- * @param terms Of what the other one wants to hear.
- * @param retention A node that was heard longer ago is not told of.
- * @returns The news, or nothing.
+ * @param filter What the partner requests.
+ * @param retention Nodes last heard longer ago than this are omitted.
+ * @returns The news, or undefined if there is none.
  */
 export function createNews(
   now: Instant,
--- a/packages/node/src/relay/peer_table.ts
+++ b/packages/node/src/relay/peer_table.ts
@@ -23,46 +23,46 @@
 import type { NodeRecord } from "./shared_log.ts";
 import { encodeAge, UNKNOWN_AGE } from "./encoded_age.ts";
 
-/** A digest that is older says nothing of an engine any more. */
+/** The maximum age of a digest whose engine states are still used. */
 const ENGINE_STATE_TIMEOUT: Duration = milliseconds(1_200);
-/** How long a node's word that it stops is remembered. */
+/** How long a node's notice that it stops is kept. */
 const STOP_RETENTION: Duration = milliseconds(20_000);
-/** A node that has not been heard of for so long is asked no more. */
+/** Nodes not heard of for this long are no longer contacted. */
 const PEER_RETENTION: Duration = milliseconds(60_000);
 
-/** How a digest came. */
+/** How a digest reached this node. */
 export interface DigestOrigin {
-  /** How long ago its node gave it. */
+  /** How long ago its node created it. */
   readonly age: Duration;
-  /** Whether another node passed it on. */
+  /** Whether another node relayed it. */
   readonly isRelayed: boolean;
 }
 
 const DIRECT: DigestOrigin = { age: milliseconds(0), isRelayed: false };
 
-/** What a node owns and how it fares, with the time at which it was heard. */
+/** An engine as its owner last described it. */
 export interface PeerEngine {
   readonly owner: NodeId;
   readonly address: string;
   readonly digest: EngineDigest;
 }
 
-/** The other nodes, as far as this one has heard of them. */
+/** The other nodes, as described by the log and by exchanged digests. */
 export class PeerTable {
   readonly #peers = new Map<NodeId, KnownPeer>();
-  /** The nodes by the order in which they were heard of first. */
+  /** The nodes in the order in which this node first heard of them. */
   readonly #order: NodeId[] = [];
   #changeCount = 0;
 
-  /** Counts what has changed of any node, but for the time of hearing it. */
+  /** The number of changes of any node, other than of its last contact. */
   get cursor(): number {
     return this.#changeCount;
   }
 
   /**
-   * Takes note of a node that the log names.
+   * Records a node that the log names.
    * @param now The present time.
-   * @param record The node.
+   * @param record The node's record.
    */
   recordNode(now: Instant, record: NodeRecord): void {
     const known = this.#peers.get(record.id);
@@ -78,11 +78,11 @@
   }
 
   /**
-   * Takes what a node says of itself, unless something newer is known.
+   * Applies a node's digest, unless a newer one is known.
    * @param now The present time.
-   * @param digest What it says.
-   * @param origin How it came; from the node itself by default.
-   * @returns Whether the node has come, has begun to stop or has started again.
+   * @param digest The digest.
+   * @param origin How it came; directly from the node by default.
+   * @returns Whether the node has joined, begun to stop or restarted.
    */
   heard(now: Instant, digest: NodeDigest, origin = DIRECT): boolean {
     const id = nodeId(digest.node);
@@ -114,12 +114,12 @@
   }
 
   /**
-   * Takes note that another node has heard a node, of which it told before.
+   * Records that a partner has heard a node whose digest it relayed earlier.
    * @param now The present time.
    * @param id The node.
    * @param incarnation The run that was heard.
    * @param age How long ago it was heard.
-   * @returns Whether the node counted as gone before.
+   * @returns Whether the node counted as gone and is present again.
    */
   recordRelayedContact(
     now: Instant,
@@ -137,7 +137,7 @@
   }
 
   /**
-   * Lists the nodes that may be there.
+   * Lists the nodes that may be present.
    * @param now The present time.
    * @returns The nodes heard of in the last minute.
    */
@@ -150,8 +150,8 @@
   }
 
   /**
-   * Lists the nodes that can be asked of others: those that are there, and
-   * those that have not had the time to tell of themselves.
+   * Lists the nodes that are present, and those that the log has just named and
+   * that have not had time to send a digest.
    * @param now The present time.
    * @returns The nodes.
    */
@@ -160,9 +160,9 @@
   }
 
   /**
-   * Lists the nodes that may serve: those that are there and don't leave.
+   * Lists the nodes that may serve: those that are present and not leaving.
    * @param now The present time.
-   * @returns The nodes, with what they can do.
+   * @returns The nodes with their capacity and load.
    */
   servingCandidates(now: Instant): readonly ServingCandidate[] {
     return this.#presentPeers(now)
@@ -176,10 +176,10 @@
   }
 
   /**
-   * Lists what another node has not heard yet.
+   * Lists the changes that another node has not received yet.
    * @param now The present time.
-   * @param filter Of what it wants to hear.
-   * @returns The nodes of which something has changed.
+   * @param filter What the other node requests.
+   * @returns News of each changed node.
    */
   newsFor(now: Instant, filter: NewsFilter): readonly NodeNews[] {
     return [...this.#peers.values()]
@@ -187,9 +187,9 @@
   }
 
   /**
-   * Tells how long ago each node was heard.
+   * Lists how long ago each node was heard.
    * @param now The present time.
-   * @returns The ages by index, as they are told.
+   * @returns The encoded ages by node index.
    */
   ages(now: Instant): number[] {
     return this.#order.map((id) => {
@@ -201,9 +201,9 @@
   }
 
   /**
-   * Lists the nodes that are there.
+   * Lists the nodes that were heard recently.
    * @param now The present time.
-   * @returns What each says of itself.
+   * @returns The digest of each node.
    */
   alive(now: Instant): readonly NodeDigest[] {
     return [...this.#peers.values()].flatMap((peer) =>
@@ -214,8 +214,7 @@
   }
 
   /**
-   * Lists the nodes that have said that they stop, and have said nothing else
-   * since.
+   * Lists the nodes whose last digest says that they stop.
    * @param now The present time.
    * @returns The nodes.
    */
@@ -227,7 +226,7 @@
   }
 
   /**
-   * Gives the addresses at which nodes are known.
+   * The addresses of all known nodes.
    * @returns The addresses.
    */
   get addresses(): ReadonlySet<string> {
@@ -237,10 +236,10 @@
   }
 
   /**
-   * Tells up to which change a node's engines are known.
+   * Returns the sequence number of the known engine states of a node.
    * @param id The node.
    * @param incarnation Its run.
-   * @returns The sequence of their states, 0 where none are known.
+   * @returns The sequence number, 0 if none are known.
    */
   knownEngineSequence(id: NodeId, incarnation: string): number {
     const digest = this.#peers.get(id)?.digest;
@@ -249,11 +248,11 @@
   }
 
   /**
-   * Finds what the owner of an engine says of it.
+   * Finds an engine's digest from its owner.
    * @param now The present time.
    * @param engine The engine.
    * @param owner Its owner.
-   * @returns What it says, or nothing where that is too old.
+   * @returns The engine, or undefined if unknown or too old.
    */
   engine(
     now: Instant,
--- a/packages/node/src/relay/registry_logging.ts
+++ b/packages/node/src/relay/registry_logging.ts
@@ -7,10 +7,10 @@
 import type { PartLogger } from "../logging/part_logger.ts";
 
 /**
- * Logs where an entry tells of another start of its server.
- * @param logger Takes the line.
- * @param entry The entry.
- * @param outcome What came of it.
+ * Logs an entry that is of a different start of its server.
+ * @param logger The logger.
+ * @param entry The registry entry.
+ * @param outcome The result of applying the entry.
  */
 export function logRestart(
   logger: PartLogger,
@@ -20,9 +20,9 @@
   if (entry.kind === "gone") return;
   const { id, start } = entry.server;
   if (outcome === "restarted") {
-    logger.info("A server has started again.", { server: id, start });
+    logger.info("A server has restarted.", { server: id, start });
   } else if (outcome === "older_start") {
-    logger.warn("An entry of an older start is left out.", {
+    logger.warn("An entry of an older start was skipped.", {
       server: id,
       start,
       offset: entry.offset,
@@ -31,10 +31,10 @@
 }
 
 /**
- * Logs that a server has come, leaves or has left.
- * @param logger Takes the line.
- * @param entry The entry that says so.
- * @param known What was known of it before.
+ * Logs that a server has registered, is leaving or has left.
+ * @param logger The logger.
+ * @param entry The registry entry.
+ * @param known The server as known before the entry.
  */
 export function logServerChange(
   logger: PartLogger,
@@ -47,7 +47,7 @@
   }
   const { id, service, leaving } = entry.server;
   if (known === undefined) {
-    logger.info("A server is there.", { server: id, service });
+    logger.info("A server has registered.", { server: id, service });
   } else if (leaving && !known.leaving) {
     logger.info(RELAY_SENTENCE.serverLeaves, { server: id, service });
   }
--- a/packages/node/src/relay/relay_daemon.ts
+++ b/packages/node/src/relay/relay_daemon.ts
@@ -34,7 +34,7 @@
 import { ServingNodes } from "./serving_nodes.ts";
 import type { SharedLog } from "./shared_log.ts";
 
-/** The outside as one platform forms it. */
+/** The implementations of the relay's interfaces for one platform. */
 export interface RelayEdges {
   readonly log: SharedLog;
   readonly wire: RelayWire;
@@ -42,13 +42,13 @@
   readonly operations: OperationsWire;
 }
 
-/** Between two looks at claims, lapsed servers and limits. */
+/** The interval of checks of claims, expired servers and limits. */
 const REFRESH_INTERVAL_MILLISECONDS = 250;
-/** The same at a node that stands by. */
+/** The interval of these checks on a standby node. */
 const STANDBY_REFRESH_INTERVAL_MILLISECONDS = 500;
 const STOP_CHECK_INTERVAL_MILLISECONDS = 100;
 
-/** One node that relays requests by route: all its parts together. */
+/** A node that relays requests by route, assembled from its parts. */
 export class RelayDaemon {
   readonly #settings: RelaySettings;
   readonly #platform: RelayEdges;
@@ -74,17 +74,17 @@
   #operationsPort = 0;
 
   /**
-   * @param settings The checked settings.
-   * @param edges The outside.
-   * @param loggers Makes the parts' loggers.
+   * @param settings The validated settings.
+   * @param platform The platform's implementations.
+   * @param loggers Creates the loggers of the parts.
    */
   constructor(
     settings: RelaySettings,
-    edges: RelayEdges,
+    platform: RelayEdges,
     loggers: LoggerFactory,
   ) {
     this.#settings = settings;
-    this.#platform = edges;
+    this.#platform = platform;
     this.#logger = loggers.forPart("daemon");
     this.#lastRequestAt = this.#clock.now();
     this.#loads = new ServerLoads(settings.node.failure_domain);
@@ -113,10 +113,10 @@
     this.#owners = new EngineOwners({
       settings,
       knowledge,
-      control: edges.control,
+      control: platform.control,
       clock,
       logger: loggers.forPart("ownership"),
-      log: edges.log,
+      log: platform.log,
       incarnation: this.#incarnation,
       isLeaving: () => this.#presence.isLeaving,
       gained: () => {
@@ -157,7 +157,7 @@
       serversLimited: () => this.#parts.limits.limitedRunCount,
       work: () => knowledge.work.counts,
     });
-    this.#operations = new OperationsServer(edges.operations, {
+    this.#operations = new OperationsServer(platform.operations, {
       isReady: () => this.#presence.isReady,
       addresses: (failureDomain) =>
         this.#presence.callerAddresses(failureDomain),
@@ -179,12 +179,12 @@
     };
   }
 
-  /** Where callers reach this node, once it has started. */
+  /** The address at which callers reach this node, once it has started. */
   get callerAddress(): string {
     return this.#presence.callerAddress;
   }
 
-  /** Where readiness is asked, once it has started. */
+  /** The address of readiness checks, once the node has started. */
   get readinessAddress(): string {
     return `${this.#settings.listen.readiness.host}:${this.#operationsPort}`;
   }
@@ -212,7 +212,7 @@
     });
   }
 
-  /** Leaves the addresses, finishes what is in progress, and stops. */
+  /** Withdraws from the caller addresses, finishes requests, and stops. */
   async stop(): Promise<void> {
     const stop: PlannedStop = {
       begunAt: this.#clock.now(),
--- a/packages/node/src/relay/relay_metrics.ts
+++ b/packages/node/src/relay/relay_metrics.ts
@@ -3,7 +3,7 @@
 import type { RecordTopic, SkipReason } from "./shared_log.ts";
 import type { WorkKind } from "./work_counts.ts";
 
-/** Bounds of latency histograms, in seconds: from a lookup to a long stream. */
+/** Buckets of the latency histograms, from a lookup to a long stream. */
 const LATENCY_BUCKETS_SECONDS = [
   0.01,
   0.025,
@@ -22,21 +22,21 @@
 ];
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Values that are read when metrics are. */
+/** Values that are read whenever the metrics are collected. */
 export interface RelayGauges {
   readonly requestsInProgress: () => number;
   readonly configurationVersion: () => number;
   readonly enginesOwned: () => number;
   readonly nodesAlive: () => number;
   readonly nodesServing: () => number;
-  /** 1 where this node places requests, 0 where it stands by. */
+  /** 1 if this node places requests, 0 if it is on standby. */
   readonly isActive: () => number;
   readonly contentsRefused: () => number;
   readonly serversLimited: () => number;
   readonly work: () => ReadonlyMap<WorkKind, number>;
 }
 
-/** The counters and histograms of a relay, as text for a scraper. */
+/** The metrics of a relay in the Prometheus text format. */
 export class RelayMetrics {
   readonly #registry = new Registry();
   readonly #requests = new Counter({
@@ -67,7 +67,7 @@
     registers: [this.#registry],
   });
 
-  /** @param gauges Values that are read when metrics are. */
+  /** @param gauges Values read whenever the metrics are collected. */
   constructor(gauges: RelayGauges) {
     this.#addGauge(
       "foxtailwind_requests_in_progress",
@@ -115,9 +115,9 @@
   /**
    * Counts a request that has ended.
    * @param route Its route.
-   * @param outcome How it ended.
-   * @param took From its arrival to its end.
-   * @param firstAfter From the last send to the first bytes, if any came.
+   * @param outcome The outcome.
+   * @param took The time from its arrival to its end.
+   * @param firstAfter The time from the last send to the first bytes, if any.
    */
   recordRequest(
     route: Route,
@@ -140,8 +140,8 @@
   }
 
   /**
-   * Counts a record that was left out.
-   * @param topic What it is about.
+   * Counts a record that was skipped.
+   * @param topic The topic of the record.
    * @param reason Why it can't be used.
    */
   recordSkipped(topic: RecordTopic, reason: SkipReason): void {
@@ -149,8 +149,8 @@
   }
 
   /**
-   * Writes all metrics.
-   * @returns The text.
+   * Collects all metrics.
+   * @returns The metrics in the Prometheus text format.
    */
   text(): Promise<string> {
     return this.#registry.metrics();
--- a/packages/node/src/relay/relay_parts.ts
+++ b/packages/node/src/relay/relay_parts.ts
@@ -11,7 +11,7 @@
 import type { RetryBudgets } from "./retry_budgets.ts";
 import type { ServerLoads } from "./server_loads.ts";
 
-/** What relaying requests works with. */
+/** The dependencies of request relaying. */
 export interface RelayParts {
   readonly knowledge: Knowledge;
   readonly placer: RequestPlacer;
@@ -25,11 +25,11 @@
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
   /**
-   * Called for each request that comes. Where the node stood by until then, it
-   * gives what resolves once the node has read what it missed of the log.
+   * Called for each arriving request. If the node was on standby, it returns a
+   * promise that resolves once the node has caught up with the log.
    */
   readonly asked: () => Promise<void> | undefined;
-  /** Counts the nodes that share limits, this one included. */
+  /** Counts the nodes that share limits, including this one. */
   readonly nodes: () => number;
   /** The stop in progress, if this node is stopping. */
   readonly plannedStop: () => PlannedStop | undefined;
--- a/packages/node/src/relay/relay_settings.ts
+++ b/packages/node/src/relay/relay_settings.ts
@@ -30,7 +30,7 @@
     id: nameSchema.transform(nodeId),
     failure_domain: nameSchema.transform(failureDomainId),
   }),
-  /** What the VM can do: a share of a processor, so many times as fast. */
+  /** The VM's capacity: its share of a processor and the relative speed. */
   vm: z.strictObject({
     processor_share: positiveNumber(MAX_PROCESSORS).default(1),
     processor_speed: positiveNumber(MAX_PROCESSORS).default(1),
@@ -43,22 +43,22 @@
     metrics: socketAddressSchema,
   }),
   platform: z.strictObject({ store: socketAddressSchema }),
-  /** Bounds on sends beyond the first of a request, over all nodes. */
+  /** Limits on retries, over all nodes. */
   retries: z.strictObject({
     share: numberUpTo(1),
     reserve: numberUpTo(MAX_COUNT),
     window_seconds: positiveNumber(MAX_SECONDS),
   }),
   engines: z.strictObject({
-    /** How long orders of two owners must lie apart. */
+    /** The minimum time between the orders of two owners. */
     lease_milliseconds: positiveNumber(MAX_MILLISECONDS),
-    /** Adapters on their way to one engine at once. */
+    /** The maximum number of concurrent adapter loads of one engine. */
     transfers: positiveNumber(MAX_TRANSFERS).default(4),
-    /** Adapters that an engine keeps in memory beside its slots. */
+    /** Adapters that an engine caches in memory besides its slots. */
     kept_adapters: positiveNumber(MAX_COUNT).default(100),
   }),
   stop: z.strictObject({
-    /** From the signal to the end of the process by force. */
+    /** The time from the stop signal to the forced end of the process. */
     grace_seconds: positiveNumber(MAX_SECONDS),
   }),
   addresses: z.strictObject({
@@ -66,19 +66,19 @@
   }),
   logs: z.strictObject({
     level: z.enum(["error", "warn", "info", "debug"]).default("info"),
-    /** Lines written in a second at most; the rest is counted. */
+    /** The maximum number of lines per second; the rest is counted. */
     lines_a_second: positiveNumber(MAX_LINES_PER_SECOND).default(60),
   }).default({ level: "info", lines_a_second: 60 }),
 });
 
-/** The checked settings of a relay. */
+/** The validated settings of a relay. */
 export type RelaySettings = z.infer<typeof relaySettingsSchema>;
 
 /**
- * Checks the text of a relay's settings file.
- * @param text INI.
- * @param file The file's name, for problems.
- * @returns The settings, or every problem at once.
+ * Parses and validates a relay's settings file.
+ * @param text The file's contents, in INI format.
+ * @param file The file name used in problem reports.
+ * @returns The settings, or all problems.
  */
 export function parseRelaySettings(
   text: string,
--- a/packages/node/src/relay/relay_stop.ts
+++ b/packages/node/src/relay/relay_stop.ts
@@ -7,47 +7,48 @@
 } from "@foxtailwind/core";
 
 /**
- * How long a stopping node goes on taking requests at least: callers hold
- * its address for as long as the answer that named it may be used.
+ * How long callers may use the addresses they are given. A stopping node keeps
+ * accepting requests for longer, since callers may still hold its address.
  */
 export const ADDRESS_LIFETIME_SECONDS = 2;
+/** The minimum time for which a stopping node accepts requests. */
 const MINIMUM_SERVING_TIME = milliseconds(2 * ADDRESS_LIFETIME_SECONDS * 1_000);
-/** Without a request for so long, a stopping node is no longer in use. */
+/** A stopping node without requests for this long is no longer in use. */
 const IDLE_TIME = milliseconds(500);
-/** Before the end by force, what still runs is left to its end. */
+/** The time reserved before the forced end to answer unfinished requests. */
 const FINAL_ANSWER_TIME = milliseconds(250);
-/** So long before the end by force, no new connections are taken. */
+/** The time before the forced end from which no connections are accepted. */
 const LISTENER_CLOSE_TIME = milliseconds(2_000);
 
 /**
- * So long after its begin, a stopping node takes whatever comes. Callers have
- * got other addresses by then, and whoever still comes can go elsewhere.
+ * The time from the beginning of a stop during which every request is accepted.
+ * By its end callers have received other addresses and can connect to them.
  */
 const UNCONDITIONAL_ACCEPT_TIME = milliseconds(2_800);
 
-/** A stop that was asked for. */
+/** A requested stop. */
 export interface PlannedStop {
   readonly begunAt: Instant;
-  /** From the begin to the end by force. */
+  /** The time from the beginning to the forced end. */
   readonly grace: Duration;
 }
 
 /**
- * Tells when a stopping node gives up whatever still runs.
+ * Determines when a stopping node abandons unfinished requests.
  * @param stop The stop.
- * @returns The moment, which leaves time to answer before the end by force.
+ * @returns The time, early enough to answer them before the forced end.
  */
 export function lastMoment({ begunAt, grace }: PlannedStop): Instant {
   return later(begunAt, milliseconds(grace - FINAL_ANSWER_TIME));
 }
 
 /**
- * Decides whether a stopping node takes a request: later ones only if they
- * end in time at their latest.
+ * Decides whether a stopping node accepts a request. Late requests are accepted
+ * only if their maximum duration ends in time.
  * @param now The present time.
  * @param stop The stop.
  * @param maximumDuration How long the request may take.
- * @returns Whether it is taken.
+ * @returns Whether it is accepted.
  */
 export function isTakenWhileStopping(
   now: Instant,
@@ -59,14 +60,14 @@
     age + maximumDuration <= grace - FINAL_ANSWER_TIME;
 }
 
-/** What a stopping node does now. */
+/** The next action of a stopping node. */
 export type StopStep = "serve" | "close_door" | "end";
 
 /**
- * Decides how far a planned stop has come.
+ * Decides the next action of a planned stop.
  * @param now The present time.
- * @param stop When the stop began, how long it may take, and the work.
- * @returns What to do.
+ * @param stop The stop, the requests in progress and the last request's time.
+ * @returns The next action.
  */
 export function nextStopStep(
   now: Instant,
--- a/packages/node/src/relay/request_limits.ts
+++ b/packages/node/src/relay/request_limits.ts
@@ -21,23 +21,23 @@
 import type { PartLogger } from "../logging/part_logger.ts";
 import type { Knowledge } from "./knowledge.ts";
 
-/** Between two looks at what the other nodes say. */
+/** The interval at which the limits reported by other nodes are read. */
 const REFRESH_INTERVAL = milliseconds(250);
 
-/** A run of a server, as far as its limit goes. */
+/** Identifies the run of a server to which a limit applies. */
 type ServerRun = Pick<RegisteredServer, "id" | "start">;
 
-/** What limits work with. */
+/** The dependencies of {@link RequestLimits}. */
 export interface RequestLimitsParts {
   readonly self: NodeId;
   readonly knowledge: Knowledge;
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
-  /** Called where a server has named a limit, or names none any more. */
+  /** Called when a server states a new limit or no longer states one. */
   readonly changed: () => void;
 }
 
-/** A request's place among those that wait for limits. */
+/** A request's place in the queue for rate-share servers. */
 export interface LimitQueuePlace {
   readonly ahead: number;
   readonly leave: () => void;
@@ -48,7 +48,7 @@
   readonly pacer: RequestPacer;
 }
 
-/** Keeps this node's part of the limits that servers name. */
+/** Enforces this node's share of the rate limits that servers state. */
 export class RequestLimits {
   readonly #parts: RequestLimitsParts;
   readonly #rateLimits = new ServerRateLimits();
@@ -57,88 +57,88 @@
   #servingNodes: readonly NodeId[] = [];
   #refreshedAt: Instant | undefined;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: RequestLimitsParts) {
     this.#parts = parts;
   }
 
-  /** What this node has seen itself, as other nodes are told. */
+  /** The limits that this node has observed itself, for its peers. */
   get ownLimits(): readonly ServerLimit[] {
     return this.#rateLimits.ownLimits.map(encodeLimit);
   }
 
-  /** How many runs of servers have a limit. */
+  /** The number of server runs that have a limit. */
   get limitedRunCount(): number {
     return this.#rateLimits.limitedRuns.size;
   }
 
   /**
-   * Takes what an answer says of its server's limit.
-   * @param run The run of the server that gave it.
-   * @param sentAt When its request was sent.
-   * @param limit Requests a second, where it names a limit.
+   * Applies the limit that an answer states, or its absence.
+   * @param run The run of the server that answered.
+   * @param sentAt When the request was sent.
+   * @param limit The limit in requests per second, if stated.
    */
   answered(run: ServerRun, sentAt: Instant, limit: number | undefined): void {
     if (limit === undefined && this.#rateLimits.isEmpty) return;
     const { clock, logger, changed } = this.#parts;
-    const isNews = this.#rateLimits.applyAnswer(
+    const hasChanged = this.#rateLimits.applyAnswer(
       clock.now(),
       startKey(run.id, run.start),
       { sentAt, limit },
     );
-    if (!isNews) return;
+    if (!hasChanged) return;
     logger.info(
       limit === undefined
-        ? "A server names no limit any more."
-        : "A server names a limit.",
+        ? "A server no longer states a limit."
+        : "A server states a limit.",
       { server: run.id, start: run.start, limit },
     );
     changed();
   }
 
   /**
-   * Tells how long it takes until a request may be sent to a server.
-   * @param run The server.
-   * @returns The time, or nothing where this node sends it none.
+   * Returns how long a request must wait before it may be sent to a server.
+   * @param run The run of the server.
+   * @returns The time, or undefined if this node may send it no requests.
    */
   wait(run: ServerRun): Duration | undefined {
     const now = this.#parts.clock.now();
-    const limited = this.#findLimit(now, run);
-    return limited === undefined
+    const share = this.#findShare(now, run);
+    return share === undefined
       ? milliseconds(0)
-      : limited.pace.wait(now, limited.rate);
+      : share.pacer.wait(now, share.rate);
   }
 
   /**
-   * Tells whether limits keep a request from all servers that could run it.
-   * @param runs The servers.
-   * @returns Whether there are some, and none takes a request of this node now.
+   * Determines whether limits block all servers that could run a request.
+   * @param runs The runs of the servers.
+   * @returns Whether there are servers and this node may send to none now.
    */
   areReached(runs: readonly ServerRun[]): boolean {
     return runs.length > 0 && runs.every((run) => this.wait(run) !== 0);
   }
 
   /**
-   * Estimates when a request may be sent that limits keep from all servers.
-   * @param runs The servers.
-   * @param ahead How many requests wait before it.
-   * @returns The time, or nothing where this node sends none of them any.
+   * Estimates the wait of a request while limits block all servers.
+   * @param runs The runs of the servers.
+   * @param ahead The number of requests queued before it.
+   * @returns The time, or undefined if this node may send them no requests.
    */
   waitBehind(runs: readonly ServerRun[], ahead: number): Duration | undefined {
     const now = this.#parts.clock.now();
     const servers = runs.flatMap((run) => {
-      const limited = this.#findLimit(now, run);
-      if (limited === undefined) return [];
-      const { pace, rate } = limited;
-      return [{ wait: pace.wait(now, rate), rate }];
+      const share = this.#findShare(now, run);
+      if (share === undefined) return [];
+      const { pacer, rate } = share;
+      return [{ wait: pacer.wait(now, rate), rate }];
     });
     return estimateQueueWait(servers, ahead);
   }
 
   /**
-   * Lets a request wait for the servers of a service.
+   * Adds a request to the queue for the servers of a service.
    * @param service The service.
-   * @returns How many wait before it, and what ends its wait.
+   * @returns The number of requests ahead and a function that leaves the queue.
    */
   queue(service: ServiceId): LimitQueuePlace {
     const ahead = this.#queueLengths.get(service) ?? 0;
@@ -155,26 +155,26 @@
   }
 
   /**
-   * Takes a request to a server from this node's part of its limit.
-   * @param run The server.
-   * @returns Whether it may be sent now.
+   * Takes a request to a server from this node's share of its limit.
+   * @param run The run of the server.
+   * @returns Whether the request may be sent now.
    */
   take(run: ServerRun): boolean {
     const now = this.#parts.clock.now();
-    const limited = this.#findLimit(now, run);
-    return limited === undefined || limited.pace.tryTake(now, limited.rate);
+    const share = this.#findShare(now, run);
+    return share === undefined || share.pacer.tryTake(now, share.rate);
   }
 
   /**
-   * Gives back a request that was taken and not sent.
-   * @param run The server.
+   * Refunds a request that was taken and not sent.
+   * @param run The run of the server.
    */
   giveBack(run: ServerRun): void {
     this.#pacers.get(startKey(run.id, run.start))?.pacer.refund();
   }
 
   /**
-   * Looks at what the other nodes say, and forgets servers that are gone.
+   * Applies the limits reported by other nodes and drops removed servers.
    * @param now The present time.
    */
   refresh(now: Instant): void {
@@ -195,7 +195,7 @@
     }
   }
 
-  #findLimit(now: Instant, { id, start }: ServerRun) {
+  #findShare(now: Instant, { id, start }: ServerRun) {
     const isDue = this.#refreshedAt === undefined ||
       elapsed(this.#refreshedAt, now) >= REFRESH_INTERVAL;
     if (isDue) this.refresh(now);
@@ -208,7 +208,7 @@
     this.#pacers.set(run, known);
     const { self } = this.#parts;
     const rate = shareOfLimit({ run, limit, self, nodes: this.#servingNodes });
-    return { pace: known.pacer, rate };
+    return { pacer: known.pacer, rate };
   }
 }
 
--- a/packages/node/src/relay/retry_budgets.ts
+++ b/packages/node/src/relay/retry_budgets.ts
@@ -5,35 +5,35 @@
   type ServiceId,
 } from "@foxtailwind/core";
 
-/** The allowances of all services for this node's further sends. */
+/** The retry budgets of this node, one for each service. */
 export class RetryBudgets {
   readonly #limits: RetryBudgetLimits;
   readonly #countNodes: () => number;
   readonly #budgets = new Map<ServiceId, NodeRetryBudget>();
 
   /**
-   * @param terms The bound for all nodes together.
-   * @param nodes Counts the nodes that share it.
+   * @param limits The limits for all nodes together.
+   * @param countNodes Counts the nodes that share the limits.
    */
-  constructor(terms: RetryBudgetLimits, nodes: () => number) {
-    this.#limits = terms;
-    this.#countNodes = nodes;
+  constructor(limits: RetryBudgetLimits, countNodes: () => number) {
+    this.#limits = limits;
+    this.#countNodes = countNodes;
   }
 
   /**
-   * Takes note of a request.
+   * Credits a service's budget for a request.
    * @param now The present time.
-   * @param service The service that it is for.
+   * @param service The service of the request.
    */
   earn(now: Instant, service: ServiceId): void {
     this.#budgetOf(service).recordRequest(now);
   }
 
   /**
-   * Takes a further send from a service's allowance.
+   * Takes a retry from a service's budget.
    * @param now The present time.
    * @param service The service.
-   * @returns Whether the send is allowed.
+   * @returns Whether the retry is allowed.
    */
   take(now: Instant, service: ServiceId): boolean {
     return this.#budgetOf(service).tryTake(
--- a/packages/node/src/relay/server_loads.ts
+++ b/packages/node/src/relay/server_loads.ts
@@ -10,26 +10,27 @@
 } from "@foxtailwind/core";
 
 interface TrackedServer {
-  /** Told later where it was unknown at first. */
+  /** Set later if it was unknown at first. */
   start: ServerStart | undefined;
   readonly load: ServerLoad;
 }
 
-/** What this node has seen of each backend server, since it started. */
+/** The load that this node has observed on each backend server. */
 export class ServerLoads {
   readonly #loads = new Map<BackendServerId, TrackedServer>();
   readonly #failureDomain: FailureDomainId;
 
-  /** @param failureDomain Where this node stands. */
+  /** @param failureDomain The failure domain of this node. */
   constructor(failureDomain: FailureDomainId) {
     this.#failureDomain = failureDomain;
   }
 
   /**
-   * Gives what was seen of a server at its start; of an earlier one nothing
-   * counts, and sends to that one go on with what was seen of it.
+   * Returns the load observed on a server since its start. A new start begins
+   * with an empty load; requests already sent to the earlier start keep using
+   * the load of that start.
    * @param server The server, as it is known now.
-   * @returns What was seen.
+   * @returns The observed load.
    */
   of({ id, start }: Pick<RegisteredServer, "id" | "start">): ServerLoad {
     const known = this.#loads.get(id);
@@ -45,9 +46,9 @@
   /**
    * Chooses a server for a request that any server of its service can run.
    * @param now The present time.
-   * @param servers The servers.
-   * @param random A number from 0 up to, and without, 1.
-   * @returns The server, or nothing where there is none.
+   * @param servers The servers of the service.
+   * @param random A random number, at least 0 and less than 1.
+   * @returns The server, or undefined if there are none.
    */
   choose(
     now: Instant,
@@ -63,8 +64,8 @@
   }
 
   /**
-   * Forgets servers that are gone.
-   * @param ids The servers that remain.
+   * Drops the loads of removed servers.
+   * @param ids The servers to keep.
    */
   retain(ids: ReadonlySet<BackendServerId>): void {
     for (const id of this.#loads.keys()) {
--- a/packages/node/src/relay/servers_by_service.ts
+++ b/packages/node/src/relay/servers_by_service.ts
@@ -10,7 +10,7 @@
   #groups = new Map<ServiceId, readonly RegisteredServer[]>();
   #revision = -1;
 
-  /** @param registry The servers. */
+  /** @param registry The registry of servers. */
   constructor(registry: ServerRegistry) {
     this.#registry = registry;
   }
@@ -18,7 +18,7 @@
   /**
    * Lists the servers of a service.
    * @param service The service.
-   * @returns The servers, leaving ones included.
+   * @returns The servers, including those that are leaving.
    */
   serversOf(service: ServiceId): readonly RegisteredServer[] {
     if (this.#revision !== this.#registry.revision) this.#regroup();
--- a/packages/node/src/relay/serving_nodes.ts
+++ b/packages/node/src/relay/serving_nodes.ts
@@ -10,27 +10,27 @@
 import { decodeCapacity, encodeCapacity, NodeLoad } from "./node_load.ts";
 import type { PeerTable } from "./peer_table.ts";
 
-/** A node that was asked by a caller places requests for so long after it. */
+/** How long a node places requests after a caller's last request. */
 const ACTIVE_TIME_AFTER_REQUEST = milliseconds(10_000);
 
-/** What the choice of serving nodes works with. */
+/** The dependencies of {@link ServingNodes}. */
 export interface ServingNodesParts {
   readonly self: NodeId;
   readonly failureDomain: FailureDomainId;
-  /** What this node's VM can do, in processors. */
+  /** The capacity of this node's VM, in processors. */
   readonly processors: number;
   readonly peers: PeerTable;
   /** Whether this node owns engines. */
   readonly ownsEngines: () => boolean;
   /** Whether this node is stopping. */
   readonly isLeaving: () => boolean;
-  /** Called where this node begins to place requests. */
+  /** Called when this node begins to place requests. */
   readonly onActivated: () => void;
-  /** The time of the node's start. */
+  /** When this node started. */
   readonly startedAt: Instant;
 }
 
-/** Which nodes serve, as this one works it out, and whether it is one. */
+/** Determines which nodes serve, and whether this node places requests. */
 export class ServingNodes {
   readonly #parts: ServingNodesParts;
   readonly #servingSet = new ServingSet();
@@ -39,7 +39,7 @@
   #ownerCandidates: ReadonlySet<NodeId>;
   #lastRequestAt: Instant | undefined;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: ServingNodesParts) {
     this.#parts = parts;
     this.#load = new NodeLoad(parts.startedAt);
@@ -47,32 +47,32 @@
     this.#ownerCandidates = this.#serving;
   }
 
-  /** What this node's VM can do, as other nodes are told. */
+  /** The capacity of this node's VM, encoded for its peers. */
   get capacity(): number {
     return encodeCapacity(this.#parts.processors);
   }
 
-  /** The share of it that is in use, as other nodes are told. */
+  /** The share of that capacity in use, encoded for its peers. */
   get load(): number {
     return this.#load.encoded;
   }
 
-  /** How many nodes serve. */
+  /** The number of nodes that serve. */
   get count(): number {
     return this.#serving.size;
   }
 
   /**
-   * Tells whether a node serves.
+   * Determines whether a node serves.
    * @param node The node.
-   * @returns Whether it does.
+   * @returns Whether it serves.
    */
   has(node: NodeId): boolean {
     return this.#serving.has(node);
   }
 
   /**
-   * Tells whether a node takes engines that have no owner.
+   * Determines whether a node takes ownership of engines without an owner.
    * @param node The node.
    * @returns Whether it does.
    */
@@ -81,10 +81,10 @@
   }
 
   /**
-   * Tells whether this node places requests, and so has to know the engines:
-   * it serves, or owns engines, or callers hold on to its address.
+   * Determines whether this node places requests and so has to know the
+   * engines: it serves, owns engines, or callers still use its address.
    * @param now The present time.
-   * @returns Whether it does.
+   * @returns Whether it places requests.
    */
   isActive(now: Instant): boolean {
     return this.has(this.#parts.self) || this.#parts.ownsEngines() ||
@@ -93,9 +93,9 @@
   }
 
   /**
-   * Takes note of a caller's request.
+   * Records a caller's request.
    * @param now The present time.
-   * @returns Whether the node stood by until then.
+   * @returns Whether the node was on standby until then.
    */
   recordRequest(now: Instant): boolean {
     const wasActive = this.isActive(now);
@@ -105,7 +105,7 @@
   }
 
   /**
-   * Works out anew who serves.
+   * Recomputes which nodes serve.
    * @param now The present time.
    */
   refresh(now: Instant): void {
--- a/packages/node/src/relay/shared_log.ts
+++ b/packages/node/src/relay/shared_log.ts
@@ -14,7 +14,7 @@
 } from "@foxtailwind/core";
 import type { Result } from "neverthrow";
 
-/** A claim to order an engine, as it stands in the log. */
+/** A claim of an engine's ownership, as stored in the log. */
 export interface ClaimRecord {
   readonly engine: BackendServerId;
   readonly owner: NodeId;
@@ -23,58 +23,58 @@
   readonly wait: Duration;
 }
 
-/** Where a node can be reached, as it stands in the log. */
+/** The identity and address of a node, as stored in the log. */
 export interface NodeRecord {
   readonly id: NodeId;
   readonly incarnation: string;
-  /** IP literal and port for other nodes. */
+  /** The IP literal and port for other nodes. */
   readonly address: string;
   readonly failureDomain: FailureDomainId;
-  /** What its VM can do, in thousandths of a processor; 0 where not told. */
+  /** The capacity of its VM in thousandths of a processor; 0 if not stated. */
   readonly capacity: number;
 }
 
-/** What the log is to hold, or no more, of suspicions that requests crash servers. */
+/** A suspicion that a request crashes servers, to be added or dropped. */
 export type SuspicionChange =
   | { readonly kind: "added"; readonly suspicion: CrashSuspicion }
   | { readonly kind: "dropped"; readonly key: SuspicionKey };
 
-/** What a record of the log is about. */
+/** The topic of a record of the log. */
 export type RecordTopic = "operators" | "servers" | "nodes";
 
 /**
- * Why a record can't be used: its key is no name, it is too large, its bytes
- * are no text, the text is no JSON, or its fields are not as they should be.
+ * Why a record can't be used: its key is not a name, it is too large, its bytes
+ * are not valid text, the text is not valid JSON, or its fields are invalid.
  */
 export type SkipReason = "key" | "size" | "bytes" | "json" | "fields";
 
-/** Takes what the platform's log says. */
+/** Receives the records and the state of the platform's log. */
 export abstract class SharedLogListener {
   /**
-   * Whether this node watches what operators write for the others, too, and
-   * so shouldn't rely on being told of it.
+   * Whether this node watches the operators' records on behalf of all nodes,
+   * and so must not rely on notifications from others.
    */
   abstract get isWatcher(): boolean;
   /**
-   * Whether this node is one of the few that go on calling a log that is down
-   * as often as in a small system.
+   * Whether this node is one of the few that keep calling an unreachable log as
+   * often as in a small cluster.
    */
   abstract get triesFirst(): boolean;
-  /** How many nodes read the log, this one included. */
+  /** The number of nodes that read the log, including this one. */
   abstract get readers(): number;
-  /** Whether this node places requests, and has to know claims at once. */
+  /** Whether this node places requests and so needs new claims at once. */
   abstract get isActive(): boolean;
-  /** A configuration, which may be older than one taken before. */
+  /** A configuration, which may be older than one received before. */
   abstract configuration(configuration: RelayConfiguration): void;
-  /** A version of an adapter that operators named. */
+  /** An adapter version set by operators. */
   abstract adapterVersion(
     model: ModelId,
     adapter: AdapterId,
     version: number,
   ): void;
   /**
-   * What operators wrote is told up to an offset, which is the same for all
-   * nodes.
+   * The operators' records have been delivered up to an offset, which is the
+   * same for all nodes.
    */
   abstract operatorsTold(end: LogOffset): void;
   /** An entry of the registry of backend servers. */
@@ -84,15 +84,15 @@
     entries: readonly RegistryEntry[],
     end: LogOffset,
   ): void;
-  /** A claim. */
+  /** A claim of an engine's ownership. */
   abstract claim(claim: ClaimRecord, offset: LogOffset): void;
   /** A node that has started. */
   abstract node(node: NodeRecord): void;
-  /** A suspicion that a request has ended a server, or that it is dropped. */
+  /** A suspicion that a request crashes servers was added or dropped. */
   abstract suspicion(change: SuspicionChange): void;
   /** All suspicions that the log holds. */
   abstract suspicionsListed(suspicions: readonly CrashSuspicion[]): void;
-  /** A record can't be read and was left out; called once a record. */
+  /** A record can't be read and was skipped; called once for each record. */
   abstract recordSkipped(topic: RecordTopic, reason: SkipReason): void;
   /** The log has been read up to its end. */
   abstract reached(): void;
@@ -100,46 +100,45 @@
   abstract failed(failure: Failure): void;
 }
 
-/** The platform's log, as the relay uses it. */
+/** The platform's log as used by the relay. */
 export abstract class SharedLog {
   /**
    * Starts to follow the log.
-   * @param listener Takes what it says.
+   * @param listener Receives its records.
    */
   abstract start(listener: SharedLogListener): void;
 
   /**
    * Adds claims, unless the log has grown since it was last read.
    * @param claims The claims.
-   * @returns Whether they were added; a failure may still be carried out.
+   * @returns Whether they were added; after a failure they may still be added.
    */
   abstract claim(
     claims: readonly ClaimRecord[],
   ): Promise<Result<boolean, Failure>>;
 
-  /** Reads the claims that were added since they were last read. */
+  /** Reads the claims added since the last read. */
   abstract catchUp(): Promise<void>;
 
-  /** Reads the claims soon, since this node has begun to place requests. */
+  /** Reads the claims soon, because this node has begun to place requests. */
   abstract hurry(): void;
 
   /**
-   * Makes this node known.
-   * @param node The node.
+   * Announces this node.
+   * @param node The record of this node.
    * @returns Whether it was added.
    */
   abstract announce(node: NodeRecord): Promise<Result<boolean, Failure>>;
 
   /**
-   * Adds and drops suspicions that requests crash servers. Doing so twice is
-   * the same as once.
+   * Adds and drops suspicions that requests crash servers; idempotent.
    * @param changes The changes.
-   * @returns Whether it was done; a failure may still be carried out.
+   * @returns The result; after a failure the changes may still be made.
    */
   abstract changeSuspicions(
     changes: readonly SuspicionChange[],
   ): Promise<Result<void, Failure>>;
 
-  /** Stops following. */
+  /** Stops following the log. */
   abstract stop(): void;
 }
--- a/packages/node/src/relay/state_sequence.ts
+++ b/packages/node/src/relay/state_sequence.ts
@@ -1,16 +1,16 @@
 import type { Instant } from "@foxtailwind/core";
 
-/** Numbers the states of something by the times at which they were first seen. */
+/** Numbers the states of a value by the time each one was first seen. */
 export class StateSequence {
   #sequence = 0;
   #bytes: Uint8Array | undefined;
 
   /**
-   * Gives the number of a state.
+   * Returns the sequence number of a state.
    * @param now The present time.
-   * @param bytes The state, encoded.
-   * @returns The number of the state before where it is the same, else one that
-   * is higher; never 0.
+   * @param bytes The encoded state.
+   * @returns The previous number if the state is unchanged, else a higher one;
+   * never 0.
    */
   numberOf(now: Instant, bytes: Uint8Array): number {
     const isSame = this.#bytes !== undefined &&
--- a/packages/node/src/relay/suspicion_tracker.ts
+++ b/packages/node/src/relay/suspicion_tracker.ts
@@ -11,31 +11,31 @@
 import type { PartLogger } from "../logging/part_logger.ts";
 import type { SuspicionChange } from "./shared_log.ts";
 
-/** What news of suspicions are taken with. */
+/** The dependencies of {@link SuspicionTracker}. */
 export interface SuspicionTrackerParts {
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
 }
 
-/** Takes what the log says of requests that crash servers. */
+/** Applies the log's suspicions that requests crash servers. */
 export class SuspicionTracker {
   readonly quarantine = new RequestQuarantine();
   readonly #parts: SuspicionTrackerParts;
   #refusedContents: ReadonlySet<ContentDigest> = new Set();
-  /** Called with suspicions of servers that were seen to live. */
+  /** Called with suspicions dropped because their servers are alive. */
   onServersLive: (dropped: readonly SuspicionKey[]) => void = () => undefined;
-  /** Called once further requests are refused. */
+  /** Called when further request contents are refused. */
   onContentsRefused: () => void = () => undefined;
-  /** Gives the suspicions of this node that the log may not have yet. */
+  /** Returns the suspicions of this node that the log may not hold yet. */
   unwritten: () => readonly SuspicionKey[] = () => [];
 
-  /** @param parts What they are taken with. */
+  /** @param parts The dependencies. */
   constructor(parts: SuspicionTrackerParts) {
     this.#parts = parts;
   }
 
   /**
-   * Takes a change of the log.
+   * Applies a change read from the log.
    * @param change The change.
    */
   applyChange(change: SuspicionChange): void {
@@ -47,7 +47,7 @@
   }
 
   /**
-   * Takes all that the log holds.
+   * Applies the complete list of suspicions that the log holds.
    * @param suspicions The suspicions.
    */
   applyListing(suspicions: readonly CrashSuspicion[]): void {
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Tells of the contents that are refused since it was last called. */
+  /** Logs the contents that have become refused since the last call. */
   reportRefused(): void {
     const { quarantinedContents: contents } = this.quarantine;
     if (contents === this.#refusedContents) return;
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Takes note that a server which writes a further entry lives.
-   * @param registry What was known before the entry.
+   * Records that a server which writes another entry is alive.
+   * @param registry The registry before the entry.
    * @param entry The entry.
    */
   recordServerEntry(registry: ServerRegistry, entry: RegistryEntry): void {
--- a/packages/node/src/relay/work_counts.ts
+++ b/packages/node/src/relay/work_counts.ts
@@ -1,35 +1,35 @@
 /**
- * What a node does beside relaying requests: each kind wakes its process, and
- * most of them a peer's too.
+ * The kinds of work besides relaying requests. Each one wakes the node's
+ * process, and most also wake a peer's process.
  */
 export type WorkKind =
-  /** Exchanges of digests that this node began, and those that it answered. */
+  /** Digest exchanges that this node began, and those that it answered. */
   | "exchange_asked"
   | "exchange_answered"
-  /** Uses of engines that it asked peers for, and those that peers asked for. */
+  /** Engine uses requested from peers, and those that peers requested. */
   | "use_asked"
   | "use_answered"
-  /** Knowledge that it asked a peer for, and that a peer asked for. */
+  /** Knowledge fetches sent to a peer, and those answered for a peer. */
   | "knowledge_asked"
   | "knowledge_answered"
-  /** Calls to the log that were answered, and those that failed. */
+  /** Log calls that were answered, and those that failed. */
   | "log_answered"
   | "log_failed"
-  /** Looks at claims, lapsed servers and limits. */
+  /** Periodic checks of claims, expired servers and limits. */
   | "look";
 
-/** Counts what a node does, by kind. */
+/** Counts a node's work by kind. */
 export class WorkCounts {
   readonly #counts = new Map<WorkKind, number>();
 
-  /** All kinds that were counted, with their counts. */
+  /** The counts of all kinds counted so far. */
   get counts(): ReadonlyMap<WorkKind, number> {
     return this.#counts;
   }
 
   /**
-   * Counts one more.
-   * @param kind Of what.
+   * Increments a count.
+   * @param kind The kind of work.
    */
   count(kind: WorkKind): void {
     this.#counts.set(kind, (this.#counts.get(kind) ?? 0) + 1);
--- a/packages/node/tests/relay/exchange_partner_test.ts
+++ b/packages/node/tests/relay/exchange_partner_test.ts
@@ -1,6 +1,6 @@
 /**
- * What one node tells another in one exchange after the other, of many nodes
- * of which little changes.
+ * Tests what a node sends to a partner in successive exchanges, in a cluster of
+ * many nodes where little changes.
  */
 import { instant, nodeId } from "@foxtailwind/core";
 import { ExchangeAnswer, type NodeDigest } from "@foxtailwind/protocol";
@@ -21,7 +21,7 @@
   return { engines: [], sequence };
 }
 
-/** A node that asks, and a hub that has heard many others. */
+/** Creates a node that asks, and a hub that has heard many others. */
 function setUp(others: number) {
   const asker = { book: new PeerTable(), own: nodeDigest("asker") };
   const hub = { book: new PeerTable(), own: nodeDigest("hub") };
@@ -44,7 +44,7 @@
   return { asker, hub, exchange };
 }
 
-test("of 195 nodes of which nothing changes, an answer has some hundred bytes", (t) => {
+test("an answer about 195 unchanged nodes takes fewer than 700 bytes", (t) => {
   const { asker, hub, exchange } = setUp(195);
   t.true(exchange(0).isNews);
   t.is(asker.book.alive(instant(100)).length, 196);
@@ -55,10 +55,14 @@
   t.false(isNews);
   t.is(answer.news.length, 0);
   t.true(ExchangeAnswer.encode(answer).finish().length < 700);
-  t.is(asker.book.alive(instant(2_400)).length, 196, "All were heard again.");
+  t.is(
+    asker.book.alive(instant(2_400)).length,
+    196,
+    "All nodes were heard again.",
+  );
 });
 
-test("what changes is told once", (t) => {
+test("a change is sent once", (t) => {
   const { asker, hub, exchange } = setUp(20);
   exchange(0);
   hub.book.heard(
@@ -72,7 +76,7 @@
   t.is(exchange(600).answer.news.length, 0);
 });
 
-test("an answer that was lost is told again", (t) => {
+test("a lost answer is sent again", (t) => {
   const { asker, hub } = setUp(3);
   const lost = new ExchangePartner(ASKER, asker.book);
   const ask = () =>
@@ -86,7 +90,7 @@
   t.is(ask().news.length, 3);
 });
 
-test("a hub that has started again tells all, and is told all", (t) => {
+test("a restarted hub sends and receives everything again", (t) => {
   const { asker, hub, exchange } = setUp(5);
   asker.own = nodeDigest("asker", { engineStates: engineStates(7) });
   exchange(0, EVERYTHING, asker.own);
@@ -103,7 +107,7 @@
   t.is(question.own?.engineStates?.sequence, 7);
 });
 
-test("a node that begins to place requests hears of all engines", (t) => {
+test("a node that begins to place requests receives all engine states", (t) => {
   const { asker, hub, exchange } = setUp(0);
   hub.book.heard(
     instant(0),
@@ -115,15 +119,15 @@
   t.is(asker.book.knownEngineSequence(nodeId("n1"), "run-1"), 3);
 });
 
-test("a node that asked for a hub's own news alone hears of all others later", (t) => {
+test("a node that first requests only a hub's digest receives all others later", (t) => {
   const { asker, exchange } = setUp(20);
   t.is(exchange(0, HUB_ONLY).answer.news.length, 0);
   t.is(asker.book.alive(instant(0)).length, 1);
-  t.is(exchange(300).answer.news.length, 21, "With the asker itself.");
+  t.is(exchange(300).answer.news.length, 21, "Including the asker itself.");
   t.is(asker.book.alive(instant(300)).length, 21);
 });
 
-test("the ages of a node's earlier run keep no later one there", (t) => {
+test("ages of a node's earlier run do not keep its later run alive", (t) => {
   const { asker, hub, exchange } = setUp(1);
   exchange(0);
   asker.book.heard(instant(100), nodeDigest("n0", { incarnation: "run-2" }));
--- a/packages/node/tests/relay/helpers/node_digest.ts
+++ b/packages/node/tests/relay/helpers/node_digest.ts
@@ -1,9 +1,9 @@
 import type { NodeDigest } from "@foxtailwind/protocol";
 
 /**
- * Makes what a node says of itself.
+ * Creates the digest of a node.
  * @param node The node.
- * @param change What differs from a node that is ready and owns nothing.
+ * @param change Fields that differ from a ready node that owns no engines.
  * @returns The digest.
  */
 export function nodeDigest(
--- a/packages/node/tests/relay/helpers/node_record.ts
+++ b/packages/node/tests/relay/helpers/node_record.ts
@@ -2,7 +2,7 @@
 import type { NodeRecord } from "@foxtailwind/node/relay";
 
 /**
- * Makes what the log has of a node.
+ * Creates the log record of a node.
  * @param id The node.
  * @returns The record.
  */
--- a/packages/node/tests/relay/helpers/node_to_kill.ts
+++ b/packages/node/tests/relay/helpers/node_to_kill.ts
@@ -1,6 +1,6 @@
 /**
- * A process of its own, to be killed by a test: a front whose one server has
- * begun an answer without a length. Tells its port on standard output.
+ * A separate process that a test kills: a front server whose only backend has
+ * begun an answer without a length. Prints its port to standard output.
  */
 import type { ExecutionContext } from "ava";
 import { createServer } from "node:net";
@@ -24,7 +24,7 @@
   const world = new RelayWorld();
   world.configure();
   world.addAddress("s1", `127.0.0.1:${port}`);
-  // Nothing is torn down: the process is killed.
+  // No teardown is needed, since the process is killed.
   await world.start(
     { teardown: () => undefined } as unknown as ExecutionContext,
   );
--- a/packages/node/tests/relay/helpers/relay_settings.ts
+++ b/packages/node/tests/relay/helpers/relay_settings.ts
@@ -9,7 +9,7 @@
 export const SETTINGS_TEXT = standInSettings("node-1", seconds(8));
 
 /**
- * Gives valid settings.
+ * Parses valid settings.
  * @returns The settings.
  */
 export function relaySettings(): RelaySettings {
--- a/packages/node/tests/relay/helpers/relay_world.ts
+++ b/packages/node/tests/relay/helpers/relay_world.ts
@@ -45,7 +45,7 @@
 
 const INCARNATION = "run-1";
 
-/** A front with backend servers that answer as a test says. */
+/** A front server with backend servers whose answers a test scripts. */
 export class RelayWorld {
   readonly knowledge: Knowledge;
   readonly front: FrontServer;
@@ -58,11 +58,11 @@
   readonly #addresses = new Map<string, string>();
   #offset = 0;
   port = 0;
-  /** The stop that the front's node is in. */
+  /** The planned stop of the front server's node, if any. */
   stop: PlannedStop | undefined;
   readonly control = new ScriptedEngine(2);
 
-  /** @param write Takes the lines of the log, where a test reads them. */
+  /** @param write Receives the log lines, if a test reads them. */
   constructor(write?: (line: string) => void) {
     const { base, knowledge } = relayBase({
       part: "callers",
@@ -132,12 +132,12 @@
     this.front = new FrontServer(parts);
   }
 
-  /** Tells the time some milliseconds ago. */
+  /** Returns the time some milliseconds ago. */
   earlier(ago: number): Instant {
     return instant(this.#clock.now() - ago);
   }
 
-  /** Puts the configuration in force. */
+  /** Activates the tests' configuration. */
   configure(): void {
     this.knowledge.configuration({
       version: 1,
@@ -159,7 +159,7 @@
    * Adds a backend server.
    * @param id Its id.
    * @param answer How it answers.
-   * @param service The service that it is of.
+   * @param service Its service.
    */
   async addServer(
     id: string,
@@ -178,7 +178,7 @@
   /**
    * Adds an engine that this node owns.
    * @param id Its id.
-   * @param wait How long this node may not order it yet.
+   * @param wait How long this node must wait before its first order.
    * @param answer How it answers requests.
    */
   async addEngine(
@@ -199,10 +199,10 @@
   }
 
   /**
-   * Registers a server at an address, whoever answers there.
+   * Registers a server at an address, whatever listens there.
    * @param id The server's id.
    * @param address The address.
-   * @param service The service that it is of.
+   * @param service Its service.
    */
   addAddress(id: string, address: string, service = SERVICE): void {
     this.#offset += 1;
@@ -220,7 +220,7 @@
   }
 
   /**
-   * Takes a server out of the registry.
+   * Removes a server from the registry.
    * @param id The server's id.
    */
   leave(id: string): void {
@@ -233,14 +233,14 @@
   }
 
   /**
-   * Puts a server that has left back into the registry.
+   * Registers a removed server again.
    * @param id The server's id.
    */
   comeBack(id: string): void {
     this.addAddress(id, this.#addresses.get(id) ?? "");
   }
 
-  /** Starts the front. */
+  /** Starts the front server. */
   async start(t: ExecutionContext): Promise<this> {
     this.port = await this.front.listen({ host: "127.0.0.1", port: 0 });
     t.teardown(async () => {
@@ -276,7 +276,7 @@
   }
 }
 
-/** Starts a front with the tests' configuration. */
+/** Starts a front server with the tests' configuration. */
 export async function startWorld(t: ExecutionContext): Promise<RelayWorld> {
   const world = new RelayWorld();
   world.configure();
--- a/packages/node/tests/relay/knowledge_message_test.ts
+++ b/packages/node/tests/relay/knowledge_message_test.ts
@@ -22,7 +22,7 @@
 import { relayBase } from "./helpers/relay_base.ts";
 import { relaySettings } from "./helpers/relay_settings.ts";
 
-/** A node that knows nothing yet. */
+/** The request of a node that knows nothing yet. */
 const EMPTY_REQUEST = { configurationVersion: 0, registryEnd: 0 };
 
 function knowledge(): Knowledge {
@@ -43,7 +43,7 @@
   };
 }
 
-/** The entry of an engine that is there. */
+/** Creates the registry entry of a present engine. */
 function presentEntry(id: string, offset: number): RegistryEntry {
   return {
     kind: "present",
@@ -65,7 +65,7 @@
   };
 }
 
-test("a node that can't reach the log learns all from a peer", (t) => {
+test("a node that can't reach the log learns everything from a peer", (t) => {
   const peer = knowledge();
   peer.configuration(configuration(7));
   peer.adapterVersion(modelId("m"), adapterId("a1"), 3);
@@ -78,7 +78,7 @@
   t.deepEqual(node.servers(serviceId("s")), peer.servers(serviceId("s")));
 });
 
-test("what a peer knows never takes a node back to an older configuration", (t) => {
+test("a peer's message never replaces a configuration by an older one", (t) => {
   const peer = knowledge();
   peer.configuration(configuration(7));
   const node = knowledge();
@@ -92,7 +92,7 @@
   );
 });
 
-test("configurations go forward only", (t) => {
+test("configuration versions only increase", (t) => {
   const node = knowledge();
   node.configuration(configuration(9));
   node.configuration(configuration(8));
@@ -101,23 +101,23 @@
   t.is(node.routes?.configuration.version, 12);
 });
 
-test("the first two nodes by id watch what operators write, and others once they are silent", (t) => {
+test("the first two nodes by id watch the operators' records, and others once those are silent", (t) => {
   const node = knowledge();
   const id = relaySettings().node.id;
   const now = new ProcessClock().now();
-  t.true(node.isWatcher, "It is alone.");
+  t.true(node.isWatcher, "It is the only node.");
   node.peers.heard(now, nodeDigest(`${id}-later`));
   node.peers.heard(now, nodeDigest("a"));
-  t.true(node.isWatcher, "One is before it.");
+  t.true(node.isWatcher, "One node precedes it.");
   node.peers.heard(now, nodeDigest("b"));
-  t.false(node.isWatcher, "Two are before it.");
+  t.false(node.isWatcher, "Two nodes precede it.");
   const later = knowledge();
   later.peers.heard(now, nodeDigest("a"));
   later.peers.heard(instant(now - 2_000), nodeDigest("b"));
-  t.true(later.isWatcher, "One of them has been silent.");
+  t.true(later.isWatcher, "One of them is silent.");
 });
 
-test("nodes that serve watch before others do", (t) => {
+test("serving nodes take precedence as watchers", (t) => {
   const node = knowledge();
   const now = new ProcessClock().now();
   const { id } = relaySettings().node;
@@ -137,10 +137,10 @@
   serve("z1", "z2");
   t.false(node.isWatcher, "Two others serve.");
   serve("z1", id);
-  t.true(node.isWatcher, "Another one serves, behind it.");
+  t.true(node.isWatcher, "The other serving node follows it by id.");
 });
 
-test("nodes that don't reach the log are passed over as watchers", (t) => {
+test("nodes that don't reach the log are skipped as watchers", (t) => {
   const node = knowledge();
   const now = new ProcessClock().now();
   node.peers.heard(now, nodeDigest("a", { reachesLog: false }));
@@ -148,7 +148,7 @@
   t.true(node.isWatcher);
 });
 
-test("the registry is told to those alone who lack a change of it", (t) => {
+test("the registry is sent only to nodes that lack a change of it", (t) => {
   const peer = knowledge();
   const { registry } = peer;
   registry.advanceChangedAt(logOffset(7));
@@ -160,13 +160,14 @@
 });
 
 /**
- * The store turned one node away for seven seconds and served all others. A
- * server's entry was removed meanwhile; each other node took it for gone within
- * 350 ms, and told so. The one node, whose own calls failed, took it for an
- * entry that may have lapsed with the store, and went on sending to the server
- * for 2.6 s. In three plays it alone logged no departure.
+ * Guards against a node that keeps sending to a removed server. The store
+ * rejected one node's calls for seven seconds while a server's entry was
+ * removed. All other nodes recorded the removal within 350 ms and reported it,
+ * but that node took the entry for one that may have expired with the store and
+ * sent to the server for another 2.6 s. In three runs, it alone logged no
+ * departure.
  */
-test("a departure that a peer has seen is not doubted by a node whose own calls fail", (t) => {
+test("a node whose own calls fail trusts a removal that a peer has seen", (t) => {
   const peer = knowledge();
   const node = knowledge();
   for (const one of [peer, node]) one.registryEntry(presentEntry("i-1", 4));
@@ -174,7 +175,7 @@
     reason: "unavailable",
     step: "read_log",
     peer: "store",
-    message: "The store turns this node away.",
+    message: "The store rejects this node.",
     outcome: "not_run",
   });
   const id = backendServerId("i-1");
@@ -184,7 +185,7 @@
   t.deepEqual(node.registry.all, []);
 });
 
-test("of many nodes, one that others tell reaches the log until a call of its own fails", (t) => {
+test("in a large cluster, a notified node reaches the log until its own call fails", (t) => {
   const node = knowledge();
   const clock = new ProcessClock();
   const heardAt = clock.now();
@@ -192,7 +193,7 @@
     node.peers.heard(heardAt, nodeDigest(`a${other}`));
   }
   const later = instant(heardAt + 30_000);
-  t.false(node.isInContact(later), "It has not reached it.");
+  t.false(node.isInContact(later), "It has not reached the log yet.");
   node.reached();
   t.true(node.isInContact(later));
   node.failed({
@@ -205,12 +206,12 @@
   t.false(node.isInContact(later));
 });
 
-test("while the log is out of everybody's reach, two nodes try it for the others", (t) => {
+test("while no node reaches the log, two nodes retry it for the others", (t) => {
   const node = knowledge();
   const now = new ProcessClock().now();
   for (const other of ["a", "b", "c"]) {
     node.peers.heard(now, nodeDigest(other, { reachesLog: false }));
   }
-  t.true(node.isWatcher, "It relies on nobody.");
+  t.true(node.isWatcher, "It relies on no other node.");
   t.false(node.triesFirst);
 });
--- a/packages/node/tests/relay/limited_servers_test.ts
+++ b/packages/node/tests/relay/limited_servers_test.ts
@@ -4,7 +4,7 @@
 import { nodeDigest } from "./helpers/node_digest.ts";
 import { RelayWorld, succeed } from "./helpers/relay_world.ts";
 
-/** A front whose servers name limits. */
+/** Starts a front server whose backend servers state rate limits. */
 async function startLimited(
   t: Parameters<RelayWorld["start"]>[0],
   limits: readonly number[],
@@ -25,7 +25,7 @@
   return { world, arrivals };
 }
 
-test("what limits leave no time for is refused at once, with the time of a place", async (t) => {
+test("a request that limits leave no time for is refused at once, with a retry time", async (t) => {
   const { world, arrivals } = await startLimited(t, [0.5]);
   t.is((await world.call("/once/a")).status, 200);
   const clock = new ProcessClock();
@@ -34,11 +34,11 @@
   t.is(refused.status, 503);
   const wait = Number(refused.headers["retry-after"]);
   t.true(wait > 1 && wait <= 2.3, `${wait} s`);
-  t.true(clock.now() - before < 300, "It was not held.");
+  t.true(clock.now() - before < 300, "It was not queued.");
   t.is(arrivals.length, 1);
 });
 
-test("what limits leave time for waits its turn", async (t) => {
+test("a request that limits leave time for is queued", async (t) => {
   const { world, arrivals } = await startLimited(t, [6]);
   t.is((await world.call("/once/a")).status, 200);
   t.is((await world.call("/once/b")).status, 200);
@@ -46,12 +46,12 @@
     Array.from({ length: 12 }, () => world.call("/once/c")),
   );
   const refused = answers.filter(({ status }) => status === 503);
-  t.true(refused.length >= 8, "Those behind are told when to come back.");
+  t.true(refused.length >= 8, "Requests far back in the queue are refused.");
   t.true(refused.every(({ headers }) => Number(headers["retry-after"]) > 0.4));
   t.true(arrivals.length < 6);
 });
 
-test("a server without a limit takes what another one does not", async (t) => {
+test("a server without a limit takes the requests that a limited one can't", async (t) => {
   const { world, arrivals } = await startLimited(t, [0.5, 0]);
   for (let index = 0; index < 20; index += 1) {
     t.is((await world.call("/once/a")).status, 200);
@@ -59,10 +59,10 @@
   t.true(arrivals.filter((id) => id === "s1").length <= 1);
 });
 
-test("a limit that another node has seen holds here too, until it stops to tell", async (t) => {
+test("a limit observed by another node applies here until it is no longer reported", async (t) => {
   const { world, arrivals } = await startLimited(t, [0]);
   const clock = new ProcessClock();
-  const tell = (sequence: number, requestsPerSecond: number | undefined) => {
+  const report = (sequence: number, requestsPerSecond: number | undefined) => {
     world.knowledge.peers.heard(
       clock.now(),
       nodeDigest("n2", {
@@ -72,10 +72,10 @@
     );
     world.limits.refresh(clock.now());
   };
-  tell(1, 0.5);
+  report(1, 0.5);
   t.is((await world.call("/once/a")).status, 503);
   t.is(arrivals.length, 0);
-  tell(2, undefined);
+  report(2, undefined);
   await sleep(10);
   t.is((await world.call("/once/a")).status, 200);
 });
--- a/packages/node/tests/relay/node_presence_test.ts
+++ b/packages/node/tests/relay/node_presence_test.ts
@@ -1,4 +1,4 @@
-/** What a node of a large system says of itself and of the others. */
+/** Tests how a node of a large cluster describes itself and the others. */
 import { instant, milliseconds } from "@foxtailwind/core";
 import {
   type Knowledge,
@@ -11,7 +11,7 @@
 import { nodeRecord } from "./helpers/node_record.ts";
 import { relayBase } from "./helpers/relay_base.ts";
 
-/** A node that listens, and knows a configuration. */
+/** Creates a node that listens and has a configuration. */
 function setUp() {
   const clock = new ProcessClock();
   const { base, knowledge } = relayBase({ part: "daemon", clock });
@@ -53,7 +53,7 @@
   });
 }
 
-test("a node that starts with sixty others shares limits with them before it has heard them", (t) => {
+test("a node that starts with sixty others shares limits with them before it hears them", (t) => {
   const { clock, knowledge, presence } = setUp();
   for (let node = 0; node < 60; node += 1) {
     knowledge.node(nodeRecord(`n${node}`));
@@ -64,7 +64,7 @@
   t.is(presence.countNodes(instant(now + 25_000)), 1);
 });
 
-test("callers are sent to nodes that serve, of their own failure domain", (t) => {
+test("callers get the addresses of serving nodes in their own failure domain", (t) => {
   const { clock, knowledge, serving, presence } = setUp();
   const now = clock.now();
   for (let node = 0; node < 60; node += 1) {
@@ -77,7 +77,11 @@
       }),
     );
   }
-  t.is(presence.callerAddresses("d1").length, 20, "All, before it has looked.");
+  t.is(
+    presence.callerAddresses("d1").length,
+    20,
+    "All nodes, before the serving set is computed.",
+  );
   serving.refresh(now);
   t.deepEqual(presence.callerAddresses("d1"), ["n1", "n4", "n7"]);
   const others = presence.callerAddresses("elsewhere");
@@ -85,7 +89,7 @@
   for (const node of ["n0", "n4", "n8"]) t.true(others.includes(node));
 });
 
-test("what a node says of itself is numbered anew only where it has changed", (t) => {
+test("a node's digest gets a new sequence number only if it has changed", (t) => {
   const { knowledge, presence } = setUp();
   const first = presence.digest;
   const second = presence.digest;
--- a/packages/node/tests/relay/peer_table_test.ts
+++ b/packages/node/tests/relay/peer_table_test.ts
@@ -9,7 +9,7 @@
 import test from "ava";
 import { nodeDigest } from "./helpers/node_digest.ts";
 
-test("a silent node is no longer there, but is still contacted", (t) => {
+test("a silent node is no longer alive but is still contacted", (t) => {
   const peers = new PeerTable();
   peers.heard(instant(0), nodeDigest("n1"));
   t.is(peers.alive(instant(1_000)).length, 1);
@@ -18,7 +18,7 @@
   t.is(peers.contacts(instant(70_000)).length, 0);
 });
 
-test("a node that said that it stops counts as stopped until it is heard again", (t) => {
+test("a node that announced its stop counts as stopped until it is heard again", (t) => {
   const peers = new PeerTable();
   peers.heard(instant(0), nodeDigest("n1", { isLeaving: true }));
   t.true(peers.left(instant(5_000)).has(nodeId("n1")));
@@ -26,7 +26,7 @@
   t.false(peers.left(instant(6_001)).has(nodeId("n1")));
 });
 
-test("what an owner says of an engine counts for a moment only", (t) => {
+test("an owner's digest of an engine expires", (t) => {
   const peers = new PeerTable();
   const engine = {
     engine: "e1",
@@ -49,13 +49,13 @@
   t.is(find(1_300, "n1"), undefined);
 });
 
-test("of digests that come by several ways, the newest one counts", (t) => {
+test("of digests received over several paths, the newest one counts", (t) => {
   const peers = new PeerTable();
   const later = nodeDigest("n1", { sequence: 7, isReady: false });
   peers.heard(instant(1_000), later);
-  const passedOn = { age: milliseconds(100), isRelayed: true };
+  const relayed = { age: milliseconds(100), isRelayed: true };
   const earlier = nodeDigest("n1", { sequence: 6 });
-  t.false(peers.heard(instant(1_100), earlier, passedOn));
+  t.false(peers.heard(instant(1_100), earlier, relayed));
   t.false(peers.alive(instant(1_100))[0]?.isReady);
   const before = nodeDigest("n1", { sequence: 9_000, incarnation: "run-0" });
   peers.heard(
@@ -68,7 +68,7 @@
 
 const engineStates = (sequence: number) => ({ engines: [], sequence });
 
-/** What a book tells beyond a count of changes: nodes, and whose engines. */
+/** Lists the news after a change count: nodes and their engine sequences. */
 function newsSince(peers: PeerTable, cursor: number, wantsEngines = true) {
   return peers.newsFor(instant(250), { cursor, wantsEngines })
     .map(({ digest }) => [
@@ -77,7 +77,7 @@
     ]);
 }
 
-test("another node is told of what it lacks alone, and how old all is", (t) => {
+test("a partner receives only what it lacks, and the ages of all nodes", (t) => {
   const peers = new PeerTable();
   peers.heard(instant(0), nodeDigest("n1", { sequence: 1 }));
   const { cursor } = peers;
@@ -90,7 +90,7 @@
   t.deepEqual(peers.ages(instant(70_000)), [0, 0]);
 });
 
-test("who places no requests is told of no engines, nor of their changes", (t) => {
+test("a node that places no requests receives no engine states", (t) => {
   const peers = new PeerTable();
   const digest = nodeDigest("n1", {
     sequence: 1,
@@ -105,7 +105,7 @@
   t.deepEqual(newsSince(peers, cursor), [["n1", 2]]);
 });
 
-test("engines that are left out stay known through one run of their node", (t) => {
+test("omitted engine states stay known until their node restarts", (t) => {
   const peers = new PeerTable();
   const digest = nodeDigest("n1", {
     sequence: 1,
@@ -122,7 +122,7 @@
   t.is(peers.knownEngineSequence(nodeId("n1"), "run-2"), 0);
 });
 
-test("a node that others hear is there, in the run that they hear", (t) => {
+test("a node that others hear is alive, in the run that they hear", (t) => {
   const peers = new PeerTable();
   peers.heard(instant(0), nodeDigest("n1"));
   const age = milliseconds(100);
@@ -132,7 +132,7 @@
   t.is(peers.alive(instant(9_000)).length, 1);
   t.false(
     peers.recordRelayedContact(instant(9_100), nodeId("n1"), "run-1", age),
-    "No news.",
+    "It was already alive.",
   );
   t.false(
     peers.recordRelayedContact(instant(20_000), nodeId("n1"), "run-0", age),
@@ -140,14 +140,14 @@
   t.is(peers.alive(instant(20_000)).length, 0);
 });
 
-test("a node that exchanges rarely is given its time before it counts as gone", (t) => {
+test("a node that exchanges rarely has a longer timeout before it counts as gone", (t) => {
   const peers = new PeerTable();
   peers.heard(instant(0), nodeDigest("n1", { periodMilliseconds: 1_000 }));
   t.is(peers.alive(instant(2_400)).length, 1);
   t.is(peers.alive(instant(2_600)).length, 0);
 });
 
-test("what is passed on may be older before its node counts as gone", (t) => {
+test("relayed digests may be older before their node counts as gone", (t) => {
   const peers = new PeerTable();
   const terms = { age: milliseconds(500), isRelayed: true };
   peers.heard(instant(500), nodeDigest("n1"), terms);
@@ -155,7 +155,7 @@
   t.is(peers.alive(instant(3_300)).length, 0);
 });
 
-test("digests of a node that has run for months are still numbered upwards", (t) => {
+test("sequence numbers still increase on a node that has run for months", (t) => {
   const peers = new PeerTable();
   const halfAYear = 180 * 24 * 3_600 * 1_000;
   for (const sequence of [halfAYear, halfAYear + 300]) {
--- a/packages/node/tests/relay/relay_metrics_test.ts
+++ b/packages/node/tests/relay/relay_metrics_test.ts
@@ -12,7 +12,7 @@
   serversLimited: () => 0,
 };
 
-test("records that were left out are counted by topic and reason", async (t) => {
+test("skipped records are counted by topic and reason", async (t) => {
   const work = new WorkCounts();
   const metrics = new RelayMetrics({ ...GAUGES, work: () => work.counts });
   metrics.recordSkipped("servers", "json");
@@ -26,7 +26,7 @@
   ]);
 });
 
-test("what a node does beside relaying is told by kind, each time anew", async (t) => {
+test("work besides relaying is exported by kind with its present counts", async (t) => {
   const work = new WorkCounts();
   const metrics = new RelayMetrics({ ...GAUGES, work: () => work.counts });
   const lines = async () =>
--- a/packages/node/tests/relay/relay_settings_test.ts
+++ b/packages/node/tests/relay/relay_settings_test.ts
@@ -5,12 +5,12 @@
 import test from "ava";
 import { SETTINGS_TEXT } from "./helpers/relay_settings.ts";
 
-test("valid settings are read, with what may be left out", (t) => {
+test("valid settings are parsed, with defaults for omitted ones", (t) => {
   const settings = parseRelaySettings(SETTINGS_TEXT, "relay.ini");
   t.snapshot(settings._unsafeUnwrap());
 });
 
-test("every problem is named at once, with its place and what is allowed", (t) => {
+test("all problems are reported together, with their locations and allowed values", (t) => {
   const text = SETTINGS_TEXT
     .replace("callers = 127.0.0.1:0", "callers = somewhere")
     .replace("share = 0.2", "share = 2")
--- a/packages/node/tests/relay/relay_stop_test.ts
+++ b/packages/node/tests/relay/relay_stop_test.ts
@@ -15,26 +15,26 @@
   t.is(step(100, 0), "serve");
   t.is(step(3_900, 0), "serve");
   t.is(step(4_100, 1), "serve");
-  t.is(step(4_100, 0, 3_900), "serve", "A request came just now.");
+  t.is(step(4_100, 0, 3_900), "serve", "A request arrived recently.");
   t.is(step(4_600, 0, 3_900), "end");
 });
 
-test("near the end by force no new connections are taken, and work goes on", (t) => {
+test("near the forced end no new connections are accepted, and work continues", (t) => {
   t.is(step(6_100, 2, 6_000), "close_door");
   t.is(step(7_700, 1, 6_000), "close_door");
   t.is(step(7_800, 1, 6_000), "end");
 });
 
-test("what comes late to a stopping node is taken only if it ends in time", (t) => {
+test("a late request to a stopping node is accepted only if it ends in time", (t) => {
   const isTaken = (now: number, longest: number) =>
     isTakenWhileStopping(
       instant(now),
       { begunAt: instant(0), grace: seconds(8) },
       milliseconds(longest),
     );
-  t.true(isTaken(2_700, 30_000), "Callers may not know yet.");
+  t.true(isTaken(2_700, 30_000), "Callers may not know of the stop yet.");
   t.false(isTaken(2_900, 30_000));
-  t.false(isTaken(3_270, 5_000), "A stream that would be cut.");
+  t.false(isTaken(3_270, 5_000), "The stream would be cut off.");
   t.true(isTaken(3_270, 4_000));
   t.true(isTaken(6_700, 1_000));
   t.false(isTaken(7_000, 1_000));
--- a/packages/node/tests/relay/stalled_node_test.ts
+++ b/packages/node/tests/relay/stalled_node_test.ts
@@ -1,6 +1,6 @@
 /**
- * A node whose process stands still for a moment: what came meanwhile waits to
- * be read while the timers of its limits run out.
+ * Tests a node whose process stalls briefly: received data stays unread while
+ * the timers of its timeouts expire.
  */
 import test from "ava";
 import { createServer, type Socket } from "node:net";
@@ -11,13 +11,13 @@
 const ANSWER =
   "HTTP/1.1 200 OK\r\nx-id: r1\r\nx-seal: s\r\ncontent-length: 4\r\n\r\nwell";
 
-/** Keeps the process from doing anything else, as a busy VM does. */
+/** Blocks the event loop, as on a busy VM. */
 function blockEventLoop(milliseconds: number): void {
   const until = performance.now() + milliseconds;
   while (performance.now() < until);
 }
 
-/** Puts a server in place that answers, and then keeps the node from reading. */
+/** Adds a server that answers and then keeps the node from reading. */
 async function answerBeforeStall(
   t: ExecutionContext,
   world: RelayWorld,
@@ -45,16 +45,16 @@
   return await world.start(t);
 }
 
-// Guards against a limit's refusal while the answer lies there unread.
-test.serial("an answer that came before its limit is passed on after a stall", async (t) => {
+// Guards against a timeout while the answer is received but unread.
+test.serial("an answer received before its timeout is forwarded after a stall", async (t) => {
   const world = await startWorld(t);
   await answerBeforeStall(t, world, 400);
   const answer = await world.call("/short/a");
   t.deepEqual([answer.status, answer.bytes.toString()], [200, "well"]);
 });
 
-// Guards against calls that are cut as silent since nobody read their answer.
-test.serial("a server that answered during a stall is not taken for silent", async (t) => {
+// Guards against calls that are cut as silent because their answer is unread.
+test.serial("a server that answered during a stall does not count as silent", async (t) => {
   const world = await startWorld(t);
   const connections = await answerBeforeStall(t, world, 700);
   const answer = await world.call("/repeatable/a");
--- a/packages/node/tests/relay/stop_end_test.ts
+++ b/packages/node/tests/relay/stop_end_test.ts
@@ -1,10 +1,11 @@
 /**
- * The end of a planned stop. A caller's connection was closed in the middle of
- * its answer 7.8 s after the signal: the node had taken the request 4.5 s after
- * it, though nothing bounds such a request to the time that is left. Refusing
- * what comes late mends that case only. What was taken earlier, or before the
- * signal, still ended with a bare close where its server was slow, and servers
- * were given time that the node did not have.
+ * Guards against requests that end without a final answer when a planned stop
+ * ends. A caller's connection was closed in the middle of its answer 7.8 s after
+ * the signal, since the node had accepted the request 4.5 s after the signal
+ * without limiting it to the remaining time. Refusing late requests covers that
+ * case only: requests accepted earlier, or before the signal, still ended with
+ * a bare close if their server was slow, and servers were given more time than
+ * the node had left.
  */
 import { seconds } from "@foxtailwind/core";
 import test from "ava";
@@ -25,10 +26,10 @@
   await arrived;
   await world.front.cut();
   const { bytes } = await call.ended;
-  t.regex(bytes, /^HTTP\/1\.1 504 /, "It may have run.");
+  t.regex(bytes, /^HTTP\/1\.1 504 /, "The request may have run.");
 });
 
-test("a request that found no place until a node ends is told that it has not run", async (t) => {
+test("a request not placed before the node ends is answered as not run", async (t) => {
   const world = new RelayWorld();
   world.configure();
   await world.start(t);
--- a/packages/node/tests/relay/stop_work_test.ts
+++ b/packages/node/tests/relay/stop_work_test.ts
@@ -1,7 +1,7 @@
 /**
- * Where accepted work might still end without a final answer, or go on without
- * anybody who waits for it: around the end of a stop, while the first
- * configuration is awaited, and where a body comes slowly.
+ * Guards against accepted requests that end without a final answer, or that
+ * continue after their caller has left: around the end of a stop, while waiting
+ * for the first configuration, and while a body arrives slowly.
  */
 import { seconds } from "@foxtailwind/core";
 import test, { type ExecutionContext } from "ava";
@@ -28,12 +28,12 @@
   return { socket, seen };
 }
 
-/** Waits until the front has as many requests in progress. */
+/** Waits until the front server has this many requests in progress. */
 async function waitForRunning(world: RelayWorld, count: number): Promise<void> {
   while (world.front.running !== count) await sleep(5);
 }
 
-test("a request that waits for the first configuration gets a final answer where the node ends", async (t) => {
+test("a request that waits for the first configuration gets a final answer when the node ends", async (t) => {
   const world = await startWorld(t);
   const call = rawCall(world.port, "/once/a");
   await waitForRunning(world, 1);
@@ -42,7 +42,7 @@
   t.regex((await call.ended).bytes, /^HTTP\/1\.1 503 /);
 });
 
-test("a request that is read between the last look and the close is not passed on, or gets an answer", async (t) => {
+test("a request read between the last check and the close is not forwarded, or gets an answer", async (t) => {
   const world = await startWorld(t);
   world.configure();
   const runs: string[] = [];
@@ -54,16 +54,19 @@
   const { socket, seen } = dial(world.port);
   await new Promise((resolve) => socket.once("connect", resolve));
   await sleep(50);
-  t.is(world.front.running, 0, "A stop ends now.");
+  t.is(world.front.running, 0, "A stop would end now.");
   socket.write(REQUEST);
   world.front.stopListening();
   await world.front.cut();
   await sleep(100);
   socket.destroy();
-  t.true(!runs.includes("late") || seen.bytes !== "", "It ran.");
+  t.true(
+    !runs.includes("late") || seen.bytes !== "",
+    "It ran without an answer.",
+  );
 });
 
-test("a caller that leaves while the first configuration is awaited has its request dropped", async (t) => {
+test("a request is dropped if its caller leaves before the first configuration", async (t) => {
   const world = await startWorld(t);
   const runs: string[] = [];
   await world.addServer("s1", (request, response) => {
@@ -80,7 +83,7 @@
   t.deepEqual(runs, []);
 });
 
-test("a caller that leaves with its body while the first configuration is awaited is not waited for", async (t) => {
+test("a partial body is not awaited if its caller leaves before the first configuration", async (t) => {
   const world = await startWorld(t);
   const { socket } = dial(world.port);
   socket.write(`POST /once/a ${HEAD}content-length: 10\r\n\r\nhalf`);
@@ -92,7 +95,7 @@
   t.is(world.front.running, 0, "A stop would take all its time.");
 });
 
-test("a send that begins during a stop gives its server no more time than the node has", async (t) => {
+test("a send that begins during a stop gives its server no more time than the node has left", async (t) => {
   const world = await startWorld(t);
   world.configure();
   const left: number[] = [];
@@ -111,7 +114,7 @@
   t.true(second <= 1_000, `${second}`);
 });
 
-test("a request whose body took all its time reaches no server", async (t) => {
+test("a request whose body used up its time limit reaches no server", async (t) => {
   const world = await startWorld(t);
   world.configure();
   const left: number[] = [];
@@ -119,7 +122,7 @@
     left.push(Number(request.headers["x-left"]));
     succeed(request, response, "well");
   });
-  // The connection to the server is there, so that nothing holds the send up.
+  // Opens the connection to the server, so that nothing delays the send.
   await world.call("/once/a");
   left.length = 0;
   const { socket, seen } = dial(world.port);
@@ -134,7 +137,7 @@
   t.regex(seen.bytes, /^HTTP\/1\.1 503 /);
 });
 
-test("what is refused during a stop ends its connection, though it came before", async (t) => {
+test("a request that arrived before a stop and is refused during it ends its connection", async (t) => {
   const world = await startWorld(t);
   world.configure();
   const call = dial(world.port);
@@ -147,7 +150,7 @@
   t.regex(call.seen.bytes, /connection: close/i);
 });
 
-test("a body that is still being read as the node ends reaches no server", async (t) => {
+test("a body that is still being read when the node ends reaches no server", async (t) => {
   const world = await startWorld(t);
   world.configure();
   let arrivals = 0;
@@ -158,7 +161,7 @@
   socket.write(`POST /once/a ${HEAD}content-length: 10\r\n\r\nhalf`);
   await waitForRunning(world, 1);
   world.front.stopListening();
-  t.is(world.front.running, 1, "It keeps a stop from ending early.");
+  t.is(world.front.running, 1, "The request keeps a stop from ending early.");
   await world.front.cut();
   await sleep(60);
   t.is(seen.bytes, "");
@@ -167,7 +170,7 @@
   t.true(socket.destroyed);
 });
 
-test("a closing door leaves a request that is being answered, and its body that is being read", async (t) => {
+test("closing the listener leaves requests that are being answered or read", async (t) => {
   const world = await startWorld(t);
   world.configure();
   await world.addServer("s1", (request, response) => {
@@ -179,7 +182,7 @@
   const { socket, seen } = dial(world.port);
   socket.write(`POST /once/a ${HEAD}content-length: 4\r\n\r\nha`);
   await waitForRunning(world, 2);
-  for (let look = 0; look < 3; look += 1) world.front.stopListening();
+  for (let call = 0; call < 3; call += 1) world.front.stopListening();
   socket.write("lf");
   t.regex((await whole.ended).bytes, /well$/);
   await sleep(250);
