--- a/packages/node/src/relay/exchange_partner.ts
+++ b/packages/node/src/relay/exchange_partner.ts
@@ -82,7 +82,7 @@
     this.#id = nodeId(own.node);
     if (own.incarnation !== this.#incarnation) this.#resetProgress();
     this.#incarnation = own.incarnation;
-    // The answer holds only what was requested.
+    // The answer omits what was not requested, so the cursor stays then.
     if (scope.wantsOthers) {
       this.#cursor = answer.cursor;
       this.#receivedEngines = scope.wantsEngines;
--- a/packages/node/src/relay/operations_server.ts
+++ b/packages/node/src/relay/operations_server.ts
@@ -45,13 +45,13 @@
 
   /**
    * Starts to listen.
-   * @param addressesByEndpoint The addresses; equal ones share one socket.
+   * @param listenAddresses The addresses; equal ones share one socket.
    * @returns The port used for readiness.
    */
-  async listen(addressesByEndpoint: OperationsAddresses): Promise<number> {
+  async listen(listenAddresses: OperationsAddresses): Promise<number> {
     const fastify = this.#fastify;
     await fastify.ready();
-    const { readiness, addresses, metrics } = addressesByEndpoint;
+    const { readiness, addresses, metrics } = listenAddresses;
     const distinctAddresses = new Map(
       [readiness, addresses, metrics].map((address: SocketAddress) => [
         `${address.host}:${address.port}`,
--- a/packages/node/src/relay/peer_table.ts
+++ b/packages/node/src/relay/peer_table.ts
@@ -263,7 +263,7 @@
     if (peer?.digest === undefined) return undefined;
     if (!isFresh(peer, now, ENGINE_STATE_TIMEOUT)) return undefined;
     const digest = peer.digest.engineStates?.engines
-      .find((one) => one.engine === engine);
+      .find((state) => state.engine === engine);
     if (digest === undefined) return undefined;
     return { owner, address: peer.record.address, digest };
   }
--- a/packages/node/src/relay/suspicion_tracker.ts
+++ b/packages/node/src/relay/suspicion_tracker.ts
@@ -61,8 +61,8 @@
   reportRefused(): void {
     const { quarantinedContents: contents } = this.quarantine;
     if (contents === this.#refusedContents) return;
-    const added = [...contents].filter((one) =>
-      !this.#refusedContents.has(one)
+    const added = [...contents].filter((content) =>
+      !this.#refusedContents.has(content)
     );
     this.#refusedContents = contents;
     for (const content of added) {
