--- a/packages/node/src/relay/exchange_partner.ts
+++ b/packages/node/src/relay/exchange_partner.ts
@@ -4,149 +4,151 @@
   ExchangeQuestion,
   NodeDigest,
 } from "@foxtailwind/protocol";
-import type { PeerBook } from "./peer_book.ts";
-import { ageOf } from "./told_age.ts";
+import type { PeerTable } from "./peer_table.ts";
+import { decodeAge } from "./encoded_age.ts";
 
-/** What a node wants to hear from a partner. */
-export interface ExchangeWishes {
+/** What a node requests from an exchange partner. */
+export interface ExchangeScope {
   readonly wantsOthers: boolean;
   readonly wantsEngines: boolean;
 }
 
-interface ToldNode {
+interface ReportedNode {
   readonly id: NodeId;
   readonly incarnation: string;
 }
 
 /**
- * What one partner has told and has been told, so that each exchange carries
- * only what has changed since, and how long ago each node was heard.
+ * The exchange state shared with one partner. It limits each exchange to what
+ * has changed since the last one, and to the age of each node's last digest.
  */
 export class ExchangePartner {
   readonly #self: NodeId;
-  readonly #peers: PeerBook;
+  readonly #peers: PeerTable;
   #id: NodeId | undefined;
   #incarnation = "";
-  /** Up to which of its changes the partner's run has told of others. */
+  /** The partner's change count up to which it has reported other nodes. */
   #cursor = 0;
-  #hadEngines = false;
-  /** The sequence of this node's engines that the partner knows. */
-  #knownEngines = 0;
-  readonly #told = new Map<number, ToldNode>();
+  #receivedEngines = false;
+  /** The sequence of this node's engine states that the partner has. */
+  #acknowledgedEngines = 0;
+  readonly #reportedNodes = new Map<number, ReportedNode>();
 
   /**
-   * @param self This node.
-   * @param peers Takes what the partner tells.
+   * @param self The id of this node.
+   * @param peers Updated from the partner's answers.
    */
-  constructor(self: NodeId, peers: PeerBook) {
+  constructor(self: NodeId, peers: PeerTable) {
     this.#self = self;
     this.#peers = peers;
   }
 
   /**
-   * Writes the next question.
-   * @param own What this node says of itself.
-   * @param wishes What it wants to hear.
+   * Creates the next question to the partner.
+   * @param own The digest of this node.
+   * @param scope What this node requests.
    * @returns The question.
    */
-  question(own: NodeDigest, wishes: ExchangeWishes): ExchangeQuestion {
-    const isKnown = own.engineStates?.sequence === this.#knownEngines;
-    const needsAll = wishes.wantsEngines && !this.#hadEngines;
+  nextQuestion(own: NodeDigest, scope: ExchangeScope): ExchangeQuestion {
+    const areEnginesKnown =
+      own.engineStates?.sequence === this.#acknowledgedEngines;
+    const needsAll = scope.wantsEngines && !this.#receivedEngines;
     return {
-      own: isKnown ? { ...own, engineStates: undefined } : own,
-      wantsOthers: wishes.wantsOthers,
-      wantsEngines: wishes.wantsEngines,
+      own: areEnginesKnown ? { ...own, engineStates: undefined } : own,
+      wantsOthers: scope.wantsOthers,
+      wantsEngines: scope.wantsEngines,
       incarnation: this.#incarnation,
       cursor: needsAll ? 0 : this.#cursor,
       knownEngines: this.#id === undefined
         ? 0
-        : this.#peers.enginesKnown(this.#id, this.#incarnation),
+        : this.#peers.knownEngineSequence(this.#id, this.#incarnation),
     };
   }
 
   /**
-   * Takes an answer.
+   * Applies the partner's answer.
    * @param now The present time.
    * @param answer The answer.
-   * @param wishes What was asked for.
-   * @returns Whether a node has come, has begun to stop or has started again.
+   * @param scope What was requested.
+   * @returns Whether a node has joined, begun to stop or restarted.
    */
-  answered(
+  applyAnswer(
     now: Instant,
     answer: ExchangeAnswer,
-    wishes: ExchangeWishes,
+    scope: ExchangeScope,
   ): boolean {
     const { own } = answer;
     if (own === undefined) return false;
     this.#id = nodeId(own.node);
-    if (own.incarnation !== this.#incarnation) this.#restarted();
+    if (own.incarnation !== this.#incarnation) this.#resetProgress();
     this.#incarnation = own.incarnation;
-    // What an answer was not asked for it has not told.
-    if (wishes.wantsOthers) {
+    // The answer omits what was not requested, so the cursor stays then.
+    if (scope.wantsOthers) {
       this.#cursor = answer.cursor;
-      this.#hadEngines = wishes.wantsEngines;
+      this.#receivedEngines = scope.wantsEngines;
     }
-    this.#knownEngines = answer.knownEngines;
-    const isNews = this.#peers.heard(now, own);
-    return this.#hearOthers(now, answer) || isNews;
+    this.#acknowledgedEngines = answer.knownEngines;
+    const isStatusChange = this.#peers.heard(now, own);
+    return this.#applyRelayedNews(now, answer) || isStatusChange;
   }
 
-  /** Nothing that an earlier run has told counts for a later one. */
-  #restarted(): void {
-    this.#told.clear();
+  /** Discards what an earlier run of the partner has reported. */
+  #resetProgress(): void {
+    this.#reportedNodes.clear();
     this.#cursor = 0;
-    this.#hadEngines = false;
+    this.#receivedEngines = false;
   }
 
-  #hearOthers(now: Instant, { news, ages }: ExchangeAnswer): boolean {
-    let isNews = false;
+  #applyRelayedNews(now: Instant, { news, ages }: ExchangeAnswer): boolean {
+    let isStatusChange = false;
     for (const { index, digest } of news) {
       if (digest === undefined) continue;
       const id = nodeId(digest.node);
-      this.#told.set(index, { id, incarnation: digest.incarnation });
-      const age = ageOf(ages[index]);
+      this.#reportedNodes.set(index, { id, incarnation: digest.incarnation });
+      const age = decodeAge(ages[index]);
       if (age === undefined || id === this.#self) continue;
-      const terms = { age, isRelayed: true };
-      if (this.#peers.heard(now, digest, terms)) isNews = true;
+      const origin = { age, isRelayed: true };
+      if (this.#peers.heard(now, digest, origin)) isStatusChange = true;
     }
-    for (const [index, { id, incarnation }] of this.#told) {
-      const age = ageOf(ages[index]);
+    for (const [index, { id, incarnation }] of this.#reportedNodes) {
+      const age = decodeAge(ages[index]);
       if (age === undefined || id === this.#self) continue;
-      if (this.#peers.heardOf(now, id, incarnation, age)) isNews = true;
+      if (this.#peers.recordRelayedContact(now, id, incarnation, age)) {
+        isStatusChange = true;
+      }
     }
-    return isNews;
+    return isStatusChange;
   }
 }
 
 /**
- * Answers a partner's question with what it has not heard.
+ * Answers a partner's question with what the partner does not have yet.
  * @param now The present time.
- * @param peers What this node has heard.
- * @param own What this node says of itself.
- * @param question The question, whose digest this node has taken.
+ * @param peers The peers known to this node.
+ * @param own The digest of this node.
+ * @param question The question; its digest has already been applied.
  * @returns The answer.
  */
 export function answerExchange(
   now: Instant,
-  peers: PeerBook,
+  peers: PeerTable,
   own: NodeDigest,
   question: ExchangeQuestion,
 ): ExchangeAnswer {
-  const { own: asker, wantsOthers, wantsEngines } = question;
+  const { own: askerDigest, wantsOthers, wantsEngines } = question;
   const isSameRun = question.incarnation === own.incarnation;
   const knownEngines = isSameRun ? question.knownEngines : 0;
-  const knowsEngines = !wantsEngines ||
+  const omitsEngines = !wantsEngines ||
     own.engineStates?.sequence === knownEngines;
   const cursor = isSameRun ? question.cursor : 0;
   return {
-    own: knowsEngines ? { ...own, engineStates: undefined } : own,
+    own: omitsEngines ? { ...own, engineStates: undefined } : own,
     cursor: peers.cursor,
-    news: wantsOthers
-      ? [...peers.newsSince(now, { cursor, wantsEngines })]
-      : [],
+    news: wantsOthers ? [...peers.newsFor(now, { cursor, wantsEngines })] : [],
     ages: wantsOthers ? peers.ages(now) : [],
-    knownEngines: asker === undefined
-      ? 0
-      : peers.enginesKnown(nodeId(asker.node), asker.incarnation),
+    knownEngines: askerDigest === undefined ? 0 : peers.knownEngineSequence(
+      nodeId(askerDigest.node),
+      askerDigest.incarnation,
+    ),
   };
 }
--- a/packages/node/src/relay/knowledge.ts
+++ b/packages/node/src/relay/knowledge.ts
@@ -24,8 +24,8 @@
 import type { NodeDigest } from "@foxtailwind/protocol";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { PartLogger } from "../logging/part_logger.ts";
-import { PeerBook } from "./peer_book.ts";
-import { logServer, logStart } from "./registry_lines.ts";
+import { PeerTable } from "./peer_table.ts";
+import { logRestart, logServerChange } from "./registry_logging.ts";
 import type { RelaySettings } from "./relay_settings.ts";
 import { ServersByService } from "./servers_by_service.ts";
 import type { ServingNodes } from "./serving_nodes.ts";
@@ -37,20 +37,20 @@
   type SkipReason,
   type SuspicionChange,
 } from "./shared_log.ts";
-import { SuspicionNews } from "./suspicion_news.ts";
+import { SuspicionTracker } from "./suspicion_tracker.ts";
 import { WorkCounts } from "./work_counts.ts";
 
-/** Without a successful call for so long, the log counts as out of reach. */
-const CONTACT_TIME = milliseconds(2_000);
+/** The log counts as unreachable this long after the last successful call. */
+const LOG_CONTACT_TIMEOUT = milliseconds(2_000);
 
 /**
- * So many nodes, the first by id among those that reach the log and serve,
- * watch what operators write for all. A second one watches on while the first
- * stops or is cut off.
+ * The number of nodes that watch the operators' records on behalf of all: the
+ * first by id among the serving nodes that reach the log. The second one takes
+ * over while the first one stops or is cut off.
  */
-const WATCHERS = 2;
+const WATCHER_COUNT = 2;
 
-/** What knowledge is kept for. */
+/** The dependencies of {@link Knowledge}. */
 export interface KnowledgeParts {
   readonly settings: RelaySettings;
   readonly incarnation: string;
@@ -58,47 +58,47 @@
   readonly logger: PartLogger;
 }
 
-/** Which nodes serve, as far as what a node knows depends on it. */
+/** The part of {@link ServingNodes} that {@link Knowledge} uses. */
 export type ServingView = Pick<
   ServingNodes,
   "has" | "isActive" | "takesEngines"
 >;
 
-const EVERYBODY: ServingView = {
+const ALL_NODES_SERVE: ServingView = {
   has: () => true,
   isActive: () => true,
   takesEngines: () => true,
 };
 
-/** What this node knows of configuration, servers, claims and nodes. */
+/** This node's view of the configuration, servers, claims and peers. */
 export class Knowledge extends SharedLogListener {
   readonly versions = new AdapterVersions();
   readonly registry = new ServerRegistry();
-  readonly peers = new PeerBook();
-  /** The requests that crash servers. */
-  readonly suspicions: SuspicionNews;
-  /** What this node does to know all that, and to let others know. */
+  readonly peers = new PeerTable();
+  /** Suspicions that requests crash servers. */
+  readonly suspicions: SuspicionTracker;
+  /** Counts of the calls and checks that keep nodes informed. */
   readonly work = new WorkCounts();
   readonly claims: EngineClaims;
   readonly #parts: KnowledgeParts;
   #routes: RouteTable | undefined;
   #operatorsEnd = logOffset(0);
-  readonly #byService = new ServersByService(this.registry);
-  #reachedAt: Instant | undefined;
-  #isInContact = false;
-  /** Which nodes serve; all of them, until the node has worked it out. */
-  serving: ServingView = EVERYBODY;
-  /** Called after each change that may matter to the owners of engines. */
+  readonly #serversByService = new ServersByService(this.registry);
+  #lastLogReadAt: Instant | undefined;
+  #lastLogCallSucceeded = false;
+  /** The nodes that serve; all of them until the serving set is computed. */
+  serving: ServingView = ALL_NODES_SERVE;
+  /** Called after each change that may affect engine ownership. */
   onChange: () => void = () => undefined;
-  /** Called for each record that was left out. */
+  /** Called for each record that was skipped. */
   onRecordSkipped: (topic: RecordTopic, reason: SkipReason) => void = () =>
     undefined;
 
-  /** @param parts What it is kept for. */
+  /** @param parts The dependencies. */
   constructor(parts: KnowledgeParts) {
     super();
     this.#parts = parts;
-    this.suspicions = new SuspicionNews(parts);
+    this.suspicions = new SuspicionTracker(parts);
     const { settings, incarnation } = parts;
     this.claims = new EngineClaims(
       { id: settings.node.id, incarnation },
@@ -106,26 +106,26 @@
     );
   }
 
-  /** The configuration in force, or nothing before the first. */
+  /** The active configuration, or undefined before the first. */
   get routes(): RouteTable | undefined {
     return this.#routes;
   }
 
-  /** The offset up to which this node knows what operators wrote. */
+  /** The offset up to which this node has the operators' records. */
   get operatorsEnd(): LogOffset {
     return this.#operatorsEnd;
   }
 
   /**
-   * Lists the servers of a service that are there.
+   * Lists the registered servers of a service.
    * @param service The service.
-   * @returns The servers, leaving ones included.
+   * @returns The servers, including those that are leaving.
    */
   servers(service: ServiceId): readonly RegisteredServer[] {
-    return this.#byService.of(service);
+    return this.#serversByService.serversOf(service);
   }
 
-  /** The model engines that are there and stay. */
+  /** The registered model engines that are not leaving. */
   get engines(): readonly RegisteredServer[] {
     const services = this.#routes?.configuration.services ?? [];
     return services.filter((service) => service.engine !== undefined)
@@ -134,27 +134,28 @@
   }
 
   /**
-   * Tells whether the platform's log answers this node.
+   * Determines whether the platform's log answers this node.
    * @param now The present time.
-   * @returns Whether it has answered lately.
+   * @returns Whether it has answered recently.
    */
   isInContact(now: Instant): boolean {
-    if (this.#reachedAt === undefined) return false;
-    // A node that others tell calls too rarely to know more than how its last
-    // call ended.
+    if (this.#lastLogReadAt === undefined) return false;
+    // A node that is notified by others calls the log too rarely to use a
+    // timeout, so the result of its last call decides.
     if (hasManyReaders(this.readers) && !this.isWatcher) {
-      return this.#isInContact;
+      return this.#lastLogCallSucceeded;
     }
-    return now - this.#reachedAt < CONTACT_TIME;
+    return now - this.#lastLogReadAt < LOG_CONTACT_TIMEOUT;
   }
 
   override get isWatcher(): boolean {
-    return this.#before((peer) => peer.reachesLog) < WATCHERS;
+    return this.#countPreferredWatchers((peer) => peer.reachesLog) <
+      WATCHER_COUNT;
   }
 
-  /** Those that would watch, were the log in everybody's reach. */
+  /** True for the nodes that would watch if every node reached the log. */
   override get triesFirst(): boolean {
-    return this.#before(() => true) < WATCHERS;
+    return this.#countPreferredWatchers(() => true) < WATCHER_COUNT;
   }
 
   override get isActive(): boolean {
@@ -169,7 +170,7 @@
     const known = this.#routes?.configuration.version ?? -1;
     if (configuration.version <= known) return;
     this.#routes = new RouteTable(configuration);
-    this.#parts.logger.info("A configuration is in force.", {
+    this.#parts.logger.info("A configuration was activated.", {
       version: configuration.version,
       routes: configuration.routes.length,
       before: known,
@@ -184,7 +185,7 @@
   ): void {
     if (this.versions.newest(model, adapter) >= version) return;
     this.versions.record(model, adapter, version);
-    this.#parts.logger.info("A version of an adapter was named.", {
+    this.#parts.logger.info("An adapter version was set.", {
       model,
       adapter,
       version,
@@ -200,11 +201,11 @@
     const before = this.registry.revision;
     const id = entry.kind === "gone" ? entry.id : entry.server.id;
     const known = this.registry.find(id);
-    this.suspicions.noteLife(this.registry, entry);
+    this.suspicions.recordServerEntry(this.registry, entry);
     const outcome = this.registry.apply(this.#parts.clock.now(), entry);
-    logStart(this.#parts.logger, entry, outcome);
+    logRestart(this.#parts.logger, entry, outcome);
     if (this.registry.revision === before) return;
-    logServer(this.#parts.logger, entry, known);
+    logServerChange(this.#parts.logger, entry, known);
     this.onChange();
   }
 
@@ -213,10 +214,12 @@
     end: LogOffset,
   ): void {
     const now = this.#parts.clock.now();
-    for (const entry of entries) this.suspicions.noteLife(this.registry, entry);
+    for (const entry of entries) {
+      this.suspicions.recordServerEntry(this.registry, entry);
+    }
     const outcomes = this.registry.replace(now, entries, end);
     for (const [index, entry] of entries.entries()) {
-      logStart(this.#parts.logger, entry, outcomes[index]);
+      logRestart(this.#parts.logger, entry, outcomes[index]);
     }
     this.onChange();
   }
@@ -235,15 +238,15 @@
 
   override node(node: NodeRecord): void {
     if (node.id === this.#parts.settings.node.id) return;
-    this.peers.record(this.#parts.clock.now(), node);
+    this.peers.recordNode(this.#parts.clock.now(), node);
   }
 
   override suspicion(change: SuspicionChange): void {
-    this.suspicions.changed(change);
+    this.suspicions.applyChange(change);
   }
 
   override suspicionsListed(suspicions: readonly CrashSuspicion[]): void {
-    this.suspicions.listed(suspicions);
+    this.suspicions.applyListing(suspicions);
   }
 
   override recordSkipped(topic: RecordTopic, reason: SkipReason): void {
@@ -252,19 +255,19 @@
 
   override reached(): void {
     this.work.count("log_answered");
-    this.#reachedAt = this.#parts.clock.now();
-    this.suspicions.noteRefused();
-    if (this.#isInContact) return;
-    this.#isInContact = true;
-    this.#parts.logger.info("The platform's log is in reach.");
+    this.#lastLogReadAt = this.#parts.clock.now();
+    this.suspicions.reportRefused();
+    if (this.#lastLogCallSucceeded) return;
+    this.#lastLogCallSucceeded = true;
+    this.#parts.logger.info("The platform's log is reachable.");
   }
 
   override failed(failure: Failure): void {
     this.work.count("log_failed");
     const now = this.#parts.clock.now();
     this.registry.recordStoreFailure(now);
-    if (!this.#isInContact) return;
-    this.#isInContact = false;
+    if (!this.#lastLogCallSucceeded) return;
+    this.#lastLogCallSucceeded = false;
     this.#parts.logger.warn(RELAY_SENTENCE.logFailed, {
       step: failure.step,
       peer: failure.peer,
@@ -274,9 +277,9 @@
   }
 
   /**
-   * Takes note that an engine refused this node's number.
+   * Records that an engine rejected this node's fencing number.
    * @param engine The engine.
-   * @param fence The number.
+   * @param fence The fencing number.
    */
   fenced(engine: BackendServerId, fence: FencingNumber): void {
     this.claims.recordRefusal(engine, fence);
@@ -284,13 +287,13 @@
     this.onChange();
   }
 
-  /** Counts the nodes of some kind that watch before this one. */
-  #before(isCounted: (peer: NodeDigest) => boolean): number {
+  /** Counts the candidates that take precedence over this node as watchers. */
+  #countPreferredWatchers(isCandidate: (peer: NodeDigest) => boolean): number {
     const { settings, clock } = this.#parts;
     const { id } = settings.node;
     const isServing = this.serving.has(id);
     return this.peers.alive(clock.now()).filter((peer) => {
-      if (!isCounted(peer)) return false;
+      if (!isCandidate(peer)) return false;
       const node = nodeId(peer.node);
       const serves = this.serving.has(node);
       return serves === isServing ? node < id : serves;
--- a/packages/node/src/relay/knowledge_message.ts
+++ b/packages/node/src/relay/knowledge_message.ts
@@ -13,38 +13,38 @@
 } from "@foxtailwind/protocol";
 import type { Knowledge } from "./knowledge.ts";
 
-type StoredModel = Omit<HeldModel, "adapters"> & {
+type SerializedModel = Omit<HeldModel, "adapters"> & {
   readonly adapters: readonly (readonly [string, number])[];
 };
-type StoredServer = Omit<RegisteredServer, "models"> & {
-  readonly models: readonly StoredModel[];
+type SerializedServer = Omit<RegisteredServer, "models"> & {
+  readonly models: readonly SerializedModel[];
 };
-type StoredEntry =
+type SerializedEntry =
   | Extract<RegistryEntry, { kind: "gone" }>
   | (Omit<Extract<RegistryEntry, { kind: "present" }>, "server"> & {
-    readonly server: StoredServer;
+    readonly server: SerializedServer;
   });
 
 /**
- * Writes what a node knows for a peer.
- * @param knowledge What it knows.
- * @param asker What the peer has.
+ * Encodes what this node knows and a peer lacks.
+ * @param knowledge The knowledge of this node.
+ * @param request States what the peer already has.
  * @returns The message.
  */
 export function writeKnowledge(
   knowledge: Knowledge,
-  asker: KnowledgeRequest,
+  request: KnowledgeRequest,
 ): KnowledgeMessage {
   const configuration = knowledge.routes?.configuration;
   const isNewer = configuration !== undefined &&
-    configuration.version > asker.configurationVersion;
+    configuration.version > request.configurationVersion;
   const { registry } = knowledge;
-  const knowsRegistry = asker.registryEnd >= registry.changedAt;
+  const isRegistryKnown = request.registryEnd >= registry.changedAt;
   return {
     configuration: isNewer ? JSON.stringify(configuration) : "",
-    registry: knowsRegistry
+    registry: isRegistryKnown
       ? ""
-      : JSON.stringify(registry.entries.map(storeEntry)),
+      : JSON.stringify(registry.entries.map(serializeEntry)),
     versions: JSON.stringify(knowledge.versions.entries),
     operatorsEnd: knowledge.operatorsEnd,
     registryEnd: registry.changedAt,
@@ -52,9 +52,9 @@
 }
 
 /**
- * Takes what a peer knows. Peers run the same program, so that the message
- * is taken as written.
- * @param knowledge Takes it.
+ * Applies a peer's knowledge message. Peers run the same program, so the
+ * message is not validated.
+ * @param knowledge The knowledge to update.
  * @param message The peer's message.
  */
 export function readKnowledge(
@@ -68,8 +68,8 @@
   }
   const entries = message.registry === ""
     ? []
-    : JSON.parse(message.registry) as StoredEntry[];
-  for (const entry of entries) knowledge.registryEntry(restoreEntry(entry));
+    : JSON.parse(message.registry) as SerializedEntry[];
+  for (const entry of entries) knowledge.registryEntry(deserializeEntry(entry));
   const versions = JSON.parse(message.versions) as [string, number][];
   for (const [key, version] of versions) {
     const [model = "", adapter = ""] = key.split("/");
@@ -79,7 +79,7 @@
   knowledge.registry.advanceChangedAt(logOffset(message.registryEnd));
 }
 
-function storeEntry(entry: RegistryEntry): StoredEntry {
+function serializeEntry(entry: RegistryEntry): SerializedEntry {
   if (entry.kind === "gone") return entry;
   const models = entry.server.models.map((held) => ({
     ...held,
@@ -88,10 +88,10 @@
   return { ...entry, server: { ...entry.server, models } };
 }
 
-function restoreEntry(entry: StoredEntry): RegistryEntry {
-  // A peer that the store serves has waited for entries that may have lapsed.
-  // This node's own calls may fail for reasons of its own, and its doubt would
-  // keep it sending to servers that are gone for 2.5 s after the last of them.
+function deserializeEntry(entry: SerializedEntry): RegistryEntry {
+  // A peer that reaches the store has already waited for entries that may have
+  // expired. If this node's own calls fail, treating the removal as uncertain
+  // would keep it sending to removed servers for 2.5 s after the last failure.
   if (entry.kind === "gone") return { ...entry, isCertain: true };
   const models = entry.server.models.map((held) => ({
     ...held,
--- a/packages/node/src/relay/mod.ts
+++ b/packages/node/src/relay/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The relay: requests by route, whole, to the backend servers that run them.
+ * The relay: forwards whole requests by route to the backend servers.
  * @module
  */
 export { LoggerFactory, type PartLogger } from "../logging/part_logger.ts";
@@ -29,10 +29,10 @@
 export * from "./engine_owners.ts";
 export * from "./request_limits.ts";
 export * from "./request_placer.ts";
-export * from "./retry_allowances.ts";
+export * from "./retry_budgets.ts";
 export * from "./server_loads.ts";
 export * from "./knowledge_message.ts";
-export * from "./peer_book.ts";
+export * from "./peer_table.ts";
 export * from "./exchange_partner.ts";
 export * from "./node_presence.ts";
 export * from "./peer_exchange.ts";
--- a/packages/node/src/relay/operations_server.ts
+++ b/packages/node/src/relay/operations_server.ts
@@ -5,8 +5,8 @@
 import type { SocketAddress } from "../settings/settings.ts";
 import type { OperationsWire } from "./operations_wire.ts";
 
-/** What those around the node may ask of it. */
-export interface OperationsAnswers {
+/** Handlers of the requests that callers and operators send to a node. */
+export interface OperationsHandlers {
   readonly isReady: () => boolean;
   /** Addresses for a caller of a failure domain, best first. */
   readonly addresses: (failureDomain: string | undefined) => readonly string[];
@@ -14,8 +14,8 @@
   readonly metrics: () => Promise<string>;
 }
 
-/** Where those around the node ask. */
-export interface OperationsListen {
+/** The addresses on which the operations server listens. */
+export interface OperationsAddresses {
   readonly readiness: SocketAddress;
   readonly addresses: SocketAddress;
   readonly metrics: SocketAddress;
@@ -25,41 +25,41 @@
 const NOT_READY = 503;
 const METRICS_PATH = "/metrics";
 
-/** Answers questions for readiness, addresses and metrics. */
+/** Serves readiness, caller addresses and metrics over HTTP. */
 export class OperationsServer {
   readonly #wire: OperationsWire;
-  readonly #answers: OperationsAnswers;
+  readonly #handlers: OperationsHandlers;
   readonly #servers: Server[] = [];
   readonly #fastify: FastifyInstance;
 
   /**
-   * @param wire How the questions are asked.
-   * @param answers What is answered.
+   * @param wire The request and response formats.
+   * @param handlers Provide the answers.
    */
-  constructor(wire: OperationsWire, answers: OperationsAnswers) {
+  constructor(wire: OperationsWire, handlers: OperationsHandlers) {
     this.#wire = wire;
-    this.#answers = answers;
+    this.#handlers = handlers;
     this.#fastify = schemalessFastify();
     this.#addRoutes(this.#fastify);
   }
 
   /**
-   * Starts to answer.
-   * @param listen Where; places that are the same are listened at once.
-   * @returns The port taken for readiness.
+   * Starts to listen.
+   * @param listenAddresses The addresses; equal ones share one socket.
+   * @returns The port used for readiness.
    */
-  async listen(listen: OperationsListen): Promise<number> {
+  async listen(listenAddresses: OperationsAddresses): Promise<number> {
     const fastify = this.#fastify;
     await fastify.ready();
-    const { readiness, addresses, metrics } = listen;
-    const places = new Map(
+    const { readiness, addresses, metrics } = listenAddresses;
+    const distinctAddresses = new Map(
       [readiness, addresses, metrics].map((address: SocketAddress) => [
         `${address.host}:${address.port}`,
         address,
       ]),
     );
     const ports: number[] = [];
-    for (const address of places.values()) {
+    for (const address of distinctAddresses.values()) {
       const server = createServer((request, response) => {
         fastify.routing(request, response);
       });
@@ -73,7 +73,7 @@
     return ports[0] ?? 0;
   }
 
-  /** Stops to answer. */
+  /** Closes all sockets. */
   async close(): Promise<void> {
     for (const server of this.#servers) {
       server.close();
@@ -84,24 +84,24 @@
 
   #addRoutes(fastify: FastifyInstance): void {
     fastify.get(this.#wire.readinessPath, (_request, reply) => {
-      void reply.status(this.#answers.isReady() ? READY : NOT_READY).send("");
+      void reply.status(this.#handlers.isReady() ? READY : NOT_READY).send("");
     });
     fastify.get(this.#wire.addressesPath, (request, reply) => {
       const query = request.query as Record<string, string | undefined>;
       const { failureDomain } = this.#wire.readQuestion(query);
-      const addresses = this.#answers.addresses(failureDomain);
+      const addresses = this.#handlers.addresses(failureDomain);
       if (addresses.length === 0) {
         void reply.status(NOT_READY).send("");
         return;
       }
       const body = this.#wire.writeAddresses(
         addresses,
-        this.#answers.addressLifetimeSeconds,
+        this.#handlers.addressLifetimeSeconds,
       );
       void reply.header("content-type", "application/json").send(body);
     });
     fastify.get(METRICS_PATH, async (_request, reply) => {
-      const text = await this.#answers.metrics();
+      const text = await this.#handlers.metrics();
       return await reply.header("content-type", "text/plain").send(text);
     });
   }
--- a/packages/node/src/relay/peer_news.ts
+++ b/packages/node/src/relay/peer_news.ts
@@ -1,31 +1,31 @@
 import { type Duration, elapsed, type Instant } from "@foxtailwind/core";
 import type { NodeNews } from "@foxtailwind/protocol";
-import type { Peer } from "./known_peer.ts";
+import type { KnownPeer } from "./known_peer.ts";
 
-/** Of what another node wants to hear. */
-export interface NewsTerms {
-  /** The count of changes up to which it has heard. */
+/** What another node requests, and what it already has. */
+export interface NewsFilter {
+  /** The change count up to which it has received news. */
   readonly cursor: number;
   readonly wantsEngines: boolean;
 }
 
 /**
- * Writes what is known of a node for another one, where that lacks something.
+ * Creates the news of a node for a partner that lacks its last changes.
  * @param now The present time.
  * @param peer The node.
- * @param terms Of what the other one wants to hear.
- * @param forgotten A node that was heard longer ago is not told of.
- * @returns The news, or nothing.
+ * @param filter What the partner requests.
+ * @param retention Nodes last heard longer ago than this are omitted.
+ * @returns The news, or undefined if there is none.
  */
-export function newsOf(
+export function createNews(
   now: Instant,
-  peer: Peer,
-  { cursor, wantsEngines }: NewsTerms,
-  forgotten: Duration,
+  peer: KnownPeer,
+  { cursor, wantsEngines }: NewsFilter,
+  retention: Duration,
 ): NodeNews | undefined {
   const { digest, heardAt, index } = peer;
   if (digest === undefined || heardAt === undefined) return undefined;
-  if (elapsed(heardAt, now) >= forgotten) return undefined;
+  if (elapsed(heardAt, now) >= retention) return undefined;
   const hasEngines = wantsEngines && peer.enginesChangedAt > cursor;
   if (!hasEngines && peer.changedAt <= cursor) return undefined;
   const engineStates = hasEngines ? digest.engineStates : undefined;
--- a/packages/node/src/relay/peer_book.ts
+++ b/packages/node/src/relay/peer_table.ts
@@ -11,60 +11,60 @@
   type ServingCandidate,
 } from "@foxtailwind/core";
 import type { EngineDigest, NodeDigest, NodeNews } from "@foxtailwind/protocol";
-import { capacityOf, loadOf } from "./node_load.ts";
+import { decodeCapacity, decodeLoad } from "./node_load.ts";
 import {
   isFresh,
+  type KnownPeer,
   mergeDigest,
-  type Peer,
-  SILENCE,
-  silenceOf,
+  SILENCE_TIMEOUT,
+  silenceTimeoutOf,
 } from "./known_peer.ts";
-import { newsOf, type NewsTerms } from "./peer_news.ts";
+import { createNews, type NewsFilter } from "./peer_news.ts";
 import type { NodeRecord } from "./shared_log.ts";
-import { NO_AGE, toldAge } from "./told_age.ts";
+import { encodeAge, UNKNOWN_AGE } from "./encoded_age.ts";
 
-/** A digest that is older says nothing of an engine any more. */
-const STALE_DIGEST: Duration = milliseconds(1_200);
-/** How long a node's word that it stops is remembered. */
-const STOP_MEMORY: Duration = milliseconds(20_000);
-/** A node that has not been heard of for so long is asked no more. */
-const FORGOTTEN: Duration = milliseconds(60_000);
+/** The maximum age of a digest whose engine states are still used. */
+const ENGINE_STATE_TIMEOUT: Duration = milliseconds(1_200);
+/** How long a node's notice that it stops is kept. */
+const STOP_RETENTION: Duration = milliseconds(20_000);
+/** Nodes not heard of for this long are no longer contacted. */
+const PEER_RETENTION: Duration = milliseconds(60_000);
 
-/** How a digest came. */
-export interface HeardTerms {
-  /** How long ago its node gave it. */
+/** How a digest reached this node. */
+export interface DigestOrigin {
+  /** How long ago its node created it. */
   readonly age: Duration;
-  /** Whether another node passed it on. */
+  /** Whether another node relayed it. */
   readonly isRelayed: boolean;
 }
 
-const DIRECT: HeardTerms = { age: milliseconds(0), isRelayed: false };
+const DIRECT: DigestOrigin = { age: milliseconds(0), isRelayed: false };
 
-/** What a node owns and how it fares, with the time at which it was heard. */
-export interface HeardEngine {
+/** An engine as its owner last described it. */
+export interface PeerEngine {
   readonly owner: NodeId;
   readonly address: string;
   readonly digest: EngineDigest;
 }
 
-/** The other nodes, as far as this one has heard of them. */
-export class PeerBook {
-  readonly #peers = new Map<NodeId, Peer>();
-  /** The nodes by the order in which they were heard of first. */
+/** The other nodes, as described by the log and by exchanged digests. */
+export class PeerTable {
+  readonly #peers = new Map<NodeId, KnownPeer>();
+  /** The nodes in the order in which this node first heard of them. */
   readonly #order: NodeId[] = [];
-  #changes = 0;
+  #changeCount = 0;
 
-  /** Counts what has changed of any node, but for the time of hearing it. */
+  /** The number of changes of any node, other than of its last contact. */
   get cursor(): number {
-    return this.#changes;
+    return this.#changeCount;
   }
 
   /**
-   * Takes note of a node that the log names.
+   * Records a node that the log names.
    * @param now The present time.
-   * @param record The node.
+   * @param record The node's record.
    */
-  record(now: Instant, record: NodeRecord): void {
+  recordNode(now: Instant, record: NodeRecord): void {
     const known = this.#peers.get(record.id);
     if (known?.record.incarnation === record.incarnation) return;
     this.#peers.set(record.id, {
@@ -78,49 +78,50 @@
   }
 
   /**
-   * Takes what a node says of itself, unless something newer is known.
+   * Applies a node's digest, unless a newer one is known.
    * @param now The present time.
-   * @param digest What it says.
-   * @param terms How it came; from the node itself by default.
-   * @returns Whether the node has come, has begun to stop or has started again.
+   * @param digest The digest.
+   * @param origin How it came; directly from the node by default.
+   * @returns Whether the node has joined, begun to stop or restarted.
    */
-  heard(now: Instant, digest: NodeDigest, terms = DIRECT): boolean {
+  heard(now: Instant, digest: NodeDigest, origin = DIRECT): boolean {
     const id = nodeId(digest.node);
     const known = this.#peers.get(id);
-    const heardAt = instant(now - terms.age);
+    const heardAt = instant(now - origin.age);
     const merged = mergeDigest(known, digest, heardAt);
     if (merged === undefined) return false;
-    const isNews = known?.digest === undefined ||
-      !isFresh(known, now, SILENCE) ||
+    const isStatusChange = known?.digest === undefined ||
+      !isFresh(known, now, SILENCE_TIMEOUT) ||
       known.digest.incarnation !== digest.incarnation ||
       known.digest.isLeaving !== digest.isLeaving;
-    const isSooner = known?.heardAt === undefined || heardAt > known.heardAt ||
+    const isHeardLater = known?.heardAt === undefined ||
+      heardAt > known.heardAt ||
       known.digest?.incarnation !== digest.incarnation;
-    if (merged.isChanged || merged.hasNewEngines) this.#changes += 1;
+    if (merged.hasNewState || merged.hasNewEngineStates) this.#changeCount += 1;
     this.#peers.set(id, {
-      record: recordOf(merged.digest),
+      record: toNodeRecord(merged.digest),
       digest: merged.digest,
-      heardAt: isSooner ? heardAt : known.heardAt,
-      isRelayed: isSooner ? terms.isRelayed : known.isRelayed,
+      heardAt: isHeardLater ? heardAt : known.heardAt,
+      isRelayed: isHeardLater ? origin.isRelayed : known.isRelayed,
       knownSince: known?.knownSince ?? now,
       index: known?.index ?? this.#indexOf(id),
-      changedAt: merged.isChanged ? this.#changes : known?.changedAt ?? 0,
-      enginesChangedAt: merged.hasNewEngines
-        ? this.#changes
+      changedAt: merged.hasNewState ? this.#changeCount : known?.changedAt ?? 0,
+      enginesChangedAt: merged.hasNewEngineStates
+        ? this.#changeCount
         : known?.enginesChangedAt ?? 0,
     });
-    return isNews;
+    return isStatusChange;
   }
 
   /**
-   * Takes note that another node has heard a node, of which it told before.
+   * Records that a partner has heard a node whose digest it relayed earlier.
    * @param now The present time.
    * @param id The node.
    * @param incarnation The run that was heard.
    * @param age How long ago it was heard.
-   * @returns Whether the node counted as gone before.
+   * @returns Whether the node counted as gone and is present again.
    */
-  heardOf(
+  recordRelayedContact(
     now: Instant,
     id: NodeId,
     incarnation: string,
@@ -130,103 +131,102 @@
     if (known?.digest?.incarnation !== incarnation) return false;
     const heardAt = instant(now - age);
     if (known.heardAt !== undefined && heardAt <= known.heardAt) return false;
-    const wasGone = !isFresh(known, now, SILENCE);
+    const wasGone = !isFresh(known, now, SILENCE_TIMEOUT);
     this.#peers.set(id, { ...known, heardAt, isRelayed: true });
-    return wasGone && isFresh({ ...known, heardAt }, now, SILENCE);
+    return wasGone && isFresh({ ...known, heardAt }, now, SILENCE_TIMEOUT);
   }
 
   /**
-   * Lists the nodes that may be there.
+   * Lists the nodes that may be present.
    * @param now The present time.
    * @returns The nodes heard of in the last minute.
    */
   contacts(now: Instant): readonly NodeRecord[] {
     return [...this.#peers.values()]
       .filter((peer) =>
-        elapsed(peer.heardAt ?? peer.knownSince, now) < FORGOTTEN
+        elapsed(peer.heardAt ?? peer.knownSince, now) < PEER_RETENTION
       )
       .map((peer) => peer.record);
   }
 
   /**
-   * Lists the nodes that can be asked of others: those that are there, and
-   * those that have not had the time to tell of themselves.
+   * Lists the nodes that are present, and those that the log has just named and
+   * that have not had time to send a digest.
    * @param now The present time.
    * @returns The nodes.
    */
-  candidates(now: Instant): readonly NodeRecord[] {
-    return this.#there(now).map((peer) => peer.record);
+  presentNodes(now: Instant): readonly NodeRecord[] {
+    return this.#presentPeers(now).map((peer) => peer.record);
   }
 
   /**
-   * Lists the nodes that may serve: those that are there and don't leave.
+   * Lists the nodes that may serve: those that are present and not leaving.
    * @param now The present time.
-   * @returns The nodes, with what they can do.
+   * @returns The nodes with their capacity and load.
    */
   servingCandidates(now: Instant): readonly ServingCandidate[] {
-    return this.#there(now)
+    return this.#presentPeers(now)
       .filter(({ digest }) => digest?.isLeaving !== true)
       .map(({ record, digest }) => ({
         id: record.id,
         failureDomain: record.failureDomain,
-        capacity: capacityOf(digest?.capacity ?? record.capacity),
-        load: loadOf(digest?.load ?? 0),
+        capacity: decodeCapacity(digest?.capacity ?? record.capacity),
+        load: decodeLoad(digest?.load ?? 0),
       }));
   }
 
   /**
-   * Lists what another node has not heard yet.
+   * Lists the changes that another node has not received yet.
    * @param now The present time.
-   * @param terms Of what it wants to hear.
-   * @returns The nodes of which something has changed.
+   * @param filter What the other node requests.
+   * @returns News of each changed node.
    */
-  newsSince(now: Instant, terms: NewsTerms): readonly NodeNews[] {
+  newsFor(now: Instant, filter: NewsFilter): readonly NodeNews[] {
     return [...this.#peers.values()]
-      .flatMap((peer) => newsOf(now, peer, terms, FORGOTTEN) ?? []);
+      .flatMap((peer) => createNews(now, peer, filter, PEER_RETENTION) ?? []);
   }
 
   /**
-   * Tells how long ago each node was heard.
+   * Lists how long ago each node was heard.
    * @param now The present time.
-   * @returns The ages by index, as they are told.
+   * @returns The encoded ages by node index.
    */
   ages(now: Instant): number[] {
     return this.#order.map((id) => {
       const heardAt = this.#peers.get(id)?.heardAt;
-      if (heardAt === undefined) return NO_AGE;
+      if (heardAt === undefined) return UNKNOWN_AGE;
       const age = elapsed(heardAt, now);
-      return age >= FORGOTTEN ? NO_AGE : toldAge(age);
+      return age >= PEER_RETENTION ? UNKNOWN_AGE : encodeAge(age);
     });
   }
 
   /**
-   * Lists the nodes that are there.
+   * Lists the nodes that were heard recently.
    * @param now The present time.
-   * @returns What each says of itself.
+   * @returns The digest of each node.
    */
   alive(now: Instant): readonly NodeDigest[] {
     return [...this.#peers.values()].flatMap((peer) =>
-      peer.digest !== undefined && isFresh(peer, now, silenceOf(peer))
+      peer.digest !== undefined && isFresh(peer, now, silenceTimeoutOf(peer))
         ? [peer.digest]
         : []
     );
   }
 
   /**
-   * Lists the nodes that have said that they stop, and have said nothing else
-   * since.
+   * Lists the nodes whose last digest says that they stop.
    * @param now The present time.
    * @returns The nodes.
    */
   left(now: Instant): ReadonlySet<NodeId> {
-    const left = [...this.#peers.values()].filter((peer) =>
-      peer.digest?.isLeaving === true && isFresh(peer, now, STOP_MEMORY)
+    const stopped = [...this.#peers.values()].filter((peer) =>
+      peer.digest?.isLeaving === true && isFresh(peer, now, STOP_RETENTION)
     );
-    return new Set(left.map((peer) => peer.record.id));
+    return new Set(stopped.map((peer) => peer.record.id));
   }
 
   /**
-   * Gives the addresses at which nodes are known.
+   * The addresses of all known nodes.
    * @returns The addresses.
    */
   get addresses(): ReadonlySet<string> {
@@ -236,43 +236,43 @@
   }
 
   /**
-   * Tells up to which change a node's engines are known.
+   * Returns the sequence number of the known engine states of a node.
    * @param id The node.
    * @param incarnation Its run.
-   * @returns The sequence of their states, 0 where none are known.
+   * @returns The sequence number, 0 if none are known.
    */
-  enginesKnown(id: NodeId, incarnation: string): number {
+  knownEngineSequence(id: NodeId, incarnation: string): number {
     const digest = this.#peers.get(id)?.digest;
     if (digest?.incarnation !== incarnation) return 0;
     return digest.engineStates?.sequence ?? 0;
   }
 
   /**
-   * Finds what the owner of an engine says of it.
+   * Finds an engine's digest from its owner.
    * @param now The present time.
    * @param engine The engine.
    * @param owner Its owner.
-   * @returns What it says, or nothing where that is too old.
+   * @returns The engine, or undefined if unknown or too old.
    */
   engine(
     now: Instant,
     engine: BackendServerId,
     owner: NodeId,
-  ): HeardEngine | undefined {
+  ): PeerEngine | undefined {
     const peer = this.#peers.get(owner);
     if (peer?.digest === undefined) return undefined;
-    if (!isFresh(peer, now, STALE_DIGEST)) return undefined;
+    if (!isFresh(peer, now, ENGINE_STATE_TIMEOUT)) return undefined;
     const digest = peer.digest.engineStates?.engines
-      .find((one) => one.engine === engine);
+      .find((state) => state.engine === engine);
     if (digest === undefined) return undefined;
     return { owner, address: peer.record.address, digest };
   }
 
-  #there(now: Instant): readonly Peer[] {
+  #presentPeers(now: Instant): readonly KnownPeer[] {
     return [...this.#peers.values()].filter((peer) =>
       peer.digest === undefined
-        ? elapsed(peer.knownSince, now) < SILENCE
-        : isFresh(peer, now, silenceOf(peer))
+        ? elapsed(peer.knownSince, now) < SILENCE_TIMEOUT
+        : isFresh(peer, now, silenceTimeoutOf(peer))
     );
   }
 
@@ -284,7 +284,7 @@
   }
 }
 
-function recordOf(digest: NodeDigest): NodeRecord {
+function toNodeRecord(digest: NodeDigest): NodeRecord {
   return {
     id: nodeId(digest.node),
     incarnation: digest.incarnation,
--- a/packages/node/src/relay/relay_metrics.ts
+++ b/packages/node/src/relay/relay_metrics.ts
@@ -3,8 +3,8 @@
 import type { RecordTopic, SkipReason } from "./shared_log.ts";
 import type { WorkKind } from "./work_counts.ts";
 
-/** Bounds of latency histograms, in seconds: from a lookup to a long stream. */
-const LATENCY_BOUNDS = [
+/** Buckets of the latency histograms, from a lookup to a long stream. */
+const LATENCY_BUCKETS_SECONDS = [
   0.01,
   0.025,
   0.05,
@@ -22,21 +22,21 @@
 ];
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Values that are read when metrics are. */
+/** Values that are read whenever the metrics are collected. */
 export interface RelayGauges {
   readonly requestsInProgress: () => number;
   readonly configurationVersion: () => number;
   readonly enginesOwned: () => number;
   readonly nodesAlive: () => number;
   readonly nodesServing: () => number;
-  /** 1 where this node places requests, 0 where it stands by. */
+  /** 1 if this node places requests, 0 if it is on standby. */
   readonly isActive: () => number;
   readonly contentsRefused: () => number;
   readonly serversLimited: () => number;
   readonly work: () => ReadonlyMap<WorkKind, number>;
 }
 
-/** The counters and histograms of a relay, as text for a scraper. */
+/** The metrics of a relay in the Prometheus text format. */
 export class RelayMetrics {
   readonly #registry = new Registry();
   readonly #requests = new Counter({
@@ -45,18 +45,18 @@
     labelNames: ["service", "priority", "outcome"],
     registers: [this.#registry],
   });
-  readonly #first = new Histogram({
+  readonly #firstBytesSeconds = new Histogram({
     name: "foxtailwind_first_bytes_seconds",
     help: "From the last send to the first bytes of the answer.",
     labelNames: ["service", "priority"],
-    buckets: LATENCY_BOUNDS,
+    buckets: LATENCY_BUCKETS_SECONDS,
     registers: [this.#registry],
   });
-  readonly #whole = new Histogram({
+  readonly #requestSeconds = new Histogram({
     name: "foxtailwind_request_seconds",
     help: "From a request's arrival to the end of its answer.",
     labelNames: ["service", "priority"],
-    buckets: LATENCY_BOUNDS,
+    buckets: LATENCY_BUCKETS_SECONDS,
     registers: [this.#registry],
   });
 
@@ -67,59 +67,59 @@
     registers: [this.#registry],
   });
 
-  /** @param gauges Values that are read when metrics are. */
+  /** @param gauges Values read whenever the metrics are collected. */
   constructor(gauges: RelayGauges) {
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_requests_in_progress",
       "Requests in progress.",
       gauges.requestsInProgress,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_configuration_version",
       "The configuration in force.",
       gauges.configurationVersion,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_engines_owned",
       "Engines that this node may order.",
       gauges.enginesOwned,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_nodes_alive",
       "Other nodes heard of lately.",
       gauges.nodesAlive,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_nodes_serving",
       "Nodes that take callers and own engines, this one included.",
       gauges.nodesServing,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_active",
       "Whether this node places requests, and does not stand by.",
       gauges.isActive,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_contents_refused",
       "Contents of requests that are refused since they crash servers.",
       gauges.contentsRefused,
     );
-    this.#gauge(
+    this.#addGauge(
       "foxtailwind_servers_limited",
       "Servers that name a limit of requests a second.",
       gauges.serversLimited,
     );
-    this.#work(gauges.work);
+    this.#addWorkCounter(gauges.work);
   }
 
   /**
    * Counts a request that has ended.
    * @param route Its route.
-   * @param outcome How it ended.
-   * @param took From its arrival to its end.
-   * @param firstAfter From the last send to the first bytes, if any came.
+   * @param outcome The outcome.
+   * @param took The time from its arrival to its end.
+   * @param firstAfter The time from the last send to the first bytes, if any.
    */
-  record(
+  recordRequest(
     route: Route,
     outcome: string,
     took: Duration,
@@ -128,17 +128,20 @@
     const service = route.targets[0]?.service ?? "";
     const priority = String(route.priority);
     this.#requests.inc({ service, priority, outcome });
-    this.#whole.observe({ service, priority }, took / MILLISECONDS_PER_SECOND);
+    this.#requestSeconds.observe(
+      { service, priority },
+      took / MILLISECONDS_PER_SECOND,
+    );
     if (firstAfter === undefined) return;
-    this.#first.observe(
+    this.#firstBytesSeconds.observe(
       { service, priority },
       firstAfter / MILLISECONDS_PER_SECOND,
     );
   }
 
   /**
-   * Counts a record that was left out.
-   * @param topic What it is about.
+   * Counts a record that was skipped.
+   * @param topic The topic of the record.
    * @param reason Why it can't be used.
    */
   recordSkipped(topic: RecordTopic, reason: SkipReason): void {
@@ -146,14 +149,14 @@
   }
 
   /**
-   * Writes all metrics.
-   * @returns The text.
+   * Collects all metrics.
+   * @returns The metrics in the Prometheus text format.
    */
   text(): Promise<string> {
     return this.#registry.metrics();
   }
 
-  #work(read: RelayGauges["work"]): void {
+  #addWorkCounter(read: RelayGauges["work"]): void {
     new Counter({
       name: "foxtailwind_work_total",
       help: "What the node does beside relaying requests, by kind.",
@@ -166,7 +169,7 @@
     });
   }
 
-  #gauge(name: string, help: string, read: () => number): void {
+  #addGauge(name: string, help: string, read: () => number): void {
     new Gauge({
       name,
       help,
--- a/packages/node/src/relay/relay_settings.ts
+++ b/packages/node/src/relay/relay_settings.ts
@@ -5,35 +5,35 @@
 import { parseIni } from "../settings/parse_ini.ts";
 import type { SettingsProblem } from "../settings/settings_problem.ts";
 
-const name = z.string().min(1).max(128);
+const nameSchema = z.string().min(1).max(128);
 
-function positive(largest: number) {
-  const allowed = `a number above 0, at most ${largest}`;
-  return z.coerce.number(allowed).positive(allowed).max(largest, allowed);
+function positiveNumber(maximum: number) {
+  const allowed = `a number above 0, at most ${maximum}`;
+  return z.coerce.number(allowed).positive(allowed).max(maximum, allowed);
 }
 
-function share(largest: number) {
-  const allowed = `a number from 0 to ${largest}`;
-  return z.coerce.number(allowed).min(0, allowed).max(largest, allowed);
+function numberUpTo(maximum: number) {
+  const allowed = `a number from 0 to ${maximum}`;
+  return z.coerce.number(allowed).min(0, allowed).max(maximum, allowed);
 }
 
-const LONGEST_MILLISECONDS = 600_000;
-const LONGEST_SECONDS = 3_600;
-const MOST_RETRIES = 1_000_000;
-const MOST_LINES = 100_000;
-const MOST_TRANSFERS = 64;
-const MOST_PROCESSORS = 1_024;
+const MAX_MILLISECONDS = 600_000;
+const MAX_SECONDS = 3_600;
+const MAX_COUNT = 1_000_000;
+const MAX_LINES_PER_SECOND = 100_000;
+const MAX_TRANSFERS = 64;
+const MAX_PROCESSORS = 1_024;
 
 /** The sections of the relay's settings. */
 const relaySettingsSchema = z.strictObject({
   node: z.strictObject({
-    id: name.transform(nodeId),
-    failure_domain: name.transform(failureDomainId),
+    id: nameSchema.transform(nodeId),
+    failure_domain: nameSchema.transform(failureDomainId),
   }),
-  /** What the VM can do: a share of a processor, so many times as fast. */
+  /** The VM's capacity: its share of a processor and the relative speed. */
   vm: z.strictObject({
-    processor_share: positive(MOST_PROCESSORS).default(1),
-    processor_speed: positive(MOST_PROCESSORS).default(1),
+    processor_share: positiveNumber(MAX_PROCESSORS).default(1),
+    processor_speed: positiveNumber(MAX_PROCESSORS).default(1),
   }).default({ processor_share: 1, processor_speed: 1 }),
   listen: z.strictObject({
     callers: socketAddressSchema,
@@ -43,42 +43,42 @@
     metrics: socketAddressSchema,
   }),
   platform: z.strictObject({ store: socketAddressSchema }),
-  /** Bounds on sends beyond the first of a request, over all nodes. */
+  /** Limits on retries, over all nodes. */
   retries: z.strictObject({
-    share: share(1),
-    reserve: share(MOST_RETRIES),
-    window_seconds: positive(LONGEST_SECONDS),
+    share: numberUpTo(1),
+    reserve: numberUpTo(MAX_COUNT),
+    window_seconds: positiveNumber(MAX_SECONDS),
   }),
   engines: z.strictObject({
-    /** How long orders of two owners must lie apart. */
-    lease_milliseconds: positive(LONGEST_MILLISECONDS),
-    /** Adapters on their way to one engine at once. */
-    transfers: positive(MOST_TRANSFERS).default(4),
-    /** Adapters that an engine keeps in memory beside its slots. */
-    kept_adapters: positive(MOST_RETRIES).default(100),
+    /** The minimum time between the orders of two owners. */
+    lease_milliseconds: positiveNumber(MAX_MILLISECONDS),
+    /** The maximum number of concurrent adapter loads of one engine. */
+    transfers: positiveNumber(MAX_TRANSFERS).default(4),
+    /** Adapters that an engine caches in memory besides its slots. */
+    kept_adapters: positiveNumber(MAX_COUNT).default(100),
   }),
   stop: z.strictObject({
-    /** From the signal to the end of the process by force. */
-    grace_seconds: positive(LONGEST_SECONDS),
+    /** The time from the stop signal to the forced end of the process. */
+    grace_seconds: positiveNumber(MAX_SECONDS),
   }),
   addresses: z.strictObject({
-    longest_lifetime_seconds: positive(LONGEST_SECONDS),
+    longest_lifetime_seconds: positiveNumber(MAX_SECONDS),
   }),
   logs: z.strictObject({
     level: z.enum(["error", "warn", "info", "debug"]).default("info"),
-    /** Lines written in a second at most; the rest is counted. */
-    lines_a_second: positive(MOST_LINES).default(60),
+    /** The maximum number of lines per second; the rest is counted. */
+    lines_a_second: positiveNumber(MAX_LINES_PER_SECOND).default(60),
   }).default({ level: "info", lines_a_second: 60 }),
 });
 
-/** The checked settings of a relay. */
+/** The validated settings of a relay. */
 export type RelaySettings = z.infer<typeof relaySettingsSchema>;
 
 /**
- * Checks the text of a relay's settings file.
- * @param text INI.
- * @param file The file's name, for problems.
- * @returns The settings, or every problem at once.
+ * Parses and validates a relay's settings file.
+ * @param text The file's contents, in INI format.
+ * @param file The file name used in problem reports.
+ * @returns The settings, or all problems.
  */
 export function parseRelaySettings(
   text: string,
--- a/packages/node/src/relay/servers_by_service.ts
+++ b/packages/node/src/relay/servers_by_service.ts
@@ -10,7 +10,7 @@
   #groups = new Map<ServiceId, readonly RegisteredServer[]>();
   #revision = -1;
 
-  /** @param registry The servers. */
+  /** @param registry The registry of servers. */
   constructor(registry: ServerRegistry) {
     this.#registry = registry;
   }
@@ -18,14 +18,14 @@
   /**
    * Lists the servers of a service.
    * @param service The service.
-   * @returns The servers, leaving ones included.
+   * @returns The servers, including those that are leaving.
    */
-  of(service: ServiceId): readonly RegisteredServer[] {
-    if (this.#revision !== this.#registry.revision) this.#group();
+  serversOf(service: ServiceId): readonly RegisteredServer[] {
+    if (this.#revision !== this.#registry.revision) this.#regroup();
     return this.#groups.get(service) ?? [];
   }
 
-  #group(): void {
+  #regroup(): void {
     const groups = new Map<ServiceId, RegisteredServer[]>();
     for (const server of this.#registry.all) {
       const group = groups.get(server.service) ?? [];
--- a/packages/node/src/relay/serving_nodes.ts
+++ b/packages/node/src/relay/serving_nodes.ts
@@ -7,121 +7,121 @@
   ownerCandidates,
   ServingSet,
 } from "@foxtailwind/core";
-import { capacityOf, NodeLoad, toldCapacity } from "./node_load.ts";
-import type { PeerBook } from "./peer_book.ts";
+import { decodeCapacity, encodeCapacity, NodeLoad } from "./node_load.ts";
+import type { PeerTable } from "./peer_table.ts";
 
-/** A node that was asked by a caller places requests for so long after it. */
-const ACTIVE_TIME = milliseconds(10_000);
+/** How long a node places requests after a caller's last request. */
+const ACTIVE_TIME_AFTER_REQUEST = milliseconds(10_000);
 
-/** What the choice of serving nodes works with. */
+/** The dependencies of {@link ServingNodes}. */
 export interface ServingNodesParts {
   readonly self: NodeId;
   readonly failureDomain: FailureDomainId;
-  /** What this node's VM can do, in processors. */
+  /** The capacity of this node's VM, in processors. */
   readonly processors: number;
-  readonly peers: PeerBook;
+  readonly peers: PeerTable;
   /** Whether this node owns engines. */
   readonly ownsEngines: () => boolean;
   /** Whether this node is stopping. */
   readonly isLeaving: () => boolean;
-  /** Called where this node begins to place requests. */
-  readonly woken: () => void;
-  /** The time of the node's start. */
+  /** Called when this node begins to place requests. */
+  readonly onActivated: () => void;
+  /** When this node started. */
   readonly startedAt: Instant;
 }
 
-/** Which nodes serve, as this one works it out, and whether it is one. */
+/** Determines which nodes serve, and whether this node places requests. */
 export class ServingNodes {
   readonly #parts: ServingNodesParts;
-  readonly #set = new ServingSet();
+  readonly #servingSet = new ServingSet();
   readonly #load: NodeLoad;
   #serving: ReadonlySet<NodeId>;
-  #owning: ReadonlySet<NodeId>;
-  #askedAt: Instant | undefined;
+  #ownerCandidates: ReadonlySet<NodeId>;
+  #lastRequestAt: Instant | undefined;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: ServingNodesParts) {
     this.#parts = parts;
     this.#load = new NodeLoad(parts.startedAt);
     this.#serving = new Set([parts.self]);
-    this.#owning = this.#serving;
+    this.#ownerCandidates = this.#serving;
   }
 
-  /** What this node's VM can do, as other nodes are told. */
+  /** The capacity of this node's VM, encoded for its peers. */
   get capacity(): number {
-    return toldCapacity(this.#parts.processors);
+    return encodeCapacity(this.#parts.processors);
   }
 
-  /** The share of it that is in use, as other nodes are told. */
+  /** The share of that capacity in use, encoded for its peers. */
   get load(): number {
-    return this.#load.told;
+    return this.#load.encoded;
   }
 
-  /** How many nodes serve. */
+  /** The number of nodes that serve. */
   get count(): number {
     return this.#serving.size;
   }
 
   /**
-   * Tells whether a node serves.
+   * Determines whether a node serves.
    * @param node The node.
-   * @returns Whether it does.
+   * @returns Whether it serves.
    */
   has(node: NodeId): boolean {
     return this.#serving.has(node);
   }
 
   /**
-   * Tells whether a node takes engines that have no owner.
+   * Determines whether a node takes ownership of engines without an owner.
    * @param node The node.
    * @returns Whether it does.
    */
   takesEngines(node: NodeId): boolean {
-    return this.#owning.has(node);
+    return this.#ownerCandidates.has(node);
   }
 
   /**
-   * Tells whether this node places requests, and so has to know the engines:
-   * it serves, or owns engines, or callers hold on to its address.
+   * Determines whether this node places requests and so has to know the
+   * engines: it serves, owns engines, or callers still use its address.
    * @param now The present time.
-   * @returns Whether it does.
+   * @returns Whether it places requests.
    */
   isActive(now: Instant): boolean {
     return this.has(this.#parts.self) || this.#parts.ownsEngines() ||
-      (this.#askedAt !== undefined &&
-        elapsed(this.#askedAt, now) < ACTIVE_TIME);
+      (this.#lastRequestAt !== undefined &&
+        elapsed(this.#lastRequestAt, now) < ACTIVE_TIME_AFTER_REQUEST);
   }
 
   /**
-   * Takes note of a caller's request.
+   * Records a caller's request.
    * @param now The present time.
-   * @returns Whether the node stood by until then.
+   * @returns Whether the node was on standby until then.
    */
-  asked(now: Instant): boolean {
+  recordRequest(now: Instant): boolean {
     const wasActive = this.isActive(now);
-    this.#askedAt = now;
-    if (!wasActive) this.#parts.woken();
+    this.#lastRequestAt = now;
+    if (!wasActive) this.#parts.onActivated();
     return !wasActive;
   }
 
   /**
-   * Works out anew who serves.
+   * Recomputes which nodes serve.
    * @param now The present time.
    */
   refresh(now: Instant): void {
     const { self, failureDomain, processors, peers } = this.#parts;
-    this.#load.sample(now, this.#askedAt !== undefined);
+    this.#load.sample(now, this.#lastRequestAt !== undefined);
     const others = peers.servingCandidates(now);
     const own = {
       id: self,
       failureDomain,
-      capacity: capacityOf(toldCapacity(processors)),
+      capacity: decodeCapacity(encodeCapacity(processors)),
       load: this.#load.share,
     };
     const wasActive = this.isActive(now);
     const candidates = this.#parts.isLeaving() ? others : [own, ...others];
-    this.#serving = this.#set.choose(now, candidates);
-    this.#owning = new Set(ownerCandidates(candidates));
-    if (!wasActive && this.isActive(now)) this.#parts.woken();
+    this.#serving = this.#servingSet.choose(now, candidates);
+    this.#ownerCandidates = new Set(ownerCandidates(candidates));
+    if (!wasActive && this.isActive(now)) this.#parts.onActivated();
   }
 }
--- a/packages/node/src/relay/suspicion_news.ts
+++ b/packages/node/src/relay/suspicion_tracker.ts
@@ -11,34 +11,34 @@
 import type { PartLogger } from "../logging/part_logger.ts";
 import type { SuspicionChange } from "./shared_log.ts";
 
-/** What news of suspicions are taken with. */
-export interface SuspicionNewsParts {
+/** The dependencies of {@link SuspicionTracker}. */
+export interface SuspicionTrackerParts {
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
 }
 
-/** Takes what the log says of requests that crash servers. */
-export class SuspicionNews {
+/** Applies the log's suspicions that requests crash servers. */
+export class SuspicionTracker {
   readonly quarantine = new RequestQuarantine();
-  readonly #parts: SuspicionNewsParts;
-  #refused: ReadonlySet<ContentDigest> = new Set();
-  /** Called with suspicions of servers that were seen to live. */
+  readonly #parts: SuspicionTrackerParts;
+  #refusedContents: ReadonlySet<ContentDigest> = new Set();
+  /** Called with suspicions dropped because their servers are alive. */
   onServersLive: (dropped: readonly SuspicionKey[]) => void = () => undefined;
-  /** Called once further requests are refused. */
-  onRefused: () => void = () => undefined;
-  /** Gives the suspicions of this node that the log may not have yet. */
+  /** Called when further request contents are refused. */
+  onContentsRefused: () => void = () => undefined;
+  /** Returns the suspicions of this node that the log may not hold yet. */
   unwritten: () => readonly SuspicionKey[] = () => [];
 
-  /** @param parts What they are taken with. */
-  constructor(parts: SuspicionNewsParts) {
+  /** @param parts The dependencies. */
+  constructor(parts: SuspicionTrackerParts) {
     this.#parts = parts;
   }
 
   /**
-   * Takes a change of the log.
+   * Applies a change read from the log.
    * @param change The change.
    */
-  changed(change: SuspicionChange): void {
+  applyChange(change: SuspicionChange): void {
     if (change.kind === "dropped") this.quarantine.dropSuspicion(change.key);
     else {this.quarantine.addSuspicion(
         this.#parts.clock.now(),
@@ -47,34 +47,36 @@
   }
 
   /**
-   * Takes all that the log holds.
+   * Applies the complete list of suspicions that the log holds.
    * @param suspicions The suspicions.
    */
-  listed(suspicions: readonly CrashSuspicion[]): void {
+  applyListing(suspicions: readonly CrashSuspicion[]): void {
     this.quarantine.retainOnly([...suspicions, ...this.unwritten()]);
     for (const suspicion of suspicions) {
-      this.changed({ kind: "added", suspicion });
+      this.applyChange({ kind: "added", suspicion });
     }
   }
 
-  /** Tells of the contents that are refused since it was last called. */
-  noteRefused(): void {
+  /** Logs the contents that have become refused since the last call. */
+  reportRefused(): void {
     const { quarantinedContents: contents } = this.quarantine;
-    if (contents === this.#refused) return;
-    const added = [...contents].filter((one) => !this.#refused.has(one));
-    this.#refused = contents;
+    if (contents === this.#refusedContents) return;
+    const added = [...contents].filter((content) =>
+      !this.#refusedContents.has(content)
+    );
+    this.#refusedContents = contents;
     for (const content of added) {
       this.#parts.logger.warn(RELAY_SENTENCE.quarantined, { content });
     }
-    if (added.length > 0) this.onRefused();
+    if (added.length > 0) this.onContentsRefused();
   }
 
   /**
-   * Takes note that a server which writes a further entry lives.
-   * @param registry What was known before the entry.
+   * Records that a server which writes another entry is alive.
+   * @param registry The registry before the entry.
    * @param entry The entry.
    */
-  noteLife(registry: ServerRegistry, entry: RegistryEntry): void {
+  recordServerEntry(registry: ServerRegistry, entry: RegistryEntry): void {
     if (entry.kind === "gone" || this.quarantine.isEmpty) return;
     const { id, start } = entry.server;
     const known = registry.newestOffset(id);
