--- a/packages/node/src/relay/relay_refusal.ts
+++ b/packages/node/src/relay/relay_refusal.ts
@@ -50,15 +50,15 @@
  */
 export function chooseRefusalAnswer(
   refusal: RelayRefusal,
-  { isNotRun, retryAfter: comeBackAfter }: RefusalTerms,
+  { isNotRun, retryAfter }: RefusalTerms,
 ): RefusalAnswer {
   if (!isNotRun) {
     const isUnanswered = REFUSALS_WITHOUT_ANSWER.has(refusal);
     const status = isUnanswered ? BAD_GATEWAY : GATEWAY_TIMEOUT;
     return { status, refusal: { code: refusal } };
   }
-  const retryAfterSeconds = comeBackAfter === undefined
+  const retryAfterSeconds = retryAfter === undefined
     ? DEFAULT_RETRY_AFTER_SECONDS
-    : comeBackAfter / MILLISECONDS_PER_SECOND;
+    : retryAfter / MILLISECONDS_PER_SECOND;
   return { status: UNAVAILABLE, refusal: { code: refusal, retryAfterSeconds } };
 }
--- a/packages/node/tests/relay/helpers/raw_call.ts
+++ b/packages/node/tests/relay/helpers/raw_call.ts
@@ -5,17 +5,21 @@
 const POLL_MILLISECONDS = 10;
 const HEAD_END = "\r\n\r\n";
 
-/** What was received on one connection, and how that ended. */
-export interface RawAnswer {
-  readonly bytes: string;
-  /** Whether the connection was reset instead of closed. */
-  readonly wasReset: boolean;
+/** The body of an answer as its caller sees it. */
+export interface ParsedBody {
   /** The body, decoded if it is chunked. */
   readonly body: string;
   /** Whether it is complete by its framing and the end of the connection. */
   readonly looksWhole: boolean;
 }
 
+/** What was received on one connection, and how that ended. */
+export interface RawAnswer extends ParsedBody {
+  readonly bytes: string;
+  /** Whether the connection was reset instead of closed. */
+  readonly wasReset: boolean;
+}
+
 /** A request on a connection of its own. */
 export interface RawCall {
   /** What has been received so far. */
@@ -77,7 +81,7 @@
 export function parseBody(
   bytes: string,
   wasReset: boolean,
-): Pick<RawAnswer, "body" | "looksWhole"> {
+): ParsedBody {
   const end = bytes.indexOf(HEAD_END);
   if (end < 0) return { body: "", looksWhole: false };
   const head = bytes.slice(0, end);
@@ -88,7 +92,7 @@
   return { body, looksWhole: body.length >= Number(length) };
 }
 
-function parseChunks(text: string): Pick<RawAnswer, "body" | "looksWhole"> {
+function parseChunks(text: string): ParsedBody {
   let body = "";
   let rest = text;
   for (;;) {
