--- a/packages/protocol/src/mod.ts
+++ b/packages/protocol/src/mod.ts
@@ -1,5 +1,6 @@
 /**
- * What the nodes say to each other, over gRPC. Generated code; see buf.gen.yaml.
+ * The messages and services of the gRPC protocol between nodes. The code is
+ * generated, see buf.gen.yaml.
  * @module
  */
 export {
--- a/packages/standins/src/engine/adapter_key.ts
+++ b/packages/standins/src/engine/adapter_key.ts
@@ -1,7 +1,7 @@
 import type { AdapterReference } from "@foxtailwind/edges";
 
 /**
- * Names an adapter version in maps and in token texts.
+ * Formats an adapter version as a key for maps and for token texts.
  * @param reference The adapter and its version.
  * @returns `adapter@version`.
  */
--- a/packages/standins/src/engine/adapter_slots.ts
+++ b/packages/standins/src/engine/adapter_slots.ts
@@ -1,24 +1,27 @@
 import type { AdapterReference } from "@foxtailwind/edges";
 import { adapterKey } from "./adapter_key.ts";
 
-/** A load in progress, which several orders may wait for. */
+/** A load in progress, which several orders may await. */
 export interface AdapterLoad<Outcome> {
   readonly adapter: AdapterReference;
   readonly done: Promise<Outcome>;
 }
 
-/** The slots of an engine: adapters that are resident, and loads. */
+/**
+ * The adapter slots of an engine. A resident adapter and a load in progress
+ * occupy one slot each.
+ */
 export class AdapterSlots<Outcome> {
-  readonly #slots: number;
+  readonly #capacity: number;
   readonly #resident = new Map<string, AdapterReference>();
   readonly #loading = new Map<string, AdapterLoad<Outcome>>();
 
-  /** @param slots How many adapters there is room for. */
-  constructor(slots: number) {
-    this.#slots = slots;
+  /** @param capacity The number of slots. */
+  constructor(capacity: number) {
+    this.#capacity = capacity;
   }
 
-  /** The adapters that can run now. */
+  /** The adapters that are loaded and can run. */
   get resident(): readonly AdapterReference[] {
     return [...this.#resident.values()];
   }
@@ -28,13 +31,13 @@
     return [...this.#loading.values()].map(({ adapter }) => adapter);
   }
 
-  /** Whether another load may start. */
+  /** Whether a slot is free for another load. */
   get hasFreeSlot(): boolean {
-    return this.#resident.size + this.#loading.size < this.#slots;
+    return this.#resident.size + this.#loading.size < this.#capacity;
   }
 
   /**
-   * Tells whether an adapter can run now.
+   * Checks whether an adapter is loaded and can run.
    * @param adapter The adapter and its version.
    * @returns Whether it is resident.
    */
@@ -43,16 +46,16 @@
   }
 
   /**
-   * Finds the load of an adapter that is in progress.
+   * Finds the load in progress of an adapter.
    * @param adapter The adapter and its version.
-   * @returns The load, where there is one.
+   * @returns The load, or `undefined` if none is in progress.
    */
   findLoad(adapter: AdapterReference): AdapterLoad<Outcome> | undefined {
     return this.#loading.get(adapterKey(adapter));
   }
 
   /**
-   * Takes a slot for a load.
+   * Occupies a slot with a load.
    * @param load The load.
    */
   startLoad(load: AdapterLoad<Outcome>): void {
@@ -60,7 +63,7 @@
   }
 
   /**
-   * Ends a load: the adapter is resident, or its slot is free again.
+   * Ends a load: the adapter becomes resident, or its slot is freed.
    * @param adapter The adapter and its version.
    * @param succeeded Whether the load succeeded.
    */
--- a/packages/standins/src/engine/batch.ts
+++ b/packages/standins/src/engine/batch.ts
@@ -1,7 +1,7 @@
 import type { EngineRole } from "@foxtailwind/edges";
 import type { Generation } from "./generation.ts";
 
-/** What a step costs. */
+/** The parameters from which the duration of a step is computed. */
 export interface StepCost {
   readonly stepBaseMilliseconds: number;
   readonly stepMillisecondsPerSequence: number;
@@ -9,41 +9,42 @@
 }
 
 /**
- * Chooses the sequences of the next step: higher priority first, then by
- * arrival, so that a running one gives way only to a higher priority.
- * @param live All generations that have not ended.
+ * Selects the generations of the next step: higher priority first, then earlier
+ * arrival, so that only a higher priority preempts a running generation.
+ * @param candidates The generations that can run.
  * @param capacity The size of the batch.
  * @returns The batch.
  */
 export function chooseBatch(
-  live: Iterable<Generation>,
+  candidates: Iterable<Generation>,
   capacity: number,
 ): readonly Generation[] {
-  const ordered = [...live].sort((one, other) =>
-    other.priority - one.priority || one.arrival - other.arrival
+  const byPriority = [...candidates].sort((left, right) =>
+    right.priority - left.priority || left.arrivedAt - right.arrivedAt
   );
-  return ordered.slice(0, capacity);
+  return byPriority.slice(0, capacity);
 }
 
 /**
- * Tells whether a generation has nothing to do in this engine's batch.
+ * Checks whether a generation needs no further steps on this engine for now.
  * @param generation The generation.
  * @param role The engine's role.
- * @returns Whether it waits for its KV cache to be exported, or stands still
- * because that has been done.
+ * @returns Whether it waits for the export of its KV cache, or is paused after
+ * the export.
  */
 export function isParked(generation: Generation, role: EngineRole): boolean {
-  return generation.exported || (role === "prefill" && generation.prefilled);
+  return generation.isExported ||
+    (role === "prefill" && generation.isPrefilled);
 }
 
 /**
- * Works out how long a step takes.
- * @param sequences The size of the batch.
- * @param prefillTokens The prompt tokens that the step computes.
- * @param cost What a step costs.
- * @returns Milliseconds.
+ * Computes the duration of a step.
+ * @param sequences The number of sequences in the batch.
+ * @param prefillTokens The number of prompt tokens that the step prefills.
+ * @param cost The cost parameters.
+ * @returns The duration in milliseconds.
  */
-export function stepMilliseconds(
+export function computeStepMilliseconds(
   sequences: number,
   prefillTokens: number,
   cost: StepCost,
--- a/packages/standins/src/engine/cache_event_feed.ts
+++ b/packages/standins/src/engine/cache_event_feed.ts
@@ -7,56 +7,57 @@
   readonly recordedAt: number;
 }
 
-/** How late and how incomplete cache events are. */
+/** The delay and the loss of published cache events. */
 export interface CacheEventFeedOptions {
   readonly lagMilliseconds: number;
   readonly gapProbability: number;
   readonly random: SeededRandom;
 }
 
-const KEPT_EVENTS = 4_096;
-const PAGE_EVENTS = 1_000;
+const MAXIMUM_KEPT_EVENTS = 4_096;
+const MAXIMUM_PAGE_EVENTS = 1_000;
 
-/** Publishes cache events late and with gaps in their sequence. */
+/** Publishes cache events with a delay and with gaps in their sequence. */
 export class CacheEventFeed {
   readonly #options: CacheEventFeedOptions;
   #events: TimedEvent[] = [];
-  #sequence = 0;
+  #lastSequence = 0;
 
-  /** @param options How late and how incomplete. */
+  /** @param options The delay and the probability of a gap. */
   constructor(options: CacheEventFeedOptions) {
     this.#options = options;
   }
 
   /**
-   * Records a change, unless it falls into a gap.
-   * @param change The change.
-   * @param now Milliseconds of a steady clock.
+   * Records a change. With the probability of a gap it only takes a sequence
+   * number and is not published.
+   * @param change The change of the prefix cache.
+   * @param now A monotonic clock reading in milliseconds.
    */
   record(change: CacheChange, now: number): void {
-    this.#sequence += 1;
+    this.#lastSequence += 1;
     const { gapProbability, random } = this.#options;
     if (random.happens(gapProbability)) return;
-    const event = { ...change, sequence: this.#sequence };
+    const event = { ...change, sequence: this.#lastSequence };
     this.#events.push({ event, recordedAt: now });
-    if (this.#events.length > 2 * KEPT_EVENTS) {
-      this.#events = this.#events.slice(-KEPT_EVENTS);
+    if (this.#events.length > 2 * MAXIMUM_KEPT_EVENTS) {
+      this.#events = this.#events.slice(-MAXIMUM_KEPT_EVENTS);
     }
   }
 
   /**
-   * Reads events that are old enough to show.
-   * @param after The last sequence known.
-   * @param now Milliseconds of the same clock.
-   * @returns The events, oldest first.
+   * Reads the events that are older than the delay, one page at most.
+   * @param after The last sequence number that the reader has.
+   * @param now A reading of the same clock.
+   * @returns The events with higher sequence numbers, oldest first.
    */
   read(after: number, now: number): readonly CacheEvent[] {
-    const latestShown = now - this.#options.lagMilliseconds;
+    const latestVisible = now - this.#options.lagMilliseconds;
     return this.#events
       .filter(({ event, recordedAt }) =>
-        event.sequence > after && recordedAt <= latestShown
+        event.sequence > after && recordedAt <= latestVisible
       )
-      .slice(0, PAGE_EVENTS)
+      .slice(0, MAXIMUM_PAGE_EVENTS)
       .map(({ event }) => event);
   }
 }
--- a/packages/standins/src/engine/counters.ts
+++ b/packages/standins/src/engine/counters.ts
@@ -1,7 +1,10 @@
-/** What an engine stand-in counted since it was made, restarts included. */
+/** Counters of an engine stand-in since its creation. A restart keeps them. */
 export interface FakeEngineCounters {
   steps: number;
-  /** Sequences summed over the steps; with `steps` gives the batch fill. */
+  /**
+   * The sum of the batch sizes of all steps. Divided by `steps`, it gives the
+   * average batch size.
+   */
   sequenceSteps: number;
   tokens: number;
   prefilledTokens: number;
@@ -9,10 +12,13 @@
   generationsFinished: number;
   generationsCancelled: number;
   generationsResumed: number;
-  /** Starts of a request that had already been started here. */
+  /** Starts of a request that had been started on this engine before. */
   repeatedRequests: number;
   preemptions: number;
-  /** Generations that an eviction order killed: a broken invariant. */
+  /**
+   * Generations that an order killed by evicting their adapter. Any count above
+   * zero means that an invariant was violated.
+   */
   evictedInUse: number;
   loads: number;
   loadsFailed: number;
@@ -26,7 +32,7 @@
 }
 
 /**
- * Makes counters that have counted nothing.
+ * Creates counters that are all zero.
  * @returns The counters.
  */
 export function zeroCounters(): FakeEngineCounters {
--- a/packages/standins/src/engine/engine_boot.ts
+++ b/packages/standins/src/engine/engine_boot.ts
@@ -15,121 +15,130 @@
 import { CacheEventFeed } from "./cache_event_feed.ts";
 import type { FakeEngineCounters } from "./counters.ts";
 import type { Generation } from "./generation.ts";
-import { GenerationDesk } from "./generation_desk.ts";
+import { GenerationManager } from "./generation_manager.ts";
 import { GenerationStream, type StreamFaults } from "./generation_stream.ts";
 import { GenerationTable } from "./generation_table.ts";
-import { type LoadFaults, OrderDesk } from "./order_desk.ts";
+import { type LoadFaults, OrderExecutor } from "./order_executor.ts";
 import { PrefixCache } from "./prefix_cache.ts";
 import type { FakeEngineSettings } from "./settings.ts";
 import { StepLoop, type StepSummary } from "./step_loop.ts";
 
-/** The faults as one boot of the engine meets them. */
+/** The faults that apply to one boot of the engine. */
 export interface BootFaults {
   readonly drawLoadFaults: () => LoadFaults;
   readonly drawWrongAdapter: () => boolean;
-  /** Draws, at its start, after how many tokens a stream is dropped. */
+  /**
+   * Draws, at the start of a stream, the number of tokens after which its
+   * connection is dropped.
+   */
   readonly drawDropAfterTokens: () => number | undefined;
   readonly readFrameFaults: () => Omit<StreamFaults, "dropAfterTokens">;
   readonly isFrozen: () => boolean;
   readonly isLeaving: () => boolean;
 }
 
-/** What one boot of the engine needs. */
+/** The dependencies of an `EngineBoot`. */
 export interface EngineBootOptions {
   readonly bootId: string;
   readonly settings: FakeEngineSettings;
   readonly counters: FakeEngineCounters;
   readonly random: SeededRandom;
   readonly faults: BootFaults;
-  /** Counts a start that is not the continuation of another engine's. */
-  readonly countStart: (request: RequestId) => void;
+  /**
+   * Called for each start that does not continue a generation of another
+   * engine.
+   */
+  readonly onRequestStarted: (request: RequestId) => void;
 }
 
-/** All that an engine holds from one start to the next; a restart loses it. */
+/** The state of an engine between two starts. A restart discards it. */
 export class EngineBoot {
-  readonly orders: OrderDesk;
-  readonly generations: GenerationDesk;
-  readonly table: GenerationTable;
+  readonly orderExecutor: OrderExecutor;
+  readonly generationManager: GenerationManager;
+  readonly generationTable: GenerationTable;
   readonly cacheEvents: CacheEventFeed;
   readonly #options: EngineBootOptions;
-  readonly #cache: PrefixCache;
-  readonly #loop: StepLoop;
-  readonly #reportTimer: NodeJS.Timeout;
+  readonly #prefixCache: PrefixCache;
+  readonly #stepLoop: StepLoop;
+  readonly #maintenanceTimer: NodeJS.Timeout;
   readonly #streams = new Set<GenerationStream>();
-  #report: StepSummary & { readonly prefixCacheUsed: number };
-  #reportedAt: number;
+  #loadReport: StepSummary & { readonly prefixCacheUsed: number };
+  #loadReportedAt: number;
 
-  /** @param options What the boot needs. */
+  /** @param options The dependencies. */
   constructor(options: EngineBootOptions) {
     const { settings, counters, random, faults } = options;
     this.#options = options;
-    this.table = new GenerationTable(settings);
+    this.generationTable = new GenerationTable(settings);
     this.cacheEvents = new CacheEventFeed({
       lagMilliseconds: settings.cacheEventLagMilliseconds,
       gapProbability: settings.cacheEventGapProbability,
       random,
     });
-    this.#cache = new PrefixCache(settings.prefixCacheTokens, (change) => {
-      this.cacheEvents.record(change, performance.now());
-    });
-    this.orders = new OrderDesk({
+    this.#prefixCache = new PrefixCache(
+      settings.prefixCacheTokens,
+      (change) => {
+        this.cacheEvents.record(change, performance.now());
+      },
+    );
+    this.orderExecutor = new OrderExecutor({
       settings,
       counters,
       drawLoadFaults: faults.drawLoadFaults,
-      killUsers: (adapter) => {
-        this.generations.kill(adapter, performance.now());
+      killGenerations: (adapter) => {
+        this.generationManager.killByAdapter(adapter, performance.now());
       },
     });
-    this.generations = new GenerationDesk({
+    this.generationManager = new GenerationManager({
       settings,
       counters,
       random,
-      table: this.table,
-      orders: this.orders,
+      table: this.generationTable,
+      orderExecutor: this.orderExecutor,
       drawWrongAdapter: faults.drawWrongAdapter,
       isLeaving: faults.isLeaving,
-      countStart: options.countStart,
+      onRequestStarted: options.onRequestStarted,
     });
-    this.#loop = new StepLoop({
+    this.#stepLoop = new StepLoop({
       settings,
-      table: this.table,
+      table: this.generationTable,
       counters,
-      cache: this.#cache,
-      readRole: () => this.orders.role,
+      prefixCache: this.#prefixCache,
+      readRole: () => this.orderExecutor.role,
       isFrozen: faults.isFrozen,
     });
-    this.#report = this.#summarise();
-    this.#reportedAt = performance.now();
-    this.#reportTimer = setInterval(() => {
-      this.#keepHouse(performance.now());
+    this.#loadReport = this.#summarizeLoad();
+    this.#loadReportedAt = performance.now();
+    this.#maintenanceTimer = setInterval(() => {
+      this.#runMaintenance(performance.now());
     }, settings.loadReportMilliseconds).unref();
   }
 
-  /** Loses everything and closes the streams. */
+  /** Stops the steps, aborts the loads and closes the streams. */
   stop(): void {
-    clearInterval(this.#reportTimer);
-    this.#loop.stop();
-    this.orders.stop();
+    clearInterval(this.#maintenanceTimer);
+    this.#stepLoop.stop();
+    this.orderExecutor.stop();
     for (const stream of this.#streams) stream.drop();
   }
 
-  /** Goes on after a freeze. */
+  /** Continues the steps after a freeze. */
   wake(): void {
-    this.#loop.wake(performance.now());
+    this.#stepLoop.wake(performance.now());
   }
 
   /**
-   * Answers a generation request with a stream, or refuses it.
-   * @param call What is asked for.
-   * @param reply The answer.
+   * Responds to a generation request with a stream, or refuses it.
+   * @param call The generation request.
+   * @param reply The HTTP response.
    * @returns The reply, for a handler to return.
    */
   generate(call: GenerateCall, reply: FastifyReply): FastifyReply {
     const now = performance.now();
-    const accepted = this.generations.accept(call, now);
+    const accepted = this.generationManager.accept(call, now);
     if (accepted.isErr()) return sendRefusal(reply, accepted.error);
-    this.#attach(accepted.value, call.fromSequence, reply);
-    this.#loop.wake(now);
+    this.#attachStream(accepted.value, call.fromSequence, reply);
+    this.#stepLoop.wake(now);
     return reply;
   }
 
@@ -138,21 +147,21 @@
    * @returns The state.
    */
   readState(): EngineState {
-    const { highestFencing } = this.orders;
+    const { highestFencing } = this.orderExecutor;
     const { settings, bootId, faults } = this.#options;
     return {
       engine: engineId(settings.id),
       bootId,
-      model: modelId(this.orders.model),
-      role: this.orders.role,
+      model: modelId(this.orderExecutor.model),
+      role: this.orderExecutor.role,
       adapterSlots: settings.adapterSlots,
       batchCapacity: settings.batchCapacity,
-      resident: this.orders.slots.resident,
-      loading: this.orders.slots.loading,
-      running: [...this.table.live].map((generation) => ({
+      resident: this.orderExecutor.slots.resident,
+      loading: this.orderExecutor.slots.loading,
+      running: [...this.generationTable.active].map((generation) => ({
         request: generation.request,
         attempt: generation.attempt,
-        adapter: generation.asked,
+        adapter: generation.requestedAdapter,
         generated: generation.generated,
       })),
       ...(highestFencing === undefined
@@ -164,19 +173,19 @@
 
   /**
    * Reads the latest load report.
-   * @param now Milliseconds of the process's steady clock.
-   * @returns The report, with its age.
+   * @param now A reading of the process's monotonic clock in milliseconds.
+   * @returns The report and its age.
    */
   readLoad(now: number): EngineLoadReport {
     return {
       engine: engineId(this.#options.settings.id),
       bootId: this.#options.bootId,
-      ...this.#report,
-      ageMilliseconds: Math.max(0, now - this.#reportedAt),
+      ...this.#loadReport,
+      ageMilliseconds: Math.max(0, now - this.#loadReportedAt),
     };
   }
 
-  #attach(
+  #attachStream(
     generation: Generation,
     fromSequence: number,
     reply: FastifyReply,
@@ -190,7 +199,7 @@
       random,
       readFaults: () => ({ ...faults.readFrameFaults(), dropAfterTokens }),
       onClosed: () => {
-        this.#detach(generation, stream);
+        this.#detachStream(generation, stream);
       },
     });
     this.#streams.add(stream);
@@ -198,22 +207,22 @@
     stream.flush();
   }
 
-  #detach(generation: Generation, stream: GenerationStream): void {
+  #detachStream(generation: Generation, stream: GenerationStream): void {
     this.#streams.delete(stream);
     if (generation.stream !== stream) return;
     generation.stream = undefined;
-    generation.unreadSince = performance.now();
+    generation.withoutReaderSince = performance.now();
   }
 
-  #keepHouse(now: number): void {
-    this.#report = this.#summarise();
-    this.#reportedAt = now;
-    this.generations.cancelOrphans(now);
-    this.table.prune(now);
+  #runMaintenance(now: number): void {
+    this.#loadReport = this.#summarizeLoad();
+    this.#loadReportedAt = now;
+    this.generationManager.cancelOrphans(now);
+    this.generationTable.prune(now);
   }
 
-  #summarise(): StepSummary & { readonly prefixCacheUsed: number } {
-    const prefixCacheUsed = this.#cache.usedShare;
-    return { ...this.#loop.summarise(), prefixCacheUsed };
+  #summarizeLoad(): StepSummary & { readonly prefixCacheUsed: number } {
+    const prefixCacheUsed = this.#prefixCache.usedFraction;
+    return { ...this.#stepLoop.summarize(), prefixCacheUsed };
   }
 }
--- a/packages/standins/src/engine/fake_engine.ts
+++ b/packages/standins/src/engine/fake_engine.ts
@@ -13,7 +13,11 @@
 import { parseInput } from "../shared/parse_input.ts";
 import { SeededRandom } from "../shared/random.ts";
 import { refusal, sendRefusal } from "../shared/refusal.ts";
-import { CONTROL_PREFIX, dropConnection, StandIn } from "../shared/stand_in.ts";
+import {
+  CONTROL_PATH_PREFIX,
+  dropConnection,
+  StandIn,
+} from "../shared/stand_in.ts";
 import { type FakeEngineCounters, zeroCounters } from "./counters.ts";
 import { type BootFaults, EngineBoot } from "./engine_boot.ts";
 import { exportKvCache } from "./kv_cache.ts";
@@ -24,43 +28,51 @@
   fakeEngineSettingsSchema,
 } from "./settings.ts";
 
-const afterSchema = z.object({ after: z.coerce.number().default(0) });
-const requestSchema = z.object({ request: z.string().transform(requestId) });
-const residentSchema = z.object({ adapters: z.array(adapterReferenceSchema) });
+const cacheEventsQuerySchema = z.object({
+  after: z.coerce.number().default(0),
+});
+const kvCacheQuerySchema = z.object({
+  request: z.string().transform(requestId),
+});
+const residentAdaptersSchema = z.object({
+  adapters: z.array(adapterReferenceSchema),
+});
 
-/** After so long, a request that ends an engine does so, in milliseconds. */
-const CRASH_MILLISECONDS = 20;
+/**
+ * The time from a request with the crash text to the restart that it causes.
+ */
+const CRASH_DELAY_MILLISECONDS = 20;
 
-/** Takes the place of a model engine that batches continuously. */
+/** A stand-in for a model engine with continuous batching. */
 export class FakeEngine extends StandIn<FakeEngineFaults> {
   readonly #settings: FakeEngineSettings;
   readonly #random: SeededRandom;
   readonly #counters = zeroCounters();
   readonly #startsByRequest = new Map<RequestId, number>();
   #boot: EngineBoot;
-  #downUntil = 0;
+  #unavailableUntil = 0;
 
-  /** @param settings Settings that differ from the defaults. */
+  /** @param settings Overrides of the default settings. */
   constructor(settings: Partial<FakeEngineSettings> = {}) {
     super(fakeEngineFaultsSchema);
     this.#settings = fakeEngineSettingsSchema.parse(settings);
     this.#random = new SeededRandom(this.#settings.seed);
-    this.#boot = this.#startBoot();
+    this.#boot = this.#createBoot();
     this.application.addHook("onRequest", (request, reply, done) => {
-      const isDown = performance.now() < this.#downUntil;
-      if (isDown && !request.url.startsWith(CONTROL_PREFIX)) {
+      const isDown = performance.now() < this.#unavailableUntil;
+      if (isDown && !request.url.startsWith(CONTROL_PATH_PREFIX)) {
         dropConnection(reply);
         return;
       }
       done();
     });
-    this.#serveGenerations();
-    this.#serveOrders();
-    this.#serveReports();
-    this.#serveKvCaches();
+    this.#registerGenerationRoutes();
+    this.#registerOrderRoutes();
+    this.#registerReportRoutes();
+    this.#registerKvCacheRoutes();
   }
 
-  /** How often each request was started here, restarts included. */
+  /** The number of starts of each request. A restart keeps them. */
   get startsByRequest(): ReadonlyMap<RequestId, number> {
     return this.#startsByRequest;
   }
@@ -74,23 +86,27 @@
     await super.close();
   }
 
-  /** Restarts cold: all is lost, and for a while nothing is answered. */
+  /**
+   * Restarts the engine: its state is lost, and for `restartMilliseconds` it
+   * drops all connections but those of the control paths.
+   */
   restart(): void {
     this.#boot.stop();
     this.#counters.restarts += 1;
-    this.#boot = this.#startBoot();
-    this.#downUntil = performance.now() + this.#settings.restartMilliseconds;
+    this.#boot = this.#createBoot();
+    this.#unavailableUntil = performance.now() +
+      this.#settings.restartMilliseconds;
   }
 
   /**
-   * Makes adapters resident without an order, to set a test up.
-   * @param adapters The adapters; they need no free slot.
+   * Makes adapters resident without an order, for the setup of a test.
+   * @param adapters The adapters. Free slots are not checked.
    */
   placeAdapters(
-    adapters: z.infer<typeof residentSchema>["adapters"],
+    adapters: z.infer<typeof residentAdaptersSchema>["adapters"],
   ): void {
     for (const adapter of adapters) {
-      this.#boot.orders.slots.finishLoad(adapter, true);
+      this.#boot.orderExecutor.slots.finishLoad(adapter, true);
     }
   }
 
@@ -98,29 +114,29 @@
     this.#boot.wake();
   }
 
-  #startBoot(): EngineBoot {
+  #createBoot(): EngineBoot {
     return new EngineBoot({
       bootId: `${this.#settings.id}-boot-${this.#counters.restarts + 1}`,
       settings: this.#settings,
       counters: this.#counters,
       random: this.#random,
-      faults: this.#bootFaults(),
-      countStart: (request) => {
-        this.#countStart(request);
+      faults: this.#createBootFaults(),
+      onRequestStarted: (request) => {
+        this.#countRequestStart(request);
       },
     });
   }
 
-  #bootFaults(): BootFaults {
+  #createBootFaults(): BootFaults {
     return {
       drawLoadFaults: () => ({
         extraMilliseconds: this.faults.extraLoadMilliseconds,
-        fails: this.strikes("failNextLoads") ||
+        fails: this.consumeFault("failNextLoads") ||
           this.#random.happens(this.faults.failLoadProbability),
       }),
-      drawWrongAdapter: () => this.strikes("wrongAdapterNextGenerations"),
+      drawWrongAdapter: () => this.consumeFault("wrongAdapterNextGenerations"),
       drawDropAfterTokens: () =>
-        this.strikes("dropNextStreams")
+        this.consumeFault("dropNextStreams")
           ? this.faults.dropStreamAfterTokens
           : undefined,
       readFrameFaults: () => ({
@@ -132,20 +148,20 @@
     };
   }
 
-  #countStart(request: RequestId): void {
+  #countRequestStart(request: RequestId): void {
     const starts = (this.#startsByRequest.get(request) ?? 0) + 1;
     this.#startsByRequest.set(request, starts);
     if (starts > 1) this.#counters.repeatedRequests += 1;
   }
 
-  #serveGenerations(): void {
+  #registerGenerationRoutes(): void {
     this.application.post("/v1/generate", (request, reply) => {
       const call = parseInput(generateCallSchema, request.body);
       if (call.isErr()) return sendRefusal(reply, call.error);
-      if (this.#crashesOn(call.value)) {
+      if (this.#triggersCrash(call.value)) {
         setTimeout(() => {
           this.restart();
-        }, CRASH_MILLISECONDS);
+        }, CRASH_DELAY_MILLISECONDS);
       }
       return this.#boot.generate(call.value, reply);
     });
@@ -154,46 +170,49 @@
       if (call.isErr()) return sendRefusal(reply, call.error);
       const { attempt } = call.value;
       const now = performance.now();
-      const cancelled = this.#boot.generations.cancel(call.value.request, {
-        attempt,
-        now,
-      });
+      const cancelled = this.#boot.generationManager.cancel(
+        call.value.request,
+        { attempt, now },
+      );
       return { cancelled };
     });
   }
 
-  #crashesOn({ messages }: GenerateCall): boolean {
+  #triggersCrash({ messages }: GenerateCall): boolean {
     const { crashOnText } = this.faults;
     return crashOnText !== "" &&
       messages.some(({ content }) => content.includes(crashOnText));
   }
 
-  #serveOrders(): void {
+  #registerOrderRoutes(): void {
     this.application.post("/v1/orders", (request, reply) => {
-      return this.#order(request, reply);
+      return this.#handleOrder(request, reply);
     });
     this.application.post("/standin/restart", () => {
       this.restart();
       return { restarts: this.#counters.restarts };
     });
     this.application.post("/standin/adapters", (request, reply) => {
-      const body = parseInput(residentSchema, request.body);
+      const body = parseInput(residentAdaptersSchema, request.body);
       if (body.isErr()) return sendRefusal(reply, body.error);
       this.placeAdapters(body.value.adapters);
       return { placed: body.value.adapters.length };
     });
   }
 
-  async #order(request: FastifyRequest, reply: FastifyReply): Promise<unknown> {
+  async #handleOrder(
+    request: FastifyRequest,
+    reply: FastifyReply,
+  ): Promise<unknown> {
     const order = parseInput(engineOrderSchema, request.body);
     if (order.isErr()) return sendRefusal(reply, order.error);
-    const { orders } = this.#boot;
-    const result = await orders.carryOut(order.value, performance.now());
-    if (this.strikes("loseNextOrderAnswers")) return dropConnection(reply);
+    const { orderExecutor } = this.#boot;
+    const result = await orderExecutor.execute(order.value, performance.now());
+    if (this.consumeFault("loseNextOrderAnswers")) return dropConnection(reply);
     return result.isOk() ? {} : sendRefusal(reply, result.error);
   }
 
-  #serveReports(): void {
+  #registerReportRoutes(): void {
     this.application.get("/standin/starts", () => {
       return Object.fromEntries(this.#startsByRequest);
     });
@@ -202,38 +221,44 @@
       return this.#boot.readLoad(performance.now());
     });
     this.application.get("/v1/cache-events", (request, reply) => {
-      const query = parseInput(afterSchema, request.query);
+      const query = parseInput(cacheEventsQuerySchema, request.query);
       if (query.isErr()) return sendRefusal(reply, query.error);
       const now = performance.now();
       return { events: this.#boot.cacheEvents.read(query.value.after, now) };
     });
   }
 
-  #serveKvCaches(): void {
+  #registerKvCacheRoutes(): void {
     this.application.get("/v1/kv-cache", async (request, reply) => {
-      const query = parseInput(requestSchema, request.query);
+      const query = parseInput(kvCacheQuerySchema, request.query);
       if (query.isErr()) return sendRefusal(reply, query.error);
-      const generation = this.#boot.table.find(query.value.request);
+      const generation = this.#boot.generationTable.findLatest(
+        query.value.request,
+      );
       const isLive = generation !== undefined &&
         generation.ending === undefined;
-      if (!isLive || !generation.prefilled) {
+      if (!isLive || !generation.isPrefilled) {
         return sendRefusal(reply, refusal("not_found", "No such KV cache"));
       }
-      generation.exported = true;
-      await this.#transferKv(generation.promptTokens + generation.generated);
+      generation.isExported = true;
+      await this.#simulateKvTransfer(
+        generation.promptTokens + generation.generated,
+      );
       return exportKvCache(generation);
     });
     this.application.post("/v1/kv-cache", async (request, reply) => {
       const body = parseInput(exportedKvCacheSchema, request.body);
       if (body.isErr()) return sendRefusal(reply, body.error);
-      const added = this.#boot.generations.imports.add(body.value);
+      const added = this.#boot.generationManager.importedKvCaches.add(
+        body.value,
+      );
       if (added.isErr()) return sendRefusal(reply, added.error);
-      await this.#transferKv(added.value.tokens);
+      await this.#simulateKvTransfer(added.value.tokens);
       return {};
     });
   }
 
-  async #transferKv(tokens: number): Promise<void> {
+  async #simulateKvTransfer(tokens: number): Promise<void> {
     await delay(tokens * this.#settings.kvTransferMillisecondsPerToken);
   }
 }
--- a/packages/standins/src/engine/generation.ts
+++ b/packages/standins/src/engine/generation.ts
@@ -8,80 +8,85 @@
 import { adapterKey } from "./adapter_key.ts";
 import type { GenerationStream } from "./generation_stream.ts";
 
-/** How a new generation starts. */
+/** The initial state of a generation. */
 export interface GenerationStart {
-  /** The adapter that really runs. */
+  /** The adapter that runs. Only a fault makes it differ from the request. */
   readonly adapter: AdapterReference;
   readonly prefixes: readonly PromptPrefix[];
   readonly totalTokens: number;
-  /** Tokens that an imported KV cache already holds. */
+  /**
+   * The number of generated tokens in the imported KV cache, if there is one.
+   */
   readonly importedTokens: number | undefined;
-  readonly arrival: number;
+  readonly arrivedAt: number;
 }
 
-/** One generation that the engine holds, running, waiting or finished. */
+/** A generation of the engine: running, waiting or ended. */
 export class Generation {
   readonly request: RequestId;
-  /** The adapter asked for, which is the one in use. */
-  readonly asked: AdapterReference;
-  /** The adapter that really runs; another one only by a fault. */
+  /** The requested adapter. The generation counts as a user of this one. */
+  readonly requestedAdapter: AdapterReference;
+  /** The adapter that runs. Only a fault makes it differ from the request. */
   readonly adapter: AdapterReference;
   readonly priority: number;
-  readonly arrival: number;
+  readonly arrivedAt: number;
   readonly prefixes: readonly PromptPrefix[];
   readonly totalTokens: number;
   readonly stopsEarly: boolean;
-  readonly #tokenStart: string;
+  readonly #tokenPrefix: string;
   attempt: AttemptNumber;
   generated: number;
   cachedPromptTokens = 0;
-  prefilled: boolean;
-  /** Its KV cache was exported: it stands still until resumed or cancelled. */
-  exported = false;
+  isPrefilled: boolean;
+  /**
+   * Whether its KV cache was exported. It is then paused until it is resumed or
+   * cancelled.
+   */
+  isExported = false;
   ending: GenerationEndLine | undefined;
   endedAt = Infinity;
   stream: GenerationStream | undefined;
-  unreadSince: number;
+  withoutReaderSince: number;
 
   /**
-   * @param call What was asked for.
-   * @param start How it starts.
+   * @param call The generation request.
+   * @param start The initial state.
    */
   constructor(call: GenerateCall, start: GenerationStart) {
     this.request = call.request;
     this.attempt = call.attempt;
-    this.asked = call.adapter;
+    this.requestedAdapter = call.adapter;
     this.adapter = start.adapter;
     this.priority = call.priority;
-    this.arrival = start.arrival;
+    this.arrivedAt = start.arrivedAt;
     this.prefixes = start.prefixes;
     this.totalTokens = start.totalTokens;
     this.stopsEarly = start.totalTokens < call.maximumTokens;
     this.generated = start.importedTokens ?? 0;
-    this.prefilled = start.importedTokens !== undefined;
-    this.unreadSince = start.arrival;
-    this.#tokenStart = adapterKey(start.adapter);
+    this.isPrefilled = start.importedTokens !== undefined;
+    this.withoutReaderSince = start.arrivedAt;
+    this.#tokenPrefix = adapterKey(start.adapter);
   }
 
-  /** The length of the prompt. */
+  /** The length of the prompt in tokens. */
   get promptTokens(): number {
     return this.prefixes.at(-1)?.tokens ?? 0;
   }
 
   /**
-   * Names the adapter and the place in each token's text, so that a reader
-   * can prove what ran.
-   * @param sequence The token's place.
+   * Formats the text of a token. It contains the adapter and the position, so
+   * that a test can check which adapter ran.
+   * @param sequence The position of the token.
    * @returns The text.
    */
   tokenText(sequence: number): string {
-    return `${this.#tokenStart}#${sequence} `;
+    return `${this.#tokenPrefix}#${sequence} `;
   }
 
   /**
    * Ends the generation.
-   * @param ending How.
-   * @param now Milliseconds of the engine's clock.
+   * @param ending The last line of its stream.
+   * @param now A monotonic clock reading in milliseconds.
    */
   endWith(ending: GenerationEndLine, now: number): void {
     this.ending = ending;
@@ -89,11 +94,11 @@
   }
 
   /**
-   * Makes the end of a generation that was not killed.
-   * @param finishReason Why it ends.
-   * @returns The end.
+   * Creates the last line of a generation that was not killed.
+   * @param finishReason The reason of the end.
+   * @returns The line.
    */
-  regularEnding(
+  createEnding(
     finishReason: "stop" | "length" | "cancelled",
   ): GenerationEndLine {
     return {
--- a/packages/standins/src/engine/generation_stream.ts
+++ b/packages/standins/src/engine/generation_stream.ts
@@ -2,44 +2,44 @@
 import type { SeededRandom } from "../shared/random.ts";
 import type { Generation } from "./generation.ts";
 
-/** What a stream does wrong. */
+/** The faults of a stream. */
 export interface StreamFaults {
   readonly duplicateProbability: number;
   readonly misorderProbability: number;
-  /** The connection is lost once so many tokens were sent. */
+  /** The number of sent tokens after which the connection is dropped. */
   readonly dropAfterTokens: number | undefined;
 }
 
-/** How a stream sends. */
+/** The options of a `GenerationStream`. */
 export interface GenerationStreamOptions {
   readonly fromSequence: number;
   readonly tokensPerFrame: number;
   readonly random: SeededRandom;
-  /** The faults at present. */
+  /** Reads the current faults. */
   readonly readFaults: () => StreamFaults;
-  /** Called when the reader's connection is gone. */
+  /** Called when the reader's connection is closed. */
   readonly onClosed: () => void;
 }
 
 const MAXIMUM_FRAME_TOKENS = 64;
-const STREAM_HEADERS = { "content-type": "application/x-ndjson" } as const;
+const RESPONSE_HEADERS = { "content-type": "application/x-ndjson" } as const;
 
-/** Sends a generation's lines to its reader, as fast as the reader takes. */
+/** Sends the lines of a generation to its reader, with backpressure. */
 export class GenerationStream {
   readonly #generation: Generation;
   readonly #reply: FastifyReply;
   readonly #options: GenerationStreamOptions;
-  readonly #frameStart: string;
-  #next: number;
+  readonly #framePrefix: string;
+  #nextSequence: number;
   #sentTokens = 0;
-  #held: string | undefined;
-  #open = true;
-  #blocked = false;
+  #heldFrame: string | undefined;
+  #isOpen = true;
+  #isBlocked = false;
 
   /**
-   * @param generation What to send.
-   * @param reply The answer, which this stream takes over.
-   * @param options How.
+   * @param generation The generation to send.
+   * @param reply The HTTP response, which this stream hijacks.
+   * @param options The options.
    */
   constructor(
     generation: Generation,
@@ -49,85 +49,98 @@
     this.#generation = generation;
     this.#reply = reply;
     this.#options = options;
-    this.#next = options.fromSequence;
-    this.#frameStart = frameStart(generation);
+    this.#nextSequence = options.fromSequence;
+    this.#framePrefix = formatFramePrefix(generation);
     reply.hijack();
-    reply.raw.writeHead(200, STREAM_HEADERS);
+    reply.raw.writeHead(200, RESPONSE_HEADERS);
     reply.raw.on("drain", () => {
-      this.#blocked = false;
+      this.#isBlocked = false;
       this.flush();
     });
     reply.raw.on("close", () => {
-      this.#open = false;
+      this.#isOpen = false;
       options.onClosed();
     });
   }
 
-  /** Sends what is ready: full frames, and the rest once it has ended. */
+  /**
+   * Sends the full frames that are ready and, after the end of the generation,
+   * the remaining tokens and the last line.
+   */
   flush(): void {
     const { ending, generated } = this.#generation;
-    const least = ending === undefined ? this.#options.tokensPerFrame : 1;
-    while (this.#open && !this.#blocked && generated - this.#next >= least) {
+    const minimumTokens = ending === undefined
+      ? this.#options.tokensPerFrame
+      : 1;
+    while (
+      this.#isOpen && !this.#isBlocked &&
+      generated - this.#nextSequence >= minimumTokens
+    ) {
       this.#sendFrame(generated);
     }
-    const whole = this.#next >= generated;
-    if (ending === undefined || !whole || !this.#open || this.#blocked) return;
-    this.#open = false;
+    const isComplete = this.#nextSequence >= generated;
+    if (
+      ending === undefined || !isComplete || !this.#isOpen || this.#isBlocked
+    ) return;
+    this.#isOpen = false;
     const line = ending.kind === "end"
       ? { end: { ...ending.end, attempt: this.#generation.attempt } }
       : { failure: ending.failure };
-    this.#reply.raw.end(`${this.#takeHeld()}${JSON.stringify(line)}\n`);
+    this.#reply.raw.end(`${this.#takeHeldFrame()}${JSON.stringify(line)}\n`);
   }
 
-  /** Closes the connection without an end. */
+  /** Closes the connection without a last line. */
   drop(): void {
-    this.#open = false;
+    this.#isOpen = false;
     this.#reply.raw.socket?.destroy();
   }
 
   #sendFrame(generated: number): void {
-    const end = Math.min(generated, this.#next + MAXIMUM_FRAME_TOKENS);
-    const line = this.#frameLine(this.#next, end);
-    this.#sentTokens += end - this.#next;
-    this.#next = end;
+    const end = Math.min(generated, this.#nextSequence + MAXIMUM_FRAME_TOKENS);
+    const line = this.#formatFrame(this.#nextSequence, end);
+    this.#sentTokens += end - this.#nextSequence;
+    this.#nextSequence = end;
     const faults = this.#options.readFaults();
-    this.#blocked = !this.#reply.raw.write(this.#spoil(line, faults));
+    this.#isBlocked = !this.#reply.raw.write(
+      this.#applyFrameFaults(line, faults),
+    );
     const { dropAfterTokens } = faults;
     if (dropAfterTokens !== undefined && this.#sentTokens >= dropAfterTokens) {
       this.drop();
     }
   }
 
-  #frameLine(start: number, end: number): string {
+  #formatFrame(start: number, end: number): string {
     let tokens = "";
     for (let sequence = start; sequence < end; sequence += 1) {
       const text = JSON.stringify(this.#generation.tokenText(sequence));
       tokens += sequence === start ? text : `,${text}`;
     }
-    return `${this.#frameStart}${start},"tokens":[${tokens}]}\n`;
+    return `${this.#framePrefix}${start},"tokens":[${tokens}]}\n`;
   }
 
-  /** Holds a frame back to send it after the next one, or sends it twice. */
-  #spoil(line: string, faults: StreamFaults): string {
+  /** Withholds a frame to send it after the next one, or sends it twice. */
+  #applyFrameFaults(line: string, faults: StreamFaults): string {
     const { random } = this.#options;
     if (
-      this.#held === undefined && random.happens(faults.misorderProbability)
+      this.#heldFrame === undefined &&
+      random.happens(faults.misorderProbability)
     ) {
-      this.#held = line;
+      this.#heldFrame = line;
       return "";
     }
-    const sent = line + this.#takeHeld();
+    const sent = line + this.#takeHeldFrame();
     return random.happens(faults.duplicateProbability) ? sent + line : sent;
   }
 
-  #takeHeld(): string {
-    const held = this.#held ?? "";
-    this.#held = undefined;
+  #takeHeldFrame(): string {
+    const held = this.#heldFrame ?? "";
+    this.#heldFrame = undefined;
     return held;
   }
 }
 
-function frameStart(generation: Generation): string {
+function formatFramePrefix(generation: Generation): string {
   const { request, attempt, adapter } = generation;
   const fields = JSON.stringify({ request, attempt, adapter });
   return `${fields.slice(0, -1)},"sequence":`;
--- a/packages/standins/src/engine/generation_table.ts
+++ b/packages/standins/src/engine/generation_table.ts
@@ -3,36 +3,40 @@
 import { adapterKey } from "./adapter_key.ts";
 import type { Generation } from "./generation.ts";
 
-/** How long the table remembers. */
+/** The retention of a `GenerationTable`. */
 export interface GenerationTableOptions {
+  /** How long ended generations and early cancels are kept. */
   readonly keepFinishedMilliseconds: number;
 }
 
-/** The generations that an engine holds, and the cancels that came early. */
+/**
+ * The generations of an engine, and the cancels that arrived before their
+ * attempts.
+ */
 export class GenerationTable {
   readonly #options: GenerationTableOptions;
-  readonly #live = new Set<Generation>();
+  readonly #active = new Set<Generation>();
   /** The latest generation of each request. */
-  readonly #byRequest = new Map<RequestId, Generation>();
+  readonly #latestByRequest = new Map<RequestId, Generation>();
   readonly #cancelledEarly = new Map<string, number>();
 
-  /** @param options How long the table remembers. */
+  /** @param options The retention of a `GenerationTable`. */
   constructor(options: GenerationTableOptions) {
     this.#options = options;
   }
 
   /** The generations that have not ended. */
-  get live(): ReadonlySet<Generation> {
-    return this.#live;
+  get active(): ReadonlySet<Generation> {
+    return this.#active;
   }
 
   /**
    * Finds the latest generation of a request.
    * @param request The request.
-   * @returns The generation, also one that ended a while ago.
+   * @returns The generation, which may have ended, or `undefined`.
    */
-  find(request: RequestId): Generation | undefined {
-    return this.#byRequest.get(request);
+  findLatest(request: RequestId): Generation | undefined {
+    return this.#latestByRequest.get(request);
   }
 
   /**
@@ -40,30 +44,33 @@
    * @param generation The generation, which has not ended.
    */
   add(generation: Generation): void {
-    this.#live.add(generation);
-    this.#byRequest.set(generation.request, generation);
+    this.#active.add(generation);
+    this.#latestByRequest.set(generation.request, generation);
   }
 
   /**
-   * Takes a generation out of the live ones; it can still be found for a while.
+   * Removes a generation from the active ones. It can be found until it is
+   * pruned.
    * @param generation The generation, which has ended.
    */
-  retire(generation: Generation): void {
-    this.#live.delete(generation);
+  deactivate(generation: Generation): void {
+    this.#active.delete(generation);
   }
 
   /**
-   * Lists the live generations that use an adapter.
-   * @param adapter The adapter asked for.
+   * Lists the active generations that use an adapter.
+   * @param adapter The requested adapter.
    * @returns The generations.
    */
-  using(adapter: AdapterReference): readonly Generation[] {
+  findActiveByAdapter(adapter: AdapterReference): readonly Generation[] {
     const key = adapterKey(adapter);
-    return [...this.#live].filter((one) => adapterKey(one.asked) === key);
+    return [...this.#active].filter((generation) =>
+      adapterKey(generation.requestedAdapter) === key
+    );
   }
 
   /**
-   * Remembers the cancel of an attempt that has not arrived.
+   * Records the cancel of an attempt that has not arrived.
    * @param request The request.
    * @param options The attempt and the time.
    */
@@ -75,7 +82,7 @@
   }
 
   /**
-   * Tells whether an attempt was cancelled before it arrived.
+   * Checks whether an attempt was cancelled before it arrived.
    * @param request The request.
    * @param attempt The attempt.
    * @returns Whether it must not run.
@@ -85,16 +92,18 @@
   }
 
   /**
-   * Forgets what is too old.
-   * @param now Milliseconds of a steady clock.
+   * Removes ended generations and early cancels past their retention.
+   * @param now A monotonic clock reading in milliseconds.
    */
   prune(now: number): void {
-    const oldest = now - this.#options.keepFinishedMilliseconds;
-    for (const [request, generation] of this.#byRequest) {
-      if (generation.endedAt < oldest) this.#byRequest.delete(request);
+    const expiredBefore = now - this.#options.keepFinishedMilliseconds;
+    for (const [request, generation] of this.#latestByRequest) {
+      if (generation.endedAt < expiredBefore) {
+        this.#latestByRequest.delete(request);
+      }
     }
     for (const [key, cancelledAt] of this.#cancelledEarly) {
-      if (cancelledAt < oldest) this.#cancelledEarly.delete(key);
+      if (cancelledAt < expiredBefore) this.#cancelledEarly.delete(key);
     }
   }
 }
--- a/packages/standins/src/engine/kv_cache.ts
+++ b/packages/standins/src/engine/kv_cache.ts
@@ -11,27 +11,27 @@
 import { adapterKey } from "./adapter_key.ts";
 import type { Generation } from "./generation.ts";
 
-/** What the stand-in keeps of a KV cache. */
-export interface KvCache {
+/** The part of an imported KV cache that the stand-in keeps. */
+export interface ImportedKvCache {
   readonly adapter: AdapterReference;
   readonly generated: number;
   readonly totalTokens: number;
-  /** The length of prompt and answer, which sets the time of a transfer. */
+  /** The tokens of prompt and answer, which determine the transfer time. */
   readonly tokens: number;
 }
 
-const kvDataSchema = z.object({
+const kvCacheDataSchema = z.object({
   generated: z.number().int().nonnegative(),
   totalTokens: z.number().int().positive(),
   tokens: z.number().int().nonnegative(),
 });
 
-const KEPT_IMPORTS = 256;
+const MAXIMUM_IMPORTED_CACHES = 256;
 
 /**
  * Exports the KV cache of a generation.
  * @param generation The generation.
- * @returns The cache in the form in which it travels.
+ * @returns The serialized cache.
  */
 export function exportKvCache(generation: Generation): ExportedKvCache {
   const { request, adapter, generated, totalTokens } = generation;
@@ -40,36 +40,40 @@
   return { request, adapter, data };
 }
 
-/** KV caches that were imported and are not used yet. */
+/** KV caches that were imported and not used yet. */
 export class ImportedKvCaches {
-  readonly #caches = new Map<RequestId, KvCache>();
+  readonly #caches = new Map<RequestId, ImportedKvCache>();
 
   /**
-   * Takes an exported cache in.
+   * Imports an exported cache. Beyond the maximum number, the cache that was
+   * imported first is removed.
    * @param exported The cache.
-   * @returns What is kept of it, or why it is refused.
+   * @returns The imported cache, or the refusal.
    */
-  add(exported: ExportedKvCache): Result<KvCache, StatedFailure> {
-    const parsed = kvDataSchema.safeParse(parseJson(exported.data));
+  add(exported: ExportedKvCache): Result<ImportedKvCache, StatedFailure> {
+    const parsed = kvCacheDataSchema.safeParse(parseJson(exported.data));
     if (!parsed.success) {
       return err(refusal("invalid", "Cannot read the KV cache"));
     }
     const cache = { ...parsed.data, adapter: exported.adapter };
     this.#caches.set(exported.request, cache);
     const [oldest] = this.#caches.keys();
-    if (this.#caches.size > KEPT_IMPORTS && oldest !== undefined) {
+    if (this.#caches.size > MAXIMUM_IMPORTED_CACHES && oldest !== undefined) {
       this.#caches.delete(oldest);
     }
     return ok(cache);
   }
 
   /**
-   * Uses up the cache of a request.
+   * Removes and returns the cache of a request.
    * @param request The request.
-   * @param adapter The adapter that must have made it.
-   * @returns The cache, where there is one of that adapter.
+   * @param adapter The adapter that must have computed it.
+   * @returns The cache, or `undefined` if there is none of that adapter.
    */
-  take(request: RequestId, adapter: AdapterReference): KvCache | undefined {
+  take(
+    request: RequestId,
+    adapter: AdapterReference,
+  ): ImportedKvCache | undefined {
     const cache = this.#caches.get(request);
     if (cache === undefined) return undefined;
     if (adapterKey(cache.adapter) !== adapterKey(adapter)) return undefined;
--- a/packages/standins/src/engine/order_desk.ts
+++ b/packages/standins/src/engine/order_executor.ts
@@ -17,33 +17,33 @@
 /** The result of an order. */
 export type OrderResult = Result<void, StatedFailure>;
 
-/** What a load suffers from. */
+/** The faults of a load. */
 export interface LoadFaults {
   readonly extraMilliseconds: number;
   readonly fails: boolean;
 }
 
-/** What the orders act on. */
-export interface OrderDeskOptions {
+/** The dependencies of an `OrderExecutor`. */
+export interface OrderExecutorOptions {
   readonly settings: FakeEngineSettings;
   readonly counters: FakeEngineCounters;
-  /** Draws the faults of one load. */
+  /** Draws the faults of a load. */
   readonly drawLoadFaults: () => LoadFaults;
-  /** Ends the generations of an adapter, or all of them. */
-  readonly killUsers: (adapter: AdapterReference | undefined) => void;
+  /** Kills the generations of an adapter, or all if it is `undefined`. */
+  readonly killGenerations: (adapter: AdapterReference | undefined) => void;
 }
 
-/** Carries out orders, and keeps what they change. One for each boot. */
-export class OrderDesk {
+/** Executes orders and holds the state that they change, during one boot. */
+export class OrderExecutor {
   readonly slots: AdapterSlots<OrderResult>;
-  readonly #options: OrderDeskOptions;
-  readonly #stopped = new AbortController();
+  readonly #options: OrderExecutorOptions;
+  readonly #abortController = new AbortController();
   #model: string;
   #role: EngineRole;
-  #highestFencing: number | undefined;
+  #highestFencingNumber: number | undefined;
 
-  /** @param options What the orders act on. */
-  constructor(options: OrderDeskOptions) {
+  /** @param options The dependencies of an `OrderExecutor`. */
+  constructor(options: OrderExecutorOptions) {
     this.#options = options;
     this.#model = options.settings.model;
     this.#role = options.settings.role;
@@ -55,28 +55,29 @@
     return this.#model;
   }
 
-  /** The role at present. */
+  /** The current role. */
   get role(): EngineRole {
     return this.#role;
   }
 
-  /** The highest fencing number seen, where the engine checks it. */
+  /** The highest fencing number received, if the engine checks them. */
   get highestFencing(): number | undefined {
-    return this.#highestFencing;
+    return this.#highestFencingNumber;
   }
 
-  /** Gives up all loads, as a restart does. */
+  /** Aborts all loads, for a restart. */
   stop(): void {
-    this.#stopped.abort();
+    this.#abortController.abort();
   }
 
   /**
-   * Carries out an order.
+   * Executes an order.
    * @param order The order.
-   * @param now Milliseconds of a steady clock, at the order's arrival.
-   * @returns Nothing, or why it was not carried out.
+   * @param now The monotonic clock reading at the order's arrival, in
+   * milliseconds.
+   * @returns Nothing, or the reason why it was not executed.
    */
-  async carryOut(order: EngineOrder, now: number): Promise<OrderResult> {
+  async execute(order: EngineOrder, now: number): Promise<OrderResult> {
     const fenced = this.#checkFencing(order);
     if (fenced.isErr()) return fenced;
     const expiresAt = now + order.expiresInMilliseconds;
@@ -92,14 +93,14 @@
     }
   }
 
-  /** Fencing is checked on arrival only, as engines do. */
+  /** Checks the fencing number, on arrival only, as engines do. */
   #checkFencing(order: EngineOrder): OrderResult {
     if (!this.#options.settings.checksFencing) return ok();
-    if (order.fencing < (this.#highestFencing ?? -Infinity)) {
+    if (order.fencing < (this.#highestFencingNumber ?? -Infinity)) {
       this.#options.counters.ordersFenced += 1;
       return err(refusal("fenced", `Fencing ${order.fencing} is old`));
     }
-    this.#highestFencing = order.fencing;
+    this.#highestFencingNumber = order.fencing;
     return ok();
   }
 
@@ -116,22 +117,22 @@
     const expired = this.#checkExpiry(expiresAt);
     if (expired.isErr()) return expired;
     if (this.slots.isResident(adapter)) return ok();
-    const known = this.slots.findLoad(adapter);
-    if (known !== undefined) return await known.done;
+    const loadInProgress = this.slots.findLoad(adapter);
+    if (loadInProgress !== undefined) return await loadInProgress.done;
     if (!this.slots.hasFreeSlot) {
       return err(refusal("overloaded", "No slot for an adapter is free"));
     }
-    const done = this.#load(adapter, expiresAt);
+    const done = this.#runLoad(adapter, expiresAt);
     this.slots.startLoad({ adapter, done });
     return await done;
   }
 
-  async #load(
+  async #runLoad(
     adapter: AdapterReference,
     expiresAt: number,
   ): Promise<OrderResult> {
     const faults = this.#options.drawLoadFaults();
-    const fetched = await this.#fetch(adapter, faults);
+    const fetched = await this.#fetchAndLoad(adapter, faults);
     const result = fetched.andThen(() => this.#checkExpiry(expiresAt));
     const { counters } = this.#options;
     counters.loads += 1;
@@ -140,11 +141,11 @@
     return result;
   }
 
-  async #fetch(
+  async #fetchAndLoad(
     adapter: AdapterReference,
     faults: LoadFaults,
   ): Promise<OrderResult> {
-    const { signal } = this.#stopped;
+    const { signal } = this.#abortController;
     const { weightStoreAddress, loadMilliseconds } = this.#options.settings;
     if (weightStoreAddress !== undefined) {
       const fetched = await fetchWeights(adapter, {
@@ -170,7 +171,7 @@
     }
     if (!this.slots.evict(adapter)) return ok();
     this.#options.counters.evictions += 1;
-    this.#options.killUsers(adapter);
+    this.#options.killGenerations(adapter);
     return ok();
   }
 
@@ -178,7 +179,7 @@
     const expired = this.#checkExpiry(expiresAt);
     if (expired.isErr()) return expired;
     this.slots.evictAll();
-    this.#options.killUsers(undefined);
+    this.#options.killGenerations(undefined);
     await delay(this.#options.settings.loadModelMilliseconds);
     this.#model = model;
     return ok();
--- a/packages/standins/src/engine/prefix_cache.ts
+++ b/packages/standins/src/engine/prefix_cache.ts
@@ -8,23 +8,23 @@
 interface CachedPrefix {
   readonly adapter: AdapterReference;
   readonly hash: string;
-  /** Tokens beyond the next shorter prefix of the same prompt. */
+  /** The tokens after the next shorter prefix of the same prompt. */
   readonly ownTokens: number;
 }
 
-/** A change of the cache, before it gets its sequence. */
+/** A change of the cache without a sequence number. */
 export type CacheChange = Omit<CacheEvent, "sequence">;
 
-/** Prompt prefixes in limited memory; the least recently used go first. */
+/** A cache of prompt prefixes that evicts the least recently used ones. */
 export class PrefixCache {
   readonly #capacityTokens: number;
   readonly #onChange: (change: CacheChange) => void;
-  readonly #prefixes = new Map<string, CachedPrefix>();
+  readonly #prefixesByKey = new Map<string, CachedPrefix>();
   #usedTokens = 0;
 
   /**
-   * @param capacityTokens The memory, in tokens.
-   * @param onChange Receives each change.
+   * @param capacityTokens The capacity in tokens.
+   * @param onChange Called with each change.
    */
   constructor(
     capacityTokens: number,
@@ -34,26 +34,26 @@
     this.#onChange = onChange;
   }
 
-  /** The share of the memory in use, 0 to 1. */
-  get usedShare(): number {
+  /** The fraction of the capacity in use, 0 to 1. */
+  get usedFraction(): number {
     if (this.#capacityTokens === 0) return 0;
     return Math.min(1, this.#usedTokens / this.#capacityTokens);
   }
 
   /**
-   * Finds the longest cached prefix of a prompt and marks it as used.
+   * Finds the longest cached prefix of a prompt and marks it as recently used.
    * @param adapter The adapter that computes it.
    * @param prefixes The prompt's prefixes, the shortest first.
-   * @returns The tokens that need no prefill.
+   * @returns The number of tokens that need no prefill.
    */
   lookUp(adapter: AdapterReference, prefixes: readonly PromptPrefix[]): number {
     let cachedTokens = 0;
     for (const { hash, tokens } of prefixes) {
       const key = prefixKey(adapter, hash);
-      const found = this.#prefixes.get(key);
-      if (found === undefined) break;
-      this.#prefixes.delete(key);
-      this.#prefixes.set(key, found);
+      const cached = this.#prefixesByKey.get(key);
+      if (cached === undefined) break;
+      this.#prefixesByKey.delete(key);
+      this.#prefixesByKey.set(key, cached);
       cachedTokens = tokens;
     }
     return cachedTokens;
@@ -70,36 +70,36 @@
       const ownTokens = tokens - shorterTokens;
       shorterTokens = tokens;
       const key = prefixKey(adapter, hash);
-      if (this.#prefixes.has(key)) continue;
-      this.#prefixes.set(key, { adapter, hash, ownTokens });
+      if (this.#prefixesByKey.has(key)) continue;
+      this.#prefixesByKey.set(key, { adapter, hash, ownTokens });
       this.#usedTokens += ownTokens;
       this.#onChange({ kind: "stored", adapter, prefixHash: hash });
     }
-    this.#shrink();
+    this.#evictToCapacity();
   }
 
   /**
-   * Forgets what an adapter computed.
+   * Evicts all prefixes that an adapter computed.
    * @param adapter The adapter.
    */
-  forgetAdapter(adapter: AdapterReference): void {
-    const own = `${adapterKey(adapter)}/`;
-    for (const key of this.#prefixes.keys()) {
-      if (key.startsWith(own)) this.#evict(key);
+  evictAdapter(adapter: AdapterReference): void {
+    const adapterPrefix = `${adapterKey(adapter)}/`;
+    for (const key of this.#prefixesByKey.keys()) {
+      if (key.startsWith(adapterPrefix)) this.#evict(key);
     }
   }
 
-  #shrink(): void {
-    for (const key of this.#prefixes.keys()) {
+  #evictToCapacity(): void {
+    for (const key of this.#prefixesByKey.keys()) {
       if (this.#usedTokens <= this.#capacityTokens) return;
       this.#evict(key);
     }
   }
 
   #evict(key: string): void {
-    const prefix = this.#prefixes.get(key);
+    const prefix = this.#prefixesByKey.get(key);
     if (prefix === undefined) return;
-    this.#prefixes.delete(key);
+    this.#prefixesByKey.delete(key);
     this.#usedTokens -= prefix.ownTokens;
     const { adapter, hash } = prefix;
     this.#onChange({ kind: "evicted", adapter, prefixHash: hash });
--- a/packages/standins/src/engine/settings.ts
+++ b/packages/standins/src/engine/settings.ts
@@ -2,12 +2,12 @@
 import * as z from "zod";
 import {
   commonFaults,
-  nextOccasions,
   probability,
+  remainingOccurrences,
 } from "../shared/common_faults.ts";
 
-const duration = z.number().nonnegative();
-const count = z.number().int().positive();
+const nonnegativeDuration = z.number().nonnegative();
+const positiveCount = z.number().int().positive();
 
 /** The settings of an engine stand-in. */
 export const fakeEngineSettingsSchema = z.strictObject({
@@ -15,34 +15,34 @@
   id: z.string().min(1).default("engine-1"),
   model: z.string().min(1).default("base"),
   role: engineRoleSchema.default("both"),
-  /** Whether orders with an old fencing number are refused. */
+  /** Whether orders with an outdated fencing number are refused. */
   checksFencing: z.boolean().default(true),
-  /** `http://ip:port` of a weight store; without one, loads only take time. */
+  /** `http://ip:port` of a weight store. Without one, loads fetch nothing. */
   weightStoreAddress: z.string().exactOptional(),
-  /** The time of a load beyond what the weight store takes. */
-  loadMilliseconds: duration.default(20),
-  loadModelMilliseconds: duration.default(1_000),
-  adapterSlots: count.default(8),
-  batchCapacity: count.default(32),
-  waitingCapacity: count.default(1_024),
-  stepBaseMilliseconds: duration.default(8),
-  stepMillisecondsPerSequence: duration.default(0.2),
-  prefillMillisecondsPerToken: duration.default(0.05),
-  /** How many tokens gather before a frame is sent. */
-  tokensPerFrame: count.default(1),
-  /** The share of generations that stop before their longest length. */
+  /** The duration of a load in addition to the fetch of the weights. */
+  loadMilliseconds: nonnegativeDuration.default(20),
+  loadModelMilliseconds: nonnegativeDuration.default(1_000),
+  adapterSlots: positiveCount.default(8),
+  batchCapacity: positiveCount.default(32),
+  waitingCapacity: positiveCount.default(1_024),
+  stepBaseMilliseconds: nonnegativeDuration.default(8),
+  stepMillisecondsPerSequence: nonnegativeDuration.default(0.2),
+  prefillMillisecondsPerToken: nonnegativeDuration.default(0.05),
+  /** The number of tokens that are collected before a frame is sent. */
+  tokensPerFrame: positiveCount.default(1),
+  /** The fraction of generations that may stop before their maximum length. */
   stopShare: z.number().min(0).max(1).default(0),
   prefixCacheTokens: z.number().int().nonnegative().default(100_000),
-  cacheEventLagMilliseconds: duration.default(200),
+  cacheEventLagMilliseconds: nonnegativeDuration.default(200),
   cacheEventGapProbability: z.number().min(0).max(1).default(0.01),
-  loadReportMilliseconds: duration.default(200),
-  /** How long finished generations can still be resumed. */
-  keepFinishedMilliseconds: duration.default(30_000),
-  /** How long a generation goes on that nobody reads. */
-  orphanMilliseconds: duration.default(10_000),
-  kvTransferMillisecondsPerToken: duration.default(0.02),
-  /** How long a restart refuses connections. */
-  restartMilliseconds: duration.default(200),
+  loadReportMilliseconds: nonnegativeDuration.default(200),
+  /** How long ended generations can be resumed. */
+  keepFinishedMilliseconds: nonnegativeDuration.default(30_000),
+  /** How long a generation without a reader runs before it is cancelled. */
+  orphanMilliseconds: nonnegativeDuration.default(10_000),
+  kvTransferMillisecondsPerToken: nonnegativeDuration.default(0.02),
+  /** How long connections are dropped after a restart. */
+  restartMilliseconds: nonnegativeDuration.default(200),
 });
 
 /** The settings of an engine stand-in. */
@@ -53,21 +53,23 @@
 /** The faults of an engine stand-in. */
 export const fakeEngineFaultsSchema = z.strictObject({
   ...commonFaults,
-  /** Tells in its state that it wants no new work. */
+  /** Reports in the engine's state that it takes no new work. */
   leaving: z.boolean().default(false),
-  failNextLoads: nextOccasions,
+  failNextLoads: remainingOccurrences,
   failLoadProbability: probability,
-  extraLoadMilliseconds: duration.default(0),
-  /** Orders that take effect, but whose answer is lost. */
-  loseNextOrderAnswers: nextOccasions,
-  /** Generations that run on another adapter than the one asked for. */
-  wrongAdapterNextGenerations: nextOccasions,
-  /** Generations whose connection is lost in mid-stream. */
-  dropNextStreams: nextOccasions,
+  extraLoadMilliseconds: nonnegativeDuration.default(0),
+  /** Orders that take effect but whose response is lost. */
+  loseNextOrderAnswers: remainingOccurrences,
+  /** Generations that run on an adapter other than the requested one. */
+  wrongAdapterNextGenerations: remainingOccurrences,
+  /** Generations whose connection is dropped after `dropStreamAfterTokens`. */
+  dropNextStreams: remainingOccurrences,
   dropStreamAfterTokens: z.number().int().nonnegative().default(3),
   duplicateFrameProbability: probability,
   misorderFrameProbability: probability,
-  /** Prompts with this text end the engine as it begins to answer them. */
+  /**
+   * Prompts that contain this text crash the engine shortly after their start.
+   */
   crashOnText: z.string().default(""),
 });
 
--- a/packages/standins/src/engine/step_loop.ts
+++ b/packages/standins/src/engine/step_loop.ts
@@ -1,22 +1,22 @@
 import type { EngineRole } from "@foxtailwind/edges";
-import { chooseBatch, isParked, stepMilliseconds } from "./batch.ts";
+import { chooseBatch, computeStepMilliseconds, isParked } from "./batch.ts";
 import type { FakeEngineCounters } from "./counters.ts";
 import type { Generation } from "./generation.ts";
 import type { GenerationTable } from "./generation_table.ts";
 import type { PrefixCache } from "./prefix_cache.ts";
 import type { FakeEngineSettings } from "./settings.ts";
 
-/** What the loop works on. */
+/** The dependencies of a `StepLoop`. */
 export interface StepLoopOptions {
   readonly settings: FakeEngineSettings;
   readonly table: GenerationTable;
   readonly counters: FakeEngineCounters;
-  readonly cache: PrefixCache;
+  readonly prefixCache: PrefixCache;
   readonly readRole: () => EngineRole;
   readonly isFrozen: () => boolean;
 }
 
-/** How the loop went since it was last asked. */
+/** A summary of the steps since the previous summary. */
 export interface StepSummary {
   readonly running: number;
   readonly waiting: number;
@@ -24,27 +24,31 @@
   readonly batchFill: number;
 }
 
-/** A timer that fires late is caught up with, but only so far. */
-const CATCH_UP_MILLISECONDS = 50;
+/**
+ * To catch up with a late timer, a step starts at the scheduled end of the
+ * previous one, unless the delay reaches this limit.
+ */
+const MAXIMUM_CATCH_UP_MILLISECONDS = 50;
 
-/** Runs the batch, one step after another, while there is work. */
+/** Runs the steps of the batch one after another while there is work. */
 export class StepLoop {
   readonly #options: StepLoopOptions;
   #timer: NodeJS.Timeout | undefined;
-  #batch: readonly Generation[] = [];
+  #currentBatch: readonly Generation[] = [];
   #stepEndsAt = 0;
   #lastStepMilliseconds = 0;
   #stepsSinceSummary = 0;
-  #fillSinceSummary = 0;
+  #batchFillSinceSummary = 0;
 
-  /** @param options What the loop works on. */
+  /** @param options The dependencies of a `StepLoop`. */
   constructor(options: StepLoopOptions) {
     this.#options = options;
   }
 
   /**
-   * Starts the next step unless one runs or there is nothing to do.
-   * @param now Milliseconds of a steady clock.
+   * Starts the next step unless one is running, the engine is frozen or there
+   * is no work.
+   * @param now A monotonic clock reading in milliseconds.
    */
   wake(now: number): void {
     if (this.#timer !== undefined || this.#options.isFrozen()) return;
@@ -55,40 +59,51 @@
   stop(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
-    this.#batch = [];
+    this.#currentBatch = [];
   }
 
   /**
-   * Sums up the steps since the last summary.
+   * Summarizes the steps since the previous summary.
    * @returns The summary.
    */
-  summarise(): StepSummary {
+  summarize(): StepSummary {
     const steps = this.#stepsSinceSummary;
-    const live = this.#options.table.live.size;
+    const activeCount = this.#options.table.active.size;
     const summary = {
-      running: this.#batch.length,
-      waiting: Math.max(0, live - this.#batch.length),
+      running: this.#currentBatch.length,
+      waiting: Math.max(0, activeCount - this.#currentBatch.length),
       stepMilliseconds: this.#lastStepMilliseconds,
-      batchFill: steps === 0 ? 0 : this.#fillSinceSummary / steps,
+      batchFill: steps === 0 ? 0 : this.#batchFillSinceSummary / steps,
     };
     this.#stepsSinceSummary = 0;
-    this.#fillSinceSummary = 0;
+    this.#batchFillSinceSummary = 0;
     return summary;
   }
 
   #startStep(now: number): void {
     const { table, settings, counters } = this.#options;
     const role = this.#options.readRole();
-    const able = [...table.live].filter((one) => !isParked(one, role));
-    const batch = chooseBatch(able, settings.batchCapacity);
-    counters.preemptions += countPreempted(this.#batch, { able, batch });
-    this.#batch = batch;
+    const runnable = [...table.active].filter((generation) =>
+      !isParked(generation, role)
+    );
+    const batch = chooseBatch(runnable, settings.batchCapacity);
+    counters.preemptions += countPreempted(this.#currentBatch, {
+      runnable,
+      batch,
+    });
+    this.#currentBatch = batch;
     if (batch.length === 0) return;
     const prefillTokens = this.#lookUpPrefixes(batch);
-    const duration = stepMilliseconds(batch.length, prefillTokens, settings);
-    this.#count(batch.length, prefillTokens, duration);
-    const late = now - this.#stepEndsAt;
-    const start = late < CATCH_UP_MILLISECONDS ? this.#stepEndsAt : now;
+    const duration = computeStepMilliseconds(
+      batch.length,
+      prefillTokens,
+      settings,
+    );
+    this.#countStep(batch.length, prefillTokens, duration);
+    const lateness = now - this.#stepEndsAt;
+    const start = lateness < MAXIMUM_CATCH_UP_MILLISECONDS
+      ? this.#stepEndsAt
+      : now;
     this.#stepEndsAt = start + duration;
     this.#timer = setTimeout(() => {
       this.#timer = undefined;
@@ -102,58 +117,60 @@
   #lookUpPrefixes(batch: readonly Generation[]): number {
     let prefillTokens = 0;
     for (const generation of batch) {
-      if (generation.prefilled) continue;
+      if (generation.isPrefilled) continue;
       const { adapter, prefixes, promptTokens } = generation;
-      const cached = this.#options.cache.lookUp(adapter, prefixes);
+      const cached = this.#options.prefixCache.lookUp(adapter, prefixes);
       generation.cachedPromptTokens = cached;
       prefillTokens += promptTokens - cached;
     }
     return prefillTokens;
   }
 
-  #count(sequences: number, prefillTokens: number, duration: number): void {
+  #countStep(sequences: number, prefillTokens: number, duration: number): void {
     const { counters, settings } = this.#options;
     counters.steps += 1;
     counters.sequenceSteps += sequences;
     counters.prefilledTokens += prefillTokens;
     this.#lastStepMilliseconds = duration;
     this.#stepsSinceSummary += 1;
-    this.#fillSinceSummary += sequences / settings.batchCapacity;
+    this.#batchFillSinceSummary += sequences / settings.batchCapacity;
   }
 
   #finishStep(batch: readonly Generation[], now: number): void {
     for (const generation of batch) {
-      if (generation.ending !== undefined || generation.exported) continue;
-      this.#advance(generation, now);
+      if (generation.ending !== undefined || generation.isExported) continue;
+      this.#advanceGeneration(generation, now);
       generation.stream?.flush();
     }
   }
 
-  #advance(generation: Generation, now: number): void {
-    const { cache, counters, table } = this.#options;
-    if (!generation.prefilled) {
-      generation.prefilled = true;
-      cache.store(generation.adapter, generation.prefixes);
+  #advanceGeneration(generation: Generation, now: number): void {
+    const { prefixCache, counters, table } = this.#options;
+    if (!generation.isPrefilled) {
+      generation.isPrefilled = true;
+      prefixCache.store(generation.adapter, generation.prefixes);
       if (isParked(generation, this.#options.readRole())) return;
     }
     generation.generated += 1;
     counters.tokens += 1;
     if (generation.generated < generation.totalTokens) return;
     const finishReason = generation.stopsEarly ? "stop" : "length";
-    generation.endWith(generation.regularEnding(finishReason), now);
+    generation.endWith(generation.createEnding(finishReason), now);
     counters.generationsFinished += 1;
-    table.retire(generation);
+    table.deactivate(generation);
   }
 }
 
 function countPreempted(
-  before: readonly Generation[],
-  { able, batch }: {
-    readonly able: readonly Generation[];
+  previousBatch: readonly Generation[],
+  { runnable, batch }: {
+    readonly runnable: readonly Generation[];
     readonly batch: readonly Generation[];
   },
 ): number {
-  const isAble = new Set(able);
-  const isKept = new Set(batch);
-  return before.filter((one) => isAble.has(one) && !isKept.has(one)).length;
+  const runnableSet = new Set(runnable);
+  const batchSet = new Set(batch);
+  return previousBatch.filter((generation) =>
+    runnableSet.has(generation) && !batchSet.has(generation)
+  ).length;
 }
--- a/packages/standins/src/engine/weight_fetch.ts
+++ b/packages/standins/src/engine/weight_fetch.ts
@@ -8,18 +8,18 @@
 import { err, ok, type Result } from "neverthrow";
 import { refusal } from "../shared/refusal.ts";
 
-/** From where weights are fetched, and what gives the fetch up. */
+/** The weight store's address and the signal that aborts the fetch. */
 export interface WeightFetchOptions {
   readonly weightStoreAddress: string;
   readonly signal: AbortSignal;
 }
 
 /**
- * Fetches an adapter's weights, which holds one of the store's places until
- * they are whole.
+ * Fetches an adapter's weights. It occupies one of the store's concurrent loads
+ * until the transfer is complete.
  * @param adapter The adapter and its version.
- * @param options The store.
- * @returns Nothing, or why the fetch failed.
+ * @param options The weight store and the abort signal.
+ * @returns Nothing, or the reason of the failure.
  */
 export async function fetchWeights(
   adapter: AdapterReference,
--- a/packages/standins/src/log_service/fake_log_service.ts
+++ b/packages/standins/src/log_service/fake_log_service.ts
@@ -12,9 +12,9 @@
   type FakeLogServiceSettings,
   fakeLogServiceSettingsSchema,
 } from "./settings.ts";
-import { Stream } from "./stream.ts";
+import { LogStream } from "./log_stream.ts";
 
-/** What a log service stand-in counted. */
+/** Counters of a log service stand-in. */
 export interface FakeLogServiceCounters {
   readonly appends: number;
   readonly records: number;
@@ -23,20 +23,20 @@
   readonly answersLost: number;
 }
 
-const streamSchema = z.object({ stream: z.string().min(1) });
-const appendSchema = z.object({ records: z.array(z.string()).min(1) });
-const readSchema = z.object({
+const streamParametersSchema = z.object({ stream: z.string().min(1) });
+const appendBodySchema = z.object({ records: z.array(z.string()).min(1) });
+const readQuerySchema = z.object({
   from: z.coerce.number().int().nonnegative().default(0),
   limit: z.coerce.number().int().positive().default(1_000),
   wait: z.coerce.number().nonnegative().default(0),
 });
 
-/** Takes the place of the platform's append-only log service. */
+/** A stand-in for the platform's append-only log service. */
 export class FakeLogService extends StandIn<FakeLogServiceFaults> {
   readonly #settings: FakeLogServiceSettings;
   readonly #random: SeededRandom;
-  readonly #appendRate: TokenBucket;
-  readonly #streams = new Map<string, Stream>();
+  readonly #appendRateLimiter: TokenBucket;
+  readonly #streams = new Map<string, LogStream>();
   #counters: FakeLogServiceCounters = {
     appends: 0,
     records: 0,
@@ -45,46 +45,49 @@
     answersLost: 0,
   };
 
-  /** @param settings Settings that differ from the defaults. */
+  /** @param settings Overrides of the default settings. */
   constructor(settings: Partial<FakeLogServiceSettings> = {}) {
     super(fakeLogServiceFaultsSchema);
     this.#settings = fakeLogServiceSettingsSchema.parse(settings);
     this.#random = new SeededRandom(this.#settings.seed);
-    this.#appendRate = new TokenBucket(
+    this.#appendRateLimiter = new TokenBucket(
       this.#settings.appendsPerSecond,
       performance.now(),
     );
     const path = "/v1/streams/:stream/records";
     this.application.post(path, (request, reply) => {
-      return this.#append(request, reply);
+      return this.#handleAppend(request, reply);
     });
-    this.application.get(path, (request, reply) => this.#read(request, reply));
+    this.application.get(
+      path,
+      (request, reply) => this.#handleRead(request, reply),
+    );
   }
 
   override readCounters(): FakeLogServiceCounters {
     return this.#counters;
   }
 
-  async #append(
+  async #handleAppend(
     request: FastifyRequest,
     reply: FastifyReply,
   ): Promise<unknown> {
-    const parameters = parseInput(streamSchema, request.params);
+    const parameters = parseInput(streamParametersSchema, request.params);
     if (parameters.isErr()) return sendRefusal(reply, parameters.error);
-    const body = parseInput(appendSchema, request.body);
+    const body = parseInput(appendBodySchema, request.body);
     if (body.isErr()) return sendRefusal(reply, body.error);
     const { records } = body.value;
     if (totalBytes(records) > this.#settings.maximumAppendBytes) {
       return sendRefusal(reply, refusal("invalid", "The append is too large"));
     }
-    if (this.strikes("dropNextAppends")) return dropConnection(reply);
-    if (this.strikes("refuseNextAppends")) {
+    if (this.consumeFault("dropNextAppends")) return dropConnection(reply);
+    if (this.consumeFault("refuseNextAppends")) {
       return sendRefusal(reply, refusal("refused", "The append is refused"));
     }
     const now = performance.now();
-    const waitMilliseconds = this.#appendRate.take(now);
+    const waitMilliseconds = this.#appendRateLimiter.tryTake(now);
     if (waitMilliseconds > 0) {
-      this.#count({ overloaded: 1 });
+      this.#addCounts({ overloaded: 1 });
       return sendRefusal(
         reply,
         refusal("overloaded", "Too many appends a second", {
@@ -92,31 +95,40 @@
         }),
       );
     }
-    const offset = this.#stream(parameters.value.stream).append(records, now);
-    this.#count({ appends: 1, records: records.length });
-    return await this.#answerAppend(reply, offset);
+    const offset = this.#getOrCreateStream(parameters.value.stream).append(
+      records,
+      now,
+    );
+    this.#addCounts({ appends: 1, records: records.length });
+    return await this.#sendAppendAnswer(reply, offset);
   }
 
-  async #answerAppend(reply: FastifyReply, offset: number): Promise<unknown> {
+  async #sendAppendAnswer(
+    reply: FastifyReply,
+    offset: number,
+  ): Promise<unknown> {
     const { appendAnswerDelayMilliseconds, loseAppendAnswerProbability } =
       this.faults;
     if (appendAnswerDelayMilliseconds > 0) {
       await delay(appendAnswerDelayMilliseconds);
     }
-    const lost = this.strikes("loseNextAppendAnswers") ||
+    const isLost = this.consumeFault("loseNextAppendAnswers") ||
       this.#random.happens(loseAppendAnswerProbability);
-    if (!lost) return { offset };
-    this.#count({ answersLost: 1 });
+    if (!isLost) return { offset };
+    this.#addCounts({ answersLost: 1 });
     return dropConnection(reply);
   }
 
-  async #read(request: FastifyRequest, reply: FastifyReply): Promise<unknown> {
-    const parameters = parseInput(streamSchema, request.params);
+  async #handleRead(
+    request: FastifyRequest,
+    reply: FastifyReply,
+  ): Promise<unknown> {
+    const parameters = parseInput(streamParametersSchema, request.params);
     if (parameters.isErr()) return sendRefusal(reply, parameters.error);
-    const query = parseInput(readSchema, request.query);
+    const query = parseInput(readQuerySchema, request.query);
     if (query.isErr()) return sendRefusal(reply, query.error);
-    this.#count({ reads: 1 });
-    const stream = this.#stream(parameters.value.stream);
+    this.#addCounts({ reads: 1 });
+    const stream = this.#getOrCreateStream(parameters.value.stream);
     const { from, limit, wait } = query.value;
     const page = stream.read(from, { limit, now: performance.now() });
     if (page.records.length > 0 || wait === 0) return page;
@@ -124,10 +136,10 @@
     return stream.read(from, { limit, now: performance.now() });
   }
 
-  #stream(name: string): Stream {
-    const known = this.#streams.get(name);
-    if (known !== undefined) return known;
-    const stream = new Stream({
+  #getOrCreateStream(name: string): LogStream {
+    const existing = this.#streams.get(name);
+    if (existing !== undefined) return existing;
+    const stream = new LogStream({
       milliseconds: this.#settings.retainMilliseconds,
       records: this.#settings.retainRecords,
     });
@@ -135,14 +147,14 @@
     return stream;
   }
 
-  #count(more: Partial<FakeLogServiceCounters>): void {
-    const counted = this.#counters;
+  #addCounts(increments: Partial<FakeLogServiceCounters>): void {
+    const previous = this.#counters;
     this.#counters = {
-      appends: counted.appends + (more.appends ?? 0),
-      records: counted.records + (more.records ?? 0),
-      reads: counted.reads + (more.reads ?? 0),
-      overloaded: counted.overloaded + (more.overloaded ?? 0),
-      answersLost: counted.answersLost + (more.answersLost ?? 0),
+      appends: previous.appends + (increments.appends ?? 0),
+      records: previous.records + (increments.records ?? 0),
+      reads: previous.reads + (increments.reads ?? 0),
+      overloaded: previous.overloaded + (increments.overloaded ?? 0),
+      answersLost: previous.answersLost + (increments.answersLost ?? 0),
     };
   }
 }
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * The program `foxtailwind-standins`: starts stand-ins on loopback and prints
- * one JSON line for each, then one with the kind `ready`.
+ * The program `foxtailwind-standins`: starts stand-ins on loopback. It prints
+ * one JSON line per stand-in, then one with the kind `ready`.
  * @module
  */
 import { createConsola } from "consola";
@@ -16,9 +16,9 @@
   startStandIns,
 } from "./program/start_stand_ins.ts";
 
-const EXIT_BAD_SETTINGS = 2;
+const INVALID_SETTINGS_EXIT_CODE = 2;
 
-const pairs = {
+const settingPairsOption = {
   type: "string",
   array: true,
   default: [] as string[],
@@ -45,17 +45,18 @@
     type: "string",
     array: true,
     default: [] as string[],
-    describe: "Plain services; one server of each in each failure domain",
+    describe:
+      "Names of plain services; each gets one server per failure domain",
   })
-  .option("log-setting", pairs)
-  .option("store-setting", pairs)
-  .option("vm-list-setting", pairs)
-  .option("engine-setting", pairs)
-  .option("service-setting", pairs)
+  .option("log-setting", settingPairsOption)
+  .option("store-setting", settingPairsOption)
+  .option("vm-list-setting", settingPairsOption)
+  .option("engine-setting", settingPairsOption)
+  .option("service-setting", settingPairsOption)
   .strict()
   .parseAsync();
 
-// Standard output carries the JSON lines only.
+// Standard output is reserved for the JSON lines.
 const log = createConsola({ stdout: process.stderr }).withTag("standins");
 
 try {
@@ -71,7 +72,7 @@
 } catch (error) {
   if (!(error instanceof PlanError)) throw error;
   log.error(error.message);
-  process.exitCode = EXIT_BAD_SETTINGS;
+  process.exitCode = INVALID_SETTINGS_EXIT_CODE;
 }
 
 function printLine(line: object): void {
@@ -79,10 +80,10 @@
 }
 
 function closeOnSignal(started: readonly StartedStandIn[]): void {
-  let closing = false;
+  let isClosing = false;
   const close = (): void => {
-    if (closing) return;
-    closing = true;
+    if (isClosing) return;
+    isClosing = true;
     void Promise.all(started.map(({ standIn }) => standIn.close()));
   };
   process.on("SIGTERM", close);
--- a/packages/standins/src/mod.ts
+++ b/packages/standins/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Small servers that take the place of engines, plain services and the
- * platform in tests and demonstrations, each with switches for its faults.
+ * Small servers that replace engines, plain services and the platform in tests
+ * and demonstrations, with fault injection.
  * @module
  */
 export * from "./engine/counters.ts";
@@ -15,7 +15,7 @@
 export * from "./vm_list/fake_vm_list.ts";
 export * from "./weight_store/fake_weight_store.ts";
 export * from "./weight_store/settings.ts";
-export * from "./weight_store/transfer_share.ts";
+export * from "./weight_store/transfer_scheduler.ts";
 export * from "./program/plan.ts";
 export * from "./program/plan_from_flags.ts";
 export * from "./program/plan_from_ini.ts";
--- a/packages/standins/src/plain_service/fake_plain_service.ts
+++ b/packages/standins/src/plain_service/fake_plain_service.ts
@@ -4,21 +4,25 @@
 import * as z from "zod";
 import {
   commonFaults,
-  nextOccasions,
   probability,
+  remainingOccurrences,
 } from "../shared/common_faults.ts";
 import { SeededRandom } from "../shared/random.ts";
-import { CONTROL_PREFIX, dropConnection, StandIn } from "../shared/stand_in.ts";
+import {
+  CONTROL_PATH_PREFIX,
+  dropConnection,
+  StandIn,
+} from "../shared/stand_in.ts";
 
 /** The settings of a plain service stand-in. */
 export const fakePlainServiceSettingsSchema = z.strictObject({
   seed: z.number().int().default(1),
-  /** Named in its answers. */
+  /** The id of the server, which its responses contain. */
   id: z.string().min(1).default("service-1"),
   latencyMilliseconds: z.number().nonnegative().default(1),
-  /** Added to the latency, evenly spread from 0 to this. */
+  /** The maximum of a uniformly distributed addition to the latency. */
   latencySpreadMilliseconds: z.number().nonnegative().default(0),
-  /** The header that carries the key of a call that must not run twice. */
+  /** The header with the idempotency key of a call. */
   keyHeader: z.string().min(1).default("idempotency-key"),
 });
 
@@ -30,17 +34,17 @@
 /** The faults of a plain service stand-in. */
 export const fakePlainServiceFaultsSchema = z.strictObject({
   ...commonFaults,
-  /** Tells in each answer that the server wants no new work. */
+  /** Reports in each response that the server takes no new work. */
   leaving: z.boolean().default(false),
-  /** Calls that run, but are answered with status 500. */
+  /** Calls that run but get status 500. */
   errorProbability: probability,
-  failNextCalls: nextOccasions,
-  /** Calls that are answered with status 503 and stated as not run. */
-  refuseNextCalls: nextOccasions,
-  /** Calls whose connection is lost before they run. */
-  dropNextCalls: nextOccasions,
-  /** Calls that run, but whose answer is lost. */
-  loseNextAnswers: nextOccasions,
+  failNextCalls: remainingOccurrences,
+  /** Calls that get status 503 with the outcome `not_run`. */
+  refuseNextCalls: remainingOccurrences,
+  /** Calls whose connection is dropped before they run. */
+  dropNextCalls: remainingOccurrences,
+  /** Calls that run but whose response is lost. */
+  loseNextAnswers: remainingOccurrences,
 });
 
 /** The faults of a plain service stand-in. */
@@ -48,17 +52,17 @@
   z.infer<typeof fakePlainServiceFaultsSchema>
 >;
 
-/** What a plain service stand-in counted. */
+/** Counters of a plain service stand-in. */
 export interface FakePlainServiceCounters {
   readonly calls: number;
   readonly runs: number;
   readonly runsByKey: Readonly<Record<string, number>>;
-  /** Keys that ran more than once on this server. */
+  /** The idempotency keys that ran more than once on this server. */
   readonly repeatedKeys: readonly string[];
   readonly callsWhileLeaving: number;
 }
 
-const METHODS: HTTPMethods[] = [
+const SUPPORTED_METHODS: HTTPMethods[] = [
   "GET",
   "HEAD",
   "POST",
@@ -68,7 +72,7 @@
   "OPTIONS",
 ];
 
-/** Takes the place of one server of a plain service. */
+/** A stand-in for one server of a plain service. */
 export class FakePlainService extends StandIn<FakePlainServiceFaults> {
   readonly #settings: FakePlainServiceSettings;
   readonly #random: SeededRandom;
@@ -77,7 +81,7 @@
   #runs = 0;
   #callsWhileLeaving = 0;
 
-  /** @param settings Settings that differ from the defaults. */
+  /** @param settings Overrides of the default settings. */
   constructor(settings: Partial<FakePlainServiceSettings> = {}) {
     super(fakePlainServiceFaultsSchema);
     this.#settings = fakePlainServiceSettingsSchema.parse(settings);
@@ -87,14 +91,14 @@
       "*",
       { parseAs: "string" },
       (request, body, done) => {
-        const isControl = request.url.startsWith(CONTROL_PREFIX);
+        const isControl = request.url.startsWith(CONTROL_PATH_PREFIX);
         done(null, isControl ? parseJson(body.toString()) : body);
       },
     );
     this.application.route({
-      method: METHODS,
+      method: SUPPORTED_METHODS,
       url: "/*",
-      handler: (request, reply) => this.#call(request, reply),
+      handler: (request, reply) => this.#handleCall(request, reply),
     });
   }
 
@@ -109,22 +113,25 @@
     };
   }
 
-  async #call(request: FastifyRequest, reply: FastifyReply): Promise<unknown> {
+  async #handleCall(
+    request: FastifyRequest,
+    reply: FastifyReply,
+  ): Promise<unknown> {
     this.#calls += 1;
     if (this.faults.leaving) {
       this.#callsWhileLeaving += 1;
       reply.header(LEAVING_HEADER, "true");
     }
-    if (this.strikes("dropNextCalls")) return dropConnection(reply);
-    if (this.strikes("refuseNextCalls")) {
+    if (this.consumeFault("dropNextCalls")) return dropConnection(reply);
+    if (this.consumeFault("refuseNextCalls")) {
       reply.header(OUTCOME_HEADER, "not_run").code(503);
       return { error: "The call is refused" };
     }
-    const key = this.#readKey(request);
+    const key = this.#readIdempotencyKey(request);
     const runsOfKey = this.#countRun(key);
     await delay(this.#drawLatency());
-    if (this.strikes("loseNextAnswers")) return dropConnection(reply);
-    const fails = this.strikes("failNextCalls") ||
+    if (this.consumeFault("loseNextAnswers")) return dropConnection(reply);
+    const fails = this.consumeFault("failNextCalls") ||
       this.#random.happens(this.faults.errorProbability);
     if (fails) {
       reply.code(500);
@@ -139,7 +146,7 @@
     };
   }
 
-  #readKey(request: FastifyRequest): string | null {
+  #readIdempotencyKey(request: FastifyRequest): string | null {
     const value = request.headers[this.#settings.keyHeader];
     return typeof value === "string" ? value : null;
   }
--- a/packages/standins/src/program/plan.ts
+++ b/packages/standins/src/program/plan.ts
@@ -25,27 +25,27 @@
   port: z.number().int().min(0).max(65_535).default(0),
   region: z.string().min(1).default("region-1"),
   failureDomain: z.string().min(1).default("domain-1"),
-  /** The plain service that a server belongs to. */
+  /** The plain service to which the server belongs. */
   service: z.string().min(1).default("service"),
 });
 
-/** Where a stand-in listens, and what the VM list says of it. */
+/** The address of a stand-in and its location in the VM list. */
 export type Placement = Readonly<z.infer<typeof placementSchema>>;
 
-interface Planned<Kind extends string, Settings> {
+interface PlanOf<Kind extends string, Settings> {
   readonly kind: Kind;
   readonly id: string;
   readonly placement: Placement;
   readonly settings: Settings;
 }
 
-/** One stand-in that the program starts. */
+/** The plan of one stand-in to start. */
 export type StandInPlan =
-  | Planned<"log_service", FakeLogServiceSettings>
-  | Planned<"weight_store", FakeWeightStoreSettings>
-  | Planned<"vm_list", FakeVmListSettings>
-  | Planned<"engine", FakeEngineSettings>
-  | Planned<"service", FakePlainServiceSettings>;
+  | PlanOf<"log_service", FakeLogServiceSettings>
+  | PlanOf<"weight_store", FakeWeightStoreSettings>
+  | PlanOf<"vm_list", FakeVmListSettings>
+  | PlanOf<"engine", FakeEngineSettings>
+  | PlanOf<"service", FakePlainServiceSettings>;
 
 /** The kinds of stand-ins, in the order in which they start. */
 export const STAND_IN_KINDS = [
@@ -59,10 +59,10 @@
 /** A kind of stand-in. */
 export type StandInKind = (typeof STAND_IN_KINDS)[number];
 
-/** The settings of one stand-in as they were given: all are strings. */
+/** The settings of one stand-in before parsing: all values are strings. */
 export type RawSettings = Readonly<Record<string, string>>;
 
-/** Settings of a stand-in that cannot be used. */
+/** Thrown for invalid settings of a stand-in. */
 export class PlanError extends Error {
   constructor(section: string, detail: string) {
     super(`Cannot use the settings of "${section}": ${detail}`);
@@ -71,31 +71,41 @@
 }
 
 /**
- * Checks the settings of one stand-in.
- * @param kind What it takes the place of.
- * @param id Its id.
- * @param raw Its settings in snake_case, those of its placement included.
+ * Parses the settings of one stand-in.
+ * @param kind The kind of the stand-in.
+ * @param id The id of the stand-in.
+ * @param raw Its settings in snake_case, including those of its placement.
  * @returns The plan.
  */
 export function planStandIn(
   kind: StandInKind,
   { id, raw }: { readonly id: string; readonly raw: RawSettings },
 ): StandInPlan {
-  const named = Object.entries(raw).map(([name, text]) =>
-    [toCamelCase(name), readValue(text)] as const
+  const entries = Object.entries(raw).map(([name, text]) =>
+    [toCamelCase(name), parseValue(text)] as const
+  );
+  const placementEntries = entries.filter(([name]) =>
+    name in placementSchema.shape
+  );
+  const settingEntries = entries.filter(([name]) =>
+    !(name in placementSchema.shape)
   );
-  const placed = named.filter(([name]) => name in placementSchema.shape);
-  const own = named.filter(([name]) => !(name in placementSchema.shape));
   try {
-    const placement = placementSchema.parse(Object.fromEntries(placed));
-    return planKind(kind, { id, placement, raw: Object.fromEntries(own) });
+    const placement = placementSchema.parse(
+      Object.fromEntries(placementEntries),
+    );
+    return parsePlan(kind, {
+      id,
+      placement,
+      raw: Object.fromEntries(settingEntries),
+    });
   } catch (error) {
     if (!(error instanceof z.ZodError)) throw error;
     throw new PlanError(id, z.prettifyError(error));
   }
 }
 
-function planKind(
+function parsePlan(
   kind: StandInKind,
   { id, placement, raw }: {
     readonly id: string;
@@ -133,7 +143,7 @@
   });
 }
 
-function readValue(text: string): string | number | boolean {
+function parseValue(text: string): string | number | boolean {
   if (text === "true") return true;
   if (text === "false") return false;
   const value = Number(text);
--- a/packages/standins/src/program/plan_from_flags.ts
+++ b/packages/standins/src/program/plan_from_flags.ts
@@ -5,14 +5,14 @@
   type StandInPlan,
 } from "./plan.ts";
 
-/** The flags that say which stand-ins to start. */
+/** The flags that select the stand-ins to start. */
 export interface StandInFlags {
   readonly host: string;
   readonly seed: number;
   readonly region: string;
   readonly domains: number;
   readonly engines: number;
-  /** Names of plain services; one server of each in each failure domain. */
+  /** Names of plain services. Each gets one server per failure domain. */
   readonly services: readonly string[];
   readonly logSetting: readonly string[];
   readonly storeSetting: readonly string[];
@@ -22,36 +22,48 @@
 }
 
 /**
- * Works out which stand-ins to start from flags: the platform's three, and
- * engines and servers spread evenly over the failure domains.
+ * Plans the stand-ins to start from flags: one log service, weight store and
+ * VM list, and engines and servers that are spread evenly over the failure
+ * domains.
  * @param flags The flags.
  * @returns The plans, in the order in which they start.
  */
 export function planFromFlags(flags: StandInFlags): readonly StandInPlan[] {
-  const base = { host: flags.host, region: flags.region };
+  const commonSettings = { host: flags.host, region: flags.region };
   const seed = String(flags.seed);
-  const logSettings = { ...base, seed, ...readPairs(flags.logSetting) };
-  const storeSettings = { ...base, seed, ...readPairs(flags.storeSetting) };
-  const listSettings = { ...base, ...readPairs(flags.vmListSetting) };
+  const logSettings = {
+    ...commonSettings,
+    seed,
+    ...parsePairs(flags.logSetting),
+  };
+  const storeSettings = {
+    ...commonSettings,
+    seed,
+    ...parsePairs(flags.storeSetting),
+  };
+  const listSettings = {
+    ...commonSettings,
+    ...parsePairs(flags.vmListSetting),
+  };
   return [
     planStandIn("log_service", { id: "log_service", raw: logSettings }),
     planStandIn("weight_store", { id: "weight_store", raw: storeSettings }),
     planStandIn("vm_list", { id: "vm_list", raw: listSettings }),
-    ...planEngines(flags, base),
-    ...planServices(flags, base),
+    ...planEngines(flags, commonSettings),
+    ...planServices(flags, commonSettings),
   ];
 }
 
 function planEngines(
   flags: StandInFlags,
-  base: RawSettings,
+  commonSettings: RawSettings,
 ): readonly StandInPlan[] {
-  return countFromOne(flags.engines).map((number) => {
+  return numbersFromOne(flags.engines).map((number) => {
     const raw = {
-      ...base,
+      ...commonSettings,
       seed: String(flags.seed + number),
-      failure_domain: domainOf(number, flags.domains),
-      ...readPairs(flags.engineSetting),
+      failure_domain: failureDomainOf(number, flags.domains),
+      ...parsePairs(flags.engineSetting),
     };
     return planStandIn("engine", { id: `engine-${number}`, raw });
   });
@@ -59,35 +71,35 @@
 
 function planServices(
   flags: StandInFlags,
-  base: RawSettings,
+  commonSettings: RawSettings,
 ): readonly StandInPlan[] {
   return flags.services.flatMap((service) =>
-    countFromOne(flags.domains).map((number) => {
+    numbersFromOne(flags.domains).map((number) => {
       const raw = {
-        ...base,
+        ...commonSettings,
         service,
         seed: String(flags.seed + number),
-        failure_domain: domainOf(number, flags.domains),
-        ...readPairs(flags.serviceSetting),
+        failure_domain: failureDomainOf(number, flags.domains),
+        ...parsePairs(flags.serviceSetting),
       };
       return planStandIn("service", { id: `${service}-${number}`, raw });
     })
   );
 }
 
-function countFromOne(count: number): readonly number[] {
+function numbersFromOne(count: number): readonly number[] {
   return Array.from({ length: count }, (_, index) => index + 1);
 }
 
-function domainOf(number: number, domains: number): string {
+function failureDomainOf(number: number, domains: number): string {
   return `domain-${(number - 1) % domains + 1}`;
 }
 
-function readPairs(pairs: readonly string[]): RawSettings {
+function parsePairs(pairs: readonly string[]): RawSettings {
   const entries = pairs.map((pair) => {
-    const middle = pair.indexOf("=");
-    if (middle < 1) throw new PlanError(pair, "expected NAME=VALUE");
-    return [pair.slice(0, middle), pair.slice(middle + 1)] as const;
+    const separator = pair.indexOf("=");
+    if (separator < 1) throw new PlanError(pair, "expected NAME=VALUE");
+    return [pair.slice(0, separator), pair.slice(separator + 1)] as const;
   });
   return Object.fromEntries(entries);
 }
--- a/packages/standins/src/program/plan_from_ini.ts
+++ b/packages/standins/src/program/plan_from_ini.ts
@@ -9,16 +9,17 @@
 } from "./plan.ts";
 
 /**
- * Reads which stand-ins to start from an INI text. There is at most one of
- * `[log_service]`, `[weight_store]` and `[vm_list]`; engines and servers have
- * their ids in their sections, as in `[engine.one]` and `[service.two]`.
+ * Plans the stand-ins to start from an INI text. It has at most one section of
+ * `[log_service]`, `[weight_store]` and `[vm_list]` each. The section names of
+ * engines and servers contain their ids, as in `[engine.one]` and
+ * `[service.two]`.
  * @param text The INI text.
  * @returns The plans, in the order in which they start.
  */
 export function planFromIni(text: string): readonly StandInPlan[] {
   const sections = parse(text);
   for (const name of Object.keys(sections)) {
-    if (isKind(name)) continue;
+    if (isStandInKind(name)) continue;
     throw new PlanError(name, `expected one of ${STAND_IN_KINDS.join(", ")}`);
   }
   return STAND_IN_KINDS.flatMap((kind) => {
@@ -32,17 +33,19 @@
   section: unknown,
 ): readonly StandInPlan[] {
   if (kind !== "engine" && kind !== "service") {
-    return [planStandIn(kind, { id: kind, raw: readStrings(kind, section) })];
+    return [
+      planStandIn(kind, { id: kind, raw: readRawSettings(kind, section) }),
+    ];
   }
   if (typeof section !== "object" || section === null) {
     throw new PlanError(kind, "expected a section");
   }
-  return Object.entries(section).map(([id, own]: [string, unknown]) =>
-    planStandIn(kind, { id, raw: readStrings(`${kind}.${id}`, own) })
+  return Object.entries(section).map(([id, settings]: [string, unknown]) =>
+    planStandIn(kind, { id, raw: readRawSettings(`${kind}.${id}`, settings) })
   );
 }
 
-function readStrings(name: string, section: unknown): RawSettings {
+function readRawSettings(name: string, section: unknown): RawSettings {
   if (typeof section !== "object" || section === null) {
     throw new PlanError(name, "expected a section with an id, as [engine.one]");
   }
@@ -52,6 +55,6 @@
   return Object.fromEntries(entries);
 }
 
-function isKind(name: string): name is StandInKind {
+function isStandInKind(name: string): name is StandInKind {
   return (STAND_IN_KINDS as readonly string[]).includes(name);
 }
--- a/packages/standins/src/program/start_stand_ins.ts
+++ b/packages/standins/src/program/start_stand_ins.ts
@@ -14,7 +14,7 @@
 import { FakeWeightStore } from "../weight_store/fake_weight_store.ts";
 import type { StandInKind, StandInPlan } from "./plan.ts";
 
-/** A stand-in that listens. */
+/** A stand-in that is listening. */
 export interface StartedStandIn {
   readonly kind: StandInKind;
   readonly id: string;
@@ -24,30 +24,31 @@
 }
 
 /**
- * Starts stand-ins in their order. Engines that name no weight store fetch
- * from the one started here; the VM list shows the engines and the servers.
- * @param plans What to start.
- * @returns The stand-ins, to be closed by the caller.
+ * Starts stand-ins in the given order. Engines without a configured weight
+ * store use the one started before them. Engines and servers are added to the
+ * VM lists started before them.
+ * @param plans The stand-ins to start.
+ * @returns The started stand-ins, which the caller must close.
  */
 export async function startStandIns(
   plans: readonly StandInPlan[],
 ): Promise<readonly StartedStandIn[]> {
   const started: StartedStandIn[] = [];
   for (const plan of plans) {
-    const store = started.find(({ kind }) => kind === "weight_store");
-    const standIn = makeStandIn(plan, store?.address);
+    const weightStore = started.find(({ kind }) => kind === "weight_store");
+    const standIn = createStandIn(plan, weightStore?.address);
     const { host, port, failureDomain } = plan.placement;
     const address = await standIn.listen({ host, port });
     const { kind, id } = plan;
     started.push({ kind, id, address, failureDomain, standIn });
-    showInVmLists(started, describeVm(plan, address));
+    addToVmLists(started, describeVm(plan, address));
   }
   return started;
 }
 
-function makeStandIn(
+function createStandIn(
   plan: StandInPlan,
-  storeAddress: string | undefined,
+  weightStoreAddress: string | undefined,
 ): StandIn<CommonFaults> {
   switch (plan.kind) {
     case "log_service":
@@ -58,16 +59,16 @@
       return new FakeVmList(plan.settings);
     case "engine":
       return new FakeEngine(
-        storeAddress === undefined
+        weightStoreAddress === undefined
           ? plan.settings
-          : { weightStoreAddress: storeAddress, ...plan.settings },
+          : { weightStoreAddress, ...plan.settings },
       );
     case "service":
       return new FakePlainService(plan.settings);
   }
 }
 
-function showInVmLists(
+function addToVmLists(
   started: readonly StartedStandIn[],
   vm: Vm | undefined,
 ): void {
--- a/packages/standins/src/shared/parse_input.ts
+++ b/packages/standins/src/shared/parse_input.ts
@@ -4,10 +4,10 @@
 import { refusal } from "./refusal.ts";
 
 /**
- * Checks what a caller sent against a schema.
+ * Validates a caller's input with a schema.
  * @param schema The schema.
- * @param value The body, the query or the path's parameters.
- * @returns The checked value, or the refusal to answer with.
+ * @param value The body, the query or the path parameters.
+ * @returns The parsed value, or the refusal to send.
  */
 export function parseInput<Value>(
   schema: z.ZodType<Value>,
--- a/packages/standins/src/shared/random.ts
+++ b/packages/standins/src/shared/random.ts
@@ -1,25 +1,25 @@
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** Random decisions that repeat with the seed. */
+/** A random number generator whose results depend only on its seed. */
 export class SeededRandom {
   readonly #generator;
 
-  /** @param seed The same seed gives the same decisions. */
+  /** @param seed The same seed gives the same numbers. */
   constructor(seed: number) {
     this.#generator = xoroshiro128plus(seed);
   }
 
   /**
-   * Draws a number.
-   * @returns At least 0 and below 1.
+   * Draws a uniformly distributed number.
+   * @returns A number from 0 to below 1.
    */
   next(): number {
     return uniformFloat64(this.#generator);
   }
 
   /**
-   * Decides by chance.
+   * Draws whether an event of a given probability happens.
    * @param probability 0 for never, 1 for always.
    * @returns Whether it happens.
    */
--- a/packages/standins/src/shared/refusal.ts
+++ b/packages/standins/src/shared/refusal.ts
@@ -2,13 +2,13 @@
 import type { StatedFailure } from "@foxtailwind/edges";
 import type { FastifyReply } from "fastify";
 
-/** Parts of a refusal that have defaults. */
+/** The optional fields of a refusal. */
 export interface RefusalOptions {
   readonly outcome?: RunOutcome;
   readonly retryAfterMilliseconds?: number;
 }
 
-const STATUS_BY_REASON: Readonly<Record<FailureReason, number>> = {
+const HTTP_STATUS_BY_REASON: Readonly<Record<FailureReason, number>> = {
   invalid: 400,
   not_found: 404,
   conflict: 409,
@@ -24,10 +24,10 @@
 };
 
 /**
- * Makes a refusal, which by default states that nothing ran.
- * @param reason Why.
- * @param message The reason in words.
- * @param options Parts that differ from the defaults.
+ * Creates a refusal. Its outcome is `not_run` by default.
+ * @param reason The reason code.
+ * @param message The description of the reason.
+ * @param options The optional fields.
  * @returns The refusal.
  */
 export function refusal(
@@ -45,8 +45,8 @@
 }
 
 /**
- * Answers with a refusal.
- * @param reply The answer to send.
+ * Sends a refusal with the HTTP status of its reason.
+ * @param reply The HTTP response.
  * @param failure The refusal.
  * @returns The reply, for a handler to return.
  */
@@ -54,5 +54,5 @@
   reply: FastifyReply,
   failure: StatedFailure,
 ): FastifyReply {
-  return reply.code(STATUS_BY_REASON[failure.reason]).send(failure);
+  return reply.code(HTTP_STATUS_BY_REASON[failure.reason]).send(failure);
 }
--- a/packages/standins/src/shared/stand_in.ts
+++ b/packages/standins/src/shared/stand_in.ts
@@ -4,47 +4,53 @@
 import type { CommonFaults } from "./common_faults.ts";
 import { refusal, sendRefusal } from "./refusal.ts";
 
-/** Where a stand-in listens. */
+/** The address on which a stand-in listens. */
 export interface ListenOptions {
-  /** An address in 127.0.0.0/8. */
+  /** An IP address in 127.0.0.0/8. */
   readonly host?: string;
   /** 0 for any free port. */
   readonly port?: number;
 }
 
-const BODY_LIMIT_BYTES = 16 * 1024 * 1024;
+const MAXIMUM_BODY_BYTES = 16 * 1024 * 1024;
 const KEEP_ALIVE_MILLISECONDS = 120_000;
 
-/** The paths by which tests control a stand-in; faults do not strike there. */
-export const CONTROL_PREFIX = "/standin/";
+/**
+ * The prefix of the paths with which tests control a stand-in. Faults do not
+ * apply to them.
+ */
+export const CONTROL_PATH_PREFIX = "/standin/";
 
-const LOOPBACK = /^127(\.\d{1,3}){3}$/;
+const LOOPBACK_ADDRESS = /^127(\.\d{1,3}){3}$/;
 
-/** A small server that takes the place of a part of the platform in tests. */
+/**
+ * A small server that replaces an engine, a plain service or a part of the
+ * platform in tests.
+ */
 export abstract class StandIn<Faults extends CommonFaults> {
   protected readonly application: FastifyInstance = fastify({
-    bodyLimit: BODY_LIMIT_BYTES,
+    bodyLimit: MAXIMUM_BODY_BYTES,
     forceCloseConnections: true,
     keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
   });
   readonly #faultsSchema: z.ZodType<Faults>;
   #faults: Faults;
   #address: string | undefined;
-  #hanging: (() => void)[] = [];
+  #releaseCallbacks: (() => void)[] = [];
 
-  /** @param faultsSchema The faults; parsing `{}` gives none. */
+  /** @param faultsSchema The schema of the faults. `{}` parses to no faults. */
   constructor(faultsSchema: z.ZodType<Faults>) {
     this.#faultsSchema = faultsSchema;
     this.#faults = faultsSchema.parse({});
-    this.#serveControl();
+    this.#registerControlRoutes();
     this.application.addHook("onRequest", async (request, reply) => {
-      if (!request.url.startsWith(CONTROL_PREFIX)) {
-        await this.#strikeCommonFaults(reply);
+      if (!request.url.startsWith(CONTROL_PATH_PREFIX)) {
+        await this.#applyCommonFaults(reply);
       }
     });
   }
 
-  /** The faults in force. */
+  /** The current faults. */
   get faults(): Faults {
     return this.#faults;
   }
@@ -52,71 +58,73 @@
   /** The base address, `http://ip:port`. */
   get address(): string {
     if (this.#address === undefined) {
-      throw new Error("Cannot read the address: the stand-in does not listen");
+      throw new Error("Cannot read the address: the stand-in is not listening");
     }
     return this.#address;
   }
 
   /**
-   * Starts to listen on loopback.
-   * @param options Where.
+   * Starts listening on a loopback address.
+   * @param options The address to listen on.
    * @returns The base address.
    */
   async listen(options: ListenOptions = {}): Promise<string> {
     const { host = "127.0.0.1", port = 0 } = options;
-    if (!LOOPBACK.test(host)) {
+    if (!LOOPBACK_ADDRESS.test(host)) {
       throw new Error(`Cannot listen on "${host}": it is not in 127.0.0.0/8`);
     }
     this.#address = await this.application.listen({ host, port });
     return this.#address;
   }
 
-  /** Closes all connections and stops. */
+  /** Closes all connections and stops listening. */
   async close(): Promise<void> {
-    this.#releaseHanging();
+    this.#releaseHeldRequests();
     await this.application.close();
   }
 
   /**
    * Changes some faults and keeps the others.
    * @param changes The faults to change.
-   * @returns The faults in force.
+   * @returns The current faults.
    */
   setFaults(changes: Partial<Faults>): Faults {
     this.#faults = this.#faultsSchema.parse({ ...this.#faults, ...changes });
-    if (this.#faults.outage !== "hang") this.#releaseHanging();
+    if (this.#faults.outage !== "hang") this.#releaseHeldRequests();
     this.onFaultsChanged();
     return this.#faults;
   }
 
   /**
-   * Reads what happened so far, for tests.
+   * Reads the counters of past events, for tests.
    * @returns The counters.
    */
   abstract readCounters(): object;
 
-  /** Follows a change of faults. */
+  /** Called after each change of the faults. */
   protected onFaultsChanged(): void {
-    // Most stand-ins look at their faults only when they are asked.
+    // Most stand-ins read their faults only when they handle a request.
   }
 
   /**
-   * Uses up one of a fault's next occasions.
-   * @param name The fault, one that counts occasions.
-   * @returns Whether the fault strikes now.
+   * Consumes one remaining occurrence of a fault.
+   * @param name A fault that counts its remaining occurrences.
+   * @returns Whether the fault occurs now.
    */
-  protected strikes(name: keyof Faults): boolean {
-    const left = this.#faults[name];
-    if (typeof left !== "number" || left <= 0) return false;
-    this.#faults = { ...this.#faults, [name]: left - 1 };
+  protected consumeFault(name: keyof Faults): boolean {
+    const remaining = this.#faults[name];
+    if (typeof remaining !== "number" || remaining <= 0) return false;
+    this.#faults = { ...this.#faults, [name]: remaining - 1 };
     return true;
   }
 
-  async #strikeCommonFaults(reply: FastifyReply): Promise<void> {
+  async #applyCommonFaults(reply: FastifyReply): Promise<void> {
     const { delayMilliseconds } = this.#faults;
     if (delayMilliseconds > 0) await delay(delayMilliseconds);
     while (this.#faults.outage === "hang") {
-      await new Promise<void>((resolve) => this.#hanging.push(resolve));
+      await new Promise<void>((resolve) =>
+        this.#releaseCallbacks.push(resolve)
+      );
     }
     if (this.#faults.outage === "drop") dropConnection(reply);
     if (this.#faults.outage === "refuse") {
@@ -124,7 +132,7 @@
     }
   }
 
-  #serveControl(): void {
+  #registerControlRoutes(): void {
     this.application.post("/standin/faults", (request, reply) => {
       try {
         return this.setFaults(request.body as Partial<Faults>);
@@ -137,16 +145,16 @@
     this.application.get("/standin/counters", () => this.readCounters());
   }
 
-  #releaseHanging(): void {
-    const released = this.#hanging;
-    this.#hanging = [];
-    for (const release of released) release();
+  #releaseHeldRequests(): void {
+    const callbacks = this.#releaseCallbacks;
+    this.#releaseCallbacks = [];
+    for (const release of callbacks) release();
   }
 }
 
 /**
- * Closes the connection of a request without an answer.
- * @param reply The answer that is not sent.
+ * Closes the connection of a request without a response.
+ * @param reply The HTTP response, which is not sent.
  * @returns The reply, for a handler to return.
  */
 export function dropConnection(reply: FastifyReply): FastifyReply {
--- a/packages/standins/src/shared/token_bucket.ts
+++ b/packages/standins/src/shared/token_bucket.ts
@@ -1,34 +1,36 @@
-/** Limits a rate, with bursts up to one second's worth. */
+/**
+ * A rate limiter that allows bursts of up to one second's tokens, at least one.
+ */
 export class TokenBucket {
-  readonly #perSecond: number;
+  readonly #tokensPerSecond: number;
   readonly #capacity: number;
   #tokens: number;
   #updatedAt: number;
 
   /**
-   * @param perSecond The rate.
-   * @param now Milliseconds of a steady clock.
+   * @param tokensPerSecond The rate.
+   * @param now A monotonic clock reading in milliseconds.
    */
-  constructor(perSecond: number, now: number) {
-    this.#perSecond = perSecond;
-    this.#capacity = Math.max(1, perSecond);
+  constructor(tokensPerSecond: number, now: number) {
+    this.#tokensPerSecond = tokensPerSecond;
+    this.#capacity = Math.max(1, tokensPerSecond);
     this.#tokens = this.#capacity;
     this.#updatedAt = now;
   }
 
   /**
-   * Takes one token where there is one.
-   * @param now Milliseconds of the same clock.
-   * @returns 0 when taken, else how long until there is one.
+   * Takes one token if available.
+   * @param now A reading of the same clock in milliseconds.
+   * @returns 0 if taken, else the milliseconds until a token is available.
    */
-  take(now: number): number {
-    const gained = (now - this.#updatedAt) / 1_000 * this.#perSecond;
+  tryTake(now: number): number {
+    const gained = (now - this.#updatedAt) / 1_000 * this.#tokensPerSecond;
     this.#tokens = Math.min(this.#capacity, this.#tokens + gained);
     this.#updatedAt = now;
     if (this.#tokens >= 1) {
       this.#tokens -= 1;
       return 0;
     }
-    return (1 - this.#tokens) / this.#perSecond * 1_000;
+    return (1 - this.#tokens) / this.#tokensPerSecond * 1_000;
   }
 }
--- a/packages/standins/src/vm_list/fake_vm_list.ts
+++ b/packages/standins/src/vm_list/fake_vm_list.ts
@@ -7,7 +7,7 @@
 
 /** The settings of a VM list stand-in. */
 export const fakeVmListSettingsSchema = z.strictObject({
-  /** How long after a change the list shows it. */
+  /** The time after which a change becomes visible. */
   lagMilliseconds: z.number().nonnegative().default(0),
 });
 
@@ -19,32 +19,35 @@
 /** The faults of a VM list stand-in. */
 export const fakeVmListFaultsSchema = z.strictObject({
   ...commonFaults,
-  /** The list shows no change from now on. */
+  /** Whether changes stay invisible until this fault ends. */
   stale: z.boolean().default(false),
 });
 
 /** The faults of a VM list stand-in. */
 export type FakeVmListFaults = Readonly<z.infer<typeof fakeVmListFaultsSchema>>;
 
-/** What a VM list stand-in counted. */
+/** Counters of a VM list stand-in. */
 export interface FakeVmListCounters {
   readonly reads: number;
   readonly entries: number;
 }
 
-interface Version {
+interface ListVersion {
   readonly vms: ReadonlyMap<string, Vm>;
   readonly changedAt: number;
 }
 
-/** Takes the place of the platform's list of live and leaving VMs. */
+/** A stand-in for the platform's list of live and leaving VMs. */
 export class FakeVmList extends StandIn<FakeVmListFaults> {
   readonly #settings: FakeVmListSettings;
-  /** The shown version first, then those that are yet to show. */
-  #versions: readonly Version[] = [{ vms: new Map(), changedAt: -Infinity }];
+  /** The visible version, followed by those that are not visible yet. */
+  #versions: readonly ListVersion[] = [{
+    vms: new Map(),
+    changedAt: -Infinity,
+  }];
   #reads = 0;
 
-  /** @param settings Settings that differ from the defaults. */
+  /** @param settings Overrides of the default settings. */
   constructor(settings: Partial<FakeVmListSettings> = {}) {
     super(fakeVmListFaultsSchema);
     this.#settings = fakeVmListSettingsSchema.parse(settings);
@@ -70,33 +73,33 @@
   }
 
   /**
-   * Sets an entry, which shows after the lag.
-   * @param vm The entry; it replaces one with the same id.
+   * Sets an entry. The change becomes visible after the lag.
+   * @param vm The entry, which replaces the one with the same id.
    */
   setVm(vm: Vm): void {
-    this.#change((vms) => vms.set(vm.id, vm));
+    this.#addVersion((vms) => vms.set(vm.id, vm));
   }
 
   /**
-   * Removes an entry, which shows after the lag.
+   * Removes an entry. The change becomes visible after the lag.
    * @param id The entry's id.
    */
   removeVm(id: string): void {
-    this.#change((vms) => vms.delete(id));
+    this.#addVersion((vms) => vms.delete(id));
   }
 
   /**
-   * Reads the list as callers see it.
-   * @param now Milliseconds of the process's steady clock.
+   * Reads the entries that are visible to callers.
+   * @param now A reading of the process's monotonic clock in milliseconds.
    * @returns The entries.
    */
   readShown(now: number): readonly Vm[] {
     if (!this.faults.stale) {
-      const latestShown = now - this.#settings.lagMilliseconds;
-      const shown = this.#versions.findLastIndex(({ changedAt }) =>
-        changedAt <= latestShown
+      const latestVisible = now - this.#settings.lagMilliseconds;
+      const visibleIndex = this.#versions.findLastIndex(({ changedAt }) =>
+        changedAt <= latestVisible
       );
-      this.#versions = this.#versions.slice(Math.max(0, shown));
+      this.#versions = this.#versions.slice(Math.max(0, visibleIndex));
     }
     return [...this.#versions[0]?.vms.values() ?? []];
   }
@@ -108,7 +111,7 @@
     };
   }
 
-  #change(edit: (vms: Map<string, Vm>) => unknown): void {
+  #addVersion(edit: (vms: Map<string, Vm>) => unknown): void {
     const vms = new Map(this.#versions.at(-1)?.vms);
     edit(vms);
     const version = { vms, changedAt: performance.now() };
--- a/packages/standins/src/weight_store/fake_weight_store.ts
+++ b/packages/standins/src/weight_store/fake_weight_store.ts
@@ -15,9 +15,9 @@
   type FakeWeightStoreSettings,
   fakeWeightStoreSettingsSchema,
 } from "./settings.ts";
-import { TransferShare } from "./transfer_share.ts";
+import { TransferScheduler } from "./transfer_scheduler.ts";
 
-/** What a weight store stand-in counted. */
+/** Counters of a weight store stand-in. */
 export interface FakeWeightStoreCounters {
   readonly loadsStarted: number;
   readonly loadsFinished: number;
@@ -28,12 +28,12 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Takes the place of the platform's rate-limited weight store. */
+/** A stand-in for the platform's rate-limited weight store. */
 export class FakeWeightStore extends StandIn<FakeWeightStoreFaults> {
   readonly #settings: FakeWeightStoreSettings;
   readonly #random: SeededRandom;
-  readonly #rate: TokenBucket;
-  readonly #transfers: TransferShare;
+  readonly #loadRateLimiter: TokenBucket;
+  readonly #transfers: TransferScheduler;
   readonly #counters = {
     loadsStarted: 0,
     loadsFinished: 0,
@@ -41,20 +41,20 @@
     overloaded: 0,
     mostConcurrent: 0,
   };
-  #timer: NodeJS.Timeout | undefined;
+  #transferTimer: NodeJS.Timeout | undefined;
 
-  /** @param settings Settings that differ from the defaults. */
+  /** @param settings Overrides of the default settings. */
   constructor(settings: Partial<FakeWeightStoreSettings> = {}) {
     super(fakeWeightStoreFaultsSchema);
     this.#settings = fakeWeightStoreSettingsSchema.parse(settings);
     this.#random = new SeededRandom(this.#settings.seed);
     const { loadsPerSecond, bytesPerSecond, concurrentLoads } = this.#settings;
-    this.#rate = new TokenBucket(loadsPerSecond, performance.now());
-    this.#transfers = new TransferShare({
+    this.#loadRateLimiter = new TokenBucket(loadsPerSecond, performance.now());
+    this.#transfers = new TransferScheduler({
       bytesPerMillisecond: bytesPerSecond / MILLISECONDS_PER_SECOND,
       concurrentAtFullSpeed: concurrentLoads,
     });
-    this.#serve();
+    this.#registerRoutes();
   }
 
   override readCounters(): FakeWeightStoreCounters {
@@ -62,27 +62,27 @@
   }
 
   override async close(): Promise<void> {
-    clearTimeout(this.#timer);
+    clearTimeout(this.#transferTimer);
     await super.close();
   }
 
-  #serve(): void {
+  #registerRoutes(): void {
     const path = "/v1/adapters/:adapter/versions/:version";
-    this.application.get("/v1/limits", () => this.#limits());
+    this.application.get("/v1/limits", () => this.#readLimits());
     this.application.get(path, (request, reply) => {
-      return this.#describe(request, reply);
+      return this.#describeWeights(request, reply);
     });
     this.application.get(`${path}/weights`, (request, reply) => {
-      return this.#load(request, reply);
+      return this.#handleLoad(request, reply);
     });
   }
 
-  #limits(): WeightStoreLimits {
+  #readLimits(): WeightStoreLimits {
     const { loadsPerSecond, concurrentLoads } = this.#settings;
     return { loadsPerSecond, concurrentLoads };
   }
 
-  #describe(
+  #describeWeights(
     request: FastifyRequest,
     reply: FastifyReply,
   ): AdapterWeights | FastifyReply {
@@ -95,10 +95,13 @@
     return { adapter: adapter.value, bytes: this.#settings.adapterBytes };
   }
 
-  async #load(request: FastifyRequest, reply: FastifyReply): Promise<unknown> {
-    const weights = this.#describe(request, reply);
+  async #handleLoad(
+    request: FastifyRequest,
+    reply: FastifyReply,
+  ): Promise<unknown> {
+    const weights = this.#describeWeights(request, reply);
     if (!("bytes" in weights)) return weights;
-    const waitMilliseconds = this.#rate.take(performance.now());
+    const waitMilliseconds = this.#loadRateLimiter.tryTake(performance.now());
     if (waitMilliseconds > 0) {
       this.#counters.overloaded += 1;
       return sendRefusal(
@@ -109,16 +112,16 @@
       );
     }
     this.#counters.loadsStarted += 1;
-    const drops = this.strikes("dropNextLoads");
-    const whole = await this.#transfer(
-      drops ? weights.bytes / 2 : weights.bytes,
+    const isDropped = this.consumeFault("dropNextLoads");
+    const isComplete = await this.#transfer(
+      isDropped ? weights.bytes / 2 : weights.bytes,
       reply,
     );
-    if (drops || !whole) {
+    if (isDropped || !isComplete) {
       this.#counters.loadsFailed += 1;
       return dropConnection(reply);
     }
-    const fails = this.strikes("failNextLoads") ||
+    const fails = this.consumeFault("failNextLoads") ||
       this.#random.happens(this.faults.failLoadProbability);
     if (fails) {
       this.#counters.loadsFailed += 1;
@@ -128,36 +131,38 @@
     return weights;
   }
 
-  /** Resolves to whether the caller stayed until the transfer was whole. */
+  /**
+   * Resolves to whether the transfer completed before the caller disconnected.
+   */
   #transfer(bytes: number, reply: FastifyReply): Promise<boolean> {
     return new Promise((resolve) => {
       const now = performance.now();
-      const finish = (): void => {
+      const onComplete = (): void => {
         reply.raw.off("close", onClose);
         resolve(true);
       };
-      const stop = this.#transfers.start(bytes, { now, finish });
+      const stop = this.#transfers.start(bytes, { now, onComplete });
       const onClose = (): void => {
         stop(performance.now());
-        this.#schedule();
+        this.#scheduleNextCompletion();
         resolve(false);
       };
       reply.raw.once("close", onClose);
       this.#counters.mostConcurrent = Math.max(
         this.#counters.mostConcurrent,
-        this.#transfers.active,
+        this.#transfers.activeTransfers,
       );
-      this.#schedule();
+      this.#scheduleNextCompletion();
     });
   }
 
-  #schedule(): void {
-    clearTimeout(this.#timer);
-    const next = this.#transfers.nextFinish();
-    if (next === undefined) return;
-    this.#timer = setTimeout(() => {
+  #scheduleNextCompletion(): void {
+    clearTimeout(this.#transferTimer);
+    const nextCompletion = this.#transfers.nextCompletionAt();
+    if (nextCompletion === undefined) return;
+    this.#transferTimer = setTimeout(() => {
       this.#transfers.advance(performance.now());
-      this.#schedule();
-    }, Math.max(1, next - performance.now()));
+      this.#scheduleNextCompletion();
+    }, Math.max(1, nextCompletion - performance.now()));
   }
 }
--- a/packages/standins/src/weight_store/settings.ts
+++ b/packages/standins/src/weight_store/settings.ts
@@ -1,8 +1,8 @@
 import * as z from "zod";
 import {
   commonFaults,
-  nextOccasions,
   probability,
+  remainingOccurrences,
 } from "../shared/common_faults.ts";
 
 /** The settings of a weight store stand-in. */
@@ -11,7 +11,7 @@
   loadsPerSecond: z.number().positive().default(5),
   concurrentLoads: z.number().int().positive().default(2),
   adapterBytes: z.number().positive().default(50_000_000),
-  /** The speed of one load while no more than `concurrentLoads` run. */
+  /** The speed of each load while at most `concurrentLoads` are in progress. */
   bytesPerSecond: z.number().positive().default(125_000_000),
 });
 
@@ -23,11 +23,11 @@
 /** The faults of a weight store stand-in. */
 export const fakeWeightStoreFaultsSchema = z.strictObject({
   ...commonFaults,
-  failNextLoads: nextOccasions,
+  failNextLoads: remainingOccurrences,
   failLoadProbability: probability,
-  /** Loads whose connection is lost half way. */
-  dropNextLoads: nextOccasions,
-  /** Adapters, by id, that the store does not have. */
+  /** Loads whose connection is dropped after half of the transfer. */
+  dropNextLoads: remainingOccurrences,
+  /** The ids of adapters that the store does not have. */
   missingAdapters: z.array(z.string()).default([]),
 });
 
--- a/packages/standins/tests/engine/fake_engine_test.ts
+++ b/packages/standins/tests/engine/fake_engine_test.ts
@@ -7,35 +7,35 @@
 import test from "ava";
 import { adapterOf, callOf } from "../../../edges/tests/helpers/calls.ts";
 import { CollectingSink } from "../../../edges/tests/helpers/collecting_sink.ts";
-import { startEngine } from "../helpers/started.ts";
+import { startEngine } from "../helpers/start_stand_ins.ts";
 
-const FIVE_TOKENS = "a@1#0 a@1#1 a@1#2 a@1#3 a@1#4 ";
-const LONG = { maximumTokens: 100_000 } as const;
+const FIRST_FIVE_TOKENS = "a@1#0 a@1#1 a@1#2 a@1#3 a@1#4 ";
+const LONG_GENERATION = { maximumTokens: 100_000 } as const;
 
-test("a generation names adapter, version and place in each token", async (t) => {
+test("each token contains adapter, version and position", async (t) => {
   const { engine, client } = await startEngine(t);
   const sink = new CollectingSink();
   client.generate(callOf("r"), sink);
   const end = (await sink.ended)._unsafeUnwrap();
-  t.is(sink.text, FIVE_TOKENS);
+  t.is(sink.text, FIRST_FIVE_TOKENS);
   t.like(end, { finishReason: "length", completionTokens: 5 });
   t.is(engine.readCounters().generationsFinished, 1);
 });
 
-test("many generations share the batch", async (t) => {
+test("concurrent generations are batched", async (t) => {
   const { engine, client } = await startEngine(t, { tokensPerFrame: 4 });
   const sinks = Array.from({ length: 100 }, () => new CollectingSink());
   sinks.forEach((sink, index) => {
     client.generate(callOf(`r${index}`), sink);
   });
   await Promise.all(sinks.map(({ ended }) => ended));
-  t.true(sinks.every(({ text }) => text === FIVE_TOKENS));
+  t.true(sinks.every(({ text }) => text === FIRST_FIVE_TOKENS));
   const { steps, sequenceSteps } = engine.readCounters();
   t.is(sequenceSteps, 500);
   t.true(steps < sequenceSteps);
 });
 
-test("what the engine cannot run is refused as not run", async (t) => {
+test("a generation on an adapter that is not loaded is refused as not run", async (t) => {
   const { client } = await startEngine(t);
   const sink = new CollectingSink();
   client.generate(callOf("r", { adapter: adapterOf("b") }), sink);
@@ -54,12 +54,12 @@
   const attempt = attemptNumber(2);
   client.generate(callOf("r", { fromSequence, attempt }), second);
   t.true((await second.ended).isOk());
-  t.is(first.text + second.text, FIVE_TOKENS);
+  t.is(first.text + second.text, FIRST_FIVE_TOKENS);
   t.true(second.frames.every((frame) => frame.attempt === attempt));
   t.is(engine.readCounters().repeatedRequests, 0);
 });
 
-test("the same request started twice is counted", async (t) => {
+test("a request that starts twice is counted as repeated", async (t) => {
   const { engine, client } = await startEngine(t);
   for (const number of [1, 2]) {
     const sink = new CollectingSink();
@@ -70,10 +70,10 @@
   t.is(engine.startsByRequest.get(requestId("r")), 2);
 });
 
-test("a cancel ends the stream, and stops an attempt yet to come", async (t) => {
+test("a cancel ends the stream, or refuses an attempt that arrives later", async (t) => {
   const { client } = await startEngine(t);
   const running = new CollectingSink();
-  const handle = client.generate(callOf("r", LONG), running);
+  const handle = client.generate(callOf("r", LONG_GENERATION), running);
   await running.gather(2);
   handle.cancel();
   t.is((await running.ended)._unsafeUnwrap().finishReason, "cancelled");
@@ -85,11 +85,11 @@
   t.like(failure, { reason: "cancelled", outcome: "not_run" });
 });
 
-test("a higher priority preempts, and the lower one goes on later", async (t) => {
+test("a higher priority preempts a generation, which continues afterwards", async (t) => {
   const { engine, client } = await startEngine(t, { batchCapacity: 1 });
   const low = new CollectingSink();
   const high = new CollectingSink();
-  const handle = client.generate(callOf("low", LONG), low);
+  const handle = client.generate(callOf("low", LONG_GENERATION), low);
   await low.gather(1);
   client.generate(callOf("high", { priority: 1 }), high);
   t.true((await high.ended).isOk());
@@ -102,7 +102,7 @@
   t.deepEqual(sequences, sequences.map((_, index) => index));
 });
 
-test("a prompt prefix is computed once, and its event is published", async (t) => {
+test("a prompt prefix is computed once and its cache event is published", async (t) => {
   const { client } = await startEngine(t, {
     cacheEventLagMilliseconds: 0,
     cacheEventGapProbability: 0,
@@ -121,7 +121,7 @@
   ]);
 });
 
-test("another engine goes on from an exported KV cache", async (t) => {
+test("another engine continues from an exported KV cache", async (t) => {
   const source = await startEngine(t, { stepBaseMilliseconds: 20 });
   const target = await startEngine(t);
   const started = new CollectingSink();
@@ -142,7 +142,7 @@
   t.deepEqual([...target.engine.startsByRequest], []);
 });
 
-test("a wrong adapter is named in the frames", async (t) => {
+test("the frames contain the wrong adapter that ran", async (t) => {
   const { engine, client } = await startEngine(t);
   engine.setFaults({ wrongAdapterNextGenerations: 1 });
   const sink = new CollectingSink();
@@ -152,7 +152,7 @@
   t.true(sink.text.startsWith("a@1-wrong#0 "));
 });
 
-test("frames can come twice and out of order, but the end comes last", async (t) => {
+test("frames can be duplicated and reordered, but the end comes last", async (t) => {
   const { engine, client } = await startEngine(t);
   engine.setFaults({
     duplicateFrameProbability: 0.5,
@@ -167,11 +167,11 @@
   t.notDeepEqual(sequences, [...sequences].sort((a, b) => a - b));
 });
 
-test("a restart loses streams, adapters and the fencing number", async (t) => {
+test("a restart closes streams and discards adapters and generations", async (t) => {
   const { engine, client } = await startEngine(t);
   const before = (await client.readState())._unsafeUnwrap();
   const sink = new CollectingSink();
-  client.generate(callOf("r", LONG), sink);
+  client.generate(callOf("r", LONG_GENERATION), sink);
   await sink.gather(1);
   engine.restart();
   t.is((await sink.ended)._unsafeUnwrapErr().outcome, "unknown");
@@ -181,7 +181,7 @@
   t.deepEqual(after.running, []);
 });
 
-test("a frozen engine goes on once it is released", async (t) => {
+test("a hanging engine continues after the outage", async (t) => {
   const { engine, client } = await startEngine(t);
   engine.setFaults({ outage: "hang" });
   const sink = new CollectingSink();
--- a/packages/standins/tests/engine/orders_test.ts
+++ b/packages/standins/tests/engine/orders_test.ts
@@ -3,24 +3,24 @@
 import test from "ava";
 import { adapterOf, callOf } from "../../../edges/tests/helpers/calls.ts";
 import { CollectingSink } from "../../../edges/tests/helpers/collecting_sink.ts";
-import { orderOf, startEngine } from "../helpers/started.ts";
+import { orderOf, startEngine } from "../helpers/start_stand_ins.ts";
 
-const A = adapterOf("a");
-const B = adapterOf("b");
+const ADAPTER_A = adapterOf("a");
+const ADAPTER_B = adapterOf("b");
 
 test("a load makes an adapter resident", async (t) => {
   const { client } = await startEngine(t);
-  t.true((await client.order(orderOf("load_adapter", B))).isOk());
+  t.true((await client.order(orderOf("load_adapter", ADAPTER_B))).isOk());
   const state = (await client.readState())._unsafeUnwrap();
-  t.deepEqual(state.resident, [A, B]);
+  t.deepEqual(state.resident, [ADAPTER_A, ADAPTER_B]);
   t.is(state.engine, engineId("engine-1"));
 });
 
-test("an old fencing number is refused where the engine checks it", async (t) => {
+test("an outdated fencing number is refused if the engine checks it", async (t) => {
   const checking = await startEngine(t);
-  const newer = orderOf("load_adapter", B, { fencing: 7 });
+  const newer = orderOf("load_adapter", ADAPTER_B, { fencing: 7 });
   t.true((await checking.client.order(newer)).isOk());
-  const old = orderOf("evict_adapter", B, { fencing: 6 });
+  const old = orderOf("evict_adapter", ADAPTER_B, { fencing: 6 });
   const refused = (await checking.client.order(old))._unsafeUnwrapErr();
   t.like(refused, {
     reason: "fenced",
@@ -34,61 +34,61 @@
   t.true((await ignoring.client.order(old)).isOk());
 });
 
-test("an order that has expired has no effect", async (t) => {
+test("an expired order has no effect", async (t) => {
   const { engine, client } = await startEngine(t);
-  const expired = orderOf("evict_adapter", A, { expiresIn: 0 });
+  const expired = orderOf("evict_adapter", ADAPTER_A, { expiresIn: 0 });
   const evicted = (await client.order(expired))._unsafeUnwrapErr();
   t.like(evicted, { reason: "expired", outcome: "not_run" });
   engine.setFaults({ extraLoadMilliseconds: 100 });
-  const slow = orderOf("load_adapter", B, { expiresIn: 50 });
+  const slow = orderOf("load_adapter", ADAPTER_B, { expiresIn: 50 });
   t.is((await client.order(slow))._unsafeUnwrapErr().reason, "expired");
   const state = (await client.readState())._unsafeUnwrap();
-  t.deepEqual(state.resident, [A]);
+  t.deepEqual(state.resident, [ADAPTER_A]);
   t.is(engine.readCounters().ordersExpired, 2);
 });
 
-test("an eviction in use kills the generation and is counted", async (t) => {
+test("an eviction of an adapter in use kills its generations and is counted", async (t) => {
   const { engine, client } = await startEngine(t);
   const sink = new CollectingSink();
   client.generate(callOf("r", { maximumTokens: 100_000 }), sink);
   await sink.gather(1);
-  t.true((await client.order(orderOf("evict_adapter", A))).isOk());
+  t.true((await client.order(orderOf("evict_adapter", ADAPTER_A))).isOk());
   const failure = (await sink.ended)._unsafeUnwrapErr();
   t.like(failure, { reason: "unavailable", outcome: "ran" });
   t.is(engine.readCounters().evictedInUse, 1);
 });
 
-test("an order whose answer is lost has taken effect", async (t) => {
+test("an order whose response is lost takes effect", async (t) => {
   const { engine, client } = await startEngine(t);
   engine.setFaults({ loseNextOrderAnswers: 1 });
-  const lost = await client.order(orderOf("evict_adapter", A));
+  const lost = await client.order(orderOf("evict_adapter", ADAPTER_A));
   t.is(lost._unsafeUnwrapErr().outcome, "unknown");
   t.deepEqual((await client.readState())._unsafeUnwrap().resident, []);
 });
 
-test("loads need a free slot, and a failed one frees its slot", async (t) => {
+test("a load needs a free slot, and a failed load frees its slot", async (t) => {
   const { engine, client } = await startEngine(t, { adapterSlots: 2 });
   engine.setFaults({ failNextLoads: 1 });
-  const order = orderOf("load_adapter", B);
+  const order = orderOf("load_adapter", ADAPTER_B);
   t.is((await client.order(order))._unsafeUnwrapErr().reason, "unavailable");
   t.true((await client.order(order)).isOk());
   const full = await client.order(orderOf("load_adapter", adapterOf("c")));
   t.like(full._unsafeUnwrapErr(), { reason: "overloaded", outcome: "not_run" });
 });
 
-test("a load fetches from the weight store and passes its refusal on", async (t) => {
+test("a load fetches from the weight store and forwards its refusal", async (t) => {
   const store = new FakeWeightStore({ adapterBytes: 1 });
   const weightStoreAddress = await store.listen();
   t.teardown(() => store.close());
   const { client } = await startEngine(t, { weightStoreAddress });
-  t.true((await client.order(orderOf("load_adapter", B))).isOk());
+  t.true((await client.order(orderOf("load_adapter", ADAPTER_B))).isOk());
   t.is(store.readCounters().loadsFinished, 1);
   store.setFaults({ missingAdapters: ["c"] });
   const order = orderOf("load_adapter", adapterOf("c"));
   t.is((await client.order(order))._unsafeUnwrapErr().reason, "not_found");
 });
 
-test("model and role change by order", async (t) => {
+test("orders change the model and the role", async (t) => {
   const { client } = await startEngine(t);
   const base = { fencing: fencingNumber(1), expiresInMilliseconds: 60_000 };
   const other = modelId("other");
--- a/packages/standins/tests/helpers/started.ts
+++ b/packages/standins/tests/helpers/start_stand_ins.ts
@@ -15,13 +15,13 @@
 import type { ExecutionContext } from "ava";
 import { adapterOf } from "../../../edges/tests/helpers/calls.ts";
 
-/** An engine that listens, and a client of it. */
+/** A listening engine and its client. */
 export interface StartedEngine {
   readonly engine: FakeEngine;
   readonly client: HttpEngineClient;
 }
 
-const QUICK: Partial<FakeEngineSettings> = {
+const FAST_SETTINGS: Partial<FakeEngineSettings> = {
   stepBaseMilliseconds: 1,
   stepMillisecondsPerSequence: 0,
   prefillMillisecondsPerToken: 0,
@@ -32,16 +32,16 @@
 };
 
 /**
- * Starts a quick engine on which adapter "a" is resident.
- * @param t Closes the engine at the end of its test.
- * @param settings Settings that differ.
+ * Starts an engine with short step and load times and adapter "a" resident.
+ * @param t The test, whose teardown closes the engine.
+ * @param settings Overrides of the settings.
  * @returns The engine and its client.
  */
 export async function startEngine(
   t: ExecutionContext,
   settings: Partial<FakeEngineSettings> = {},
 ): Promise<StartedEngine> {
-  const engine = new FakeEngine({ ...QUICK, ...settings });
+  const engine = new FakeEngine({ ...FAST_SETTINGS, ...settings });
   const baseAddress = await engine.listen();
   const dispatcher = createDispatcher();
   t.teardown(async () => {
@@ -56,11 +56,11 @@
 
 /**
  * Starts a log service.
- * @param t Closes the service at the end of its test.
- * @param settings Settings that differ.
- * @returns The service and a client of it.
+ * @param t The test, whose teardown closes the service.
+ * @param settings Overrides of the settings.
+ * @returns The service and its client.
  */
-export async function startLog(
+export async function startLogService(
   t: ExecutionContext,
   settings: Partial<FakeLogServiceSettings> = {},
 ): Promise<
@@ -78,10 +78,10 @@
 }
 
 /**
- * Makes an order about an adapter.
- * @param kind What to do.
+ * Creates an order for an adapter.
+ * @param kind The kind of the order.
  * @param adapter The adapter.
- * @param options Fencing and expiry where they differ.
+ * @param options The fencing number and the milliseconds until expiry.
  * @returns The order.
  */
 export function orderOf(
--- a/packages/standins/tests/plain_service/fake_plain_service_test.ts
+++ b/packages/standins/tests/plain_service/fake_plain_service_test.ts
@@ -7,7 +7,7 @@
 import { FakePlainService } from "@foxtailwind/standins";
 import test, { type ExecutionContext } from "ava";
 
-async function start(t: ExecutionContext) {
+async function startService(t: ExecutionContext) {
   const service = new FakePlainService({ id: "slots-1" });
   await service.listen();
   const dispatcher = createDispatcher();
@@ -32,13 +32,13 @@
   return { service, call };
 }
 
-function readBody(answer: ServiceAnswer): unknown {
+function parseBody(answer: ServiceAnswer): unknown {
   return JSON.parse(Buffer.from(answer.body).toString());
 }
 
-test("any path and body is answered, and runs are counted by key", async (t) => {
-  const { service, call } = await start(t);
-  t.deepEqual(readBody((await call("k"))._unsafeUnwrap()), {
+test("any path and body is accepted and runs are counted by key", async (t) => {
+  const { service, call } = await startService(t);
+  t.deepEqual(parseBody((await call("k"))._unsafeUnwrap()), {
     server: "slots-1",
     method: "POST",
     path: "/bookings/7",
@@ -49,8 +49,8 @@
   t.like(service.readCounters(), { runs: 2, repeatedKeys: ["k"] });
 });
 
-test("a lost answer has run, a dropped and a refused call have not", async (t) => {
-  const { service, call } = await start(t);
+test("a call whose response is lost has run, a dropped or refused one has not", async (t) => {
+  const { service, call } = await startService(t);
   service.setFaults({ loseNextAnswers: 1 });
   t.is((await call("lost"))._unsafeUnwrapErr().outcome, "unknown");
   service.setFaults({ dropNextCalls: 1 });
@@ -61,8 +61,8 @@
   t.deepEqual(service.readCounters().runsByKey, { lost: 1 });
 });
 
-test("a leaving server says so in its answers", async (t) => {
-  const { service, call } = await start(t);
+test("a leaving server reports it in its responses", async (t) => {
+  const { service, call } = await startService(t);
   t.false((await call("a"))._unsafeUnwrap().leaving);
   service.setFaults({ leaving: true });
   t.true((await call("b"))._unsafeUnwrap().leaving);
--- a/packages/standins/tests/program/main_test.ts
+++ b/packages/standins/tests/program/main_test.ts
@@ -6,9 +6,11 @@
 import { createInterface } from "node:readline";
 import { fileURLToPath } from "node:url";
 
-const MAIN = fileURLToPath(new URL("../../src/main.ts", import.meta.url));
+const PROGRAM_PATH = fileURLToPath(
+  new URL("../../src/main.ts", import.meta.url),
+);
 
-interface Line {
+interface OutputLine {
   readonly kind: string;
   readonly id?: string;
   readonly address?: string;
@@ -18,15 +20,15 @@
   const program = spawn(process.execPath, [
     "--import=tsx",
     "--conditions=foxtailwind-source",
-    MAIN,
+    PROGRAM_PATH,
     "--engines=3",
     "--domains=2",
     "--services=slots",
   ], { stdio: ["ignore", "pipe", "inherit"] });
   t.teardown(() => program.kill("SIGKILL"));
-  const lines: Line[] = [];
+  const lines: OutputLine[] = [];
   for await (const text of createInterface({ input: program.stdout })) {
-    const line = JSON.parse(text) as Line;
+    const line = JSON.parse(text) as OutputLine;
     lines.push(line);
     if (line.kind === "ready") break;
   }
@@ -46,7 +48,7 @@
   t.is(code, 0);
 });
 
-test("an INI text names stand-ins and their settings", (t) => {
+test("an INI text lists stand-ins and their settings", (t) => {
   const plans = planFromIni(`
 [engine.one]
 adapter_slots = 4
--- a/packages/standins/tests/vm_list/fake_vm_list_test.ts
+++ b/packages/standins/tests/vm_list/fake_vm_list_test.ts
@@ -37,7 +37,7 @@
   t.is((await client.read())._unsafeUnwrap()[0]?.state, "leaving");
 });
 
-test("a change shows after the lag, and never while the list is stale", (t) => {
+test("a change is visible after the lag, but not while the list is stale", (t) => {
   const list = new FakeVmList({ lagMilliseconds: 1_000 });
   list.setVm(VM);
   const now = performance.now();
--- a/packages/standins/tests/weight_store/fake_weight_store_test.ts
+++ b/packages/standins/tests/weight_store/fake_weight_store_test.ts
@@ -6,7 +6,7 @@
 import test, { type ExecutionContext } from "ava";
 import { adapterOf } from "../../../edges/tests/helpers/calls.ts";
 
-async function start(
+async function startStore(
   t: ExecutionContext,
   settings: Partial<FakeWeightStoreSettings> = {},
 ): Promise<FakeWeightStore> {
@@ -16,13 +16,16 @@
   return store;
 }
 
-function load(store: FakeWeightStore, adapter: string): Promise<Response> {
+function loadWeights(
+  store: FakeWeightStore,
+  adapter: string,
+): Promise<Response> {
   const path = `/v1/adapters/${adapter}/versions/1/weights`;
   return fetch(`${store.address}${path}`);
 }
 
 test("the client reads limits and sizes", async (t) => {
-  const store = await start(t);
+  const store = await startStore(t);
   const dispatcher = createDispatcher();
   t.teardown(() => dispatcher.destroy());
   const client = new HttpWeightStoreClient({
@@ -41,18 +44,18 @@
 });
 
 test("loads beyond the rate are refused", async (t) => {
-  const store = await start(t, { loadsPerSecond: 0.001 });
-  t.is((await load(store, "a")).status, 200);
-  t.is((await load(store, "b")).status, 429);
+  const store = await startStore(t, { loadsPerSecond: 0.001 });
+  t.is((await loadWeights(store, "a")).status, 200);
+  t.is((await loadWeights(store, "b")).status, 429);
   t.like(store.readCounters(), { loadsFinished: 1, overloaded: 1 });
 });
 
-test("loads fail and are dropped as their faults say", async (t) => {
-  const store = await start(t);
+test("loads fail or are dropped according to the faults", async (t) => {
+  const store = await startStore(t);
   store.setFaults({ failNextLoads: 1 });
-  t.is((await load(store, "a")).status, 503);
+  t.is((await loadWeights(store, "a")).status, 503);
   store.setFaults({ dropNextLoads: 1 });
-  await t.throwsAsync(load(store, "a"));
-  t.is((await load(store, "a")).status, 200);
+  await t.throwsAsync(loadWeights(store, "a"));
+  t.is((await loadWeights(store, "a")).status, 200);
   t.is(store.readCounters().loadsFailed, 2);
 });
