--- a/packages/node/src/cluster/cluster_hand_over.ts
+++ b/packages/node/src/cluster/cluster_hand_over.ts
@@ -5,7 +5,7 @@
 import type { ClusterNode } from "./cluster_node.ts";
 
 const POLL_MILLISECONDS = 50;
-const LONGEST_MILLISECONDS = 10_000;
+const MAXIMUM_WAIT_MILLISECONDS = 10_000;
 
 /** Hands a leaving node's engines over to the other nodes. */
 export class ClusterHandOver extends HandOver {
@@ -27,7 +27,7 @@
     let waited = 0;
     while (this.#cluster.controlled.length > 0) {
       if (this.#cluster.live.length === 0) return ok(undefined);
-      if (waited >= LONGEST_MILLISECONDS) {
+      if (waited >= MAXIMUM_WAIT_MILLISECONDS) {
         return err(failure("timeout", "Engines are still controlled here."));
       }
       await sleep(POLL_MILLISECONDS);
--- a/packages/node/src/cluster/cluster_node.ts
+++ b/packages/node/src/cluster/cluster_node.ts
@@ -48,8 +48,8 @@
 export class ClusterNode extends ClusterView {
   readonly #parts: ClusterNodeParts;
   readonly #listeners: (() => void)[] = [];
-  #running: Running | undefined;
-  #known = "";
+  #joined: JoinedCluster | undefined;
+  #lastDescription = "";
 
   constructor(parts: ClusterNodeParts) {
     super();
@@ -57,16 +57,16 @@
   }
 
   override get live(): readonly Member[] {
-    return this.#running?.agent.live ?? [];
+    return this.#joined?.agent.live ?? [];
   }
 
   /** The engines that this node controls, or is about to. */
   get controlled(): readonly EngineId[] {
-    return this.#running?.agent.controlled ?? [];
+    return this.#joined?.agent.controlled ?? [];
   }
 
   override controllerOf(engine: EngineId): NodeId | undefined {
-    const agent = this.#running?.agent;
+    const agent = this.#joined?.agent;
     const controller = agent?.tenureOf(engine)?.controller.node;
     if (agent === undefined || controller !== this.#parts.node.id) {
       return controller;
@@ -79,8 +79,8 @@
     engine: EngineId,
     now: Instant,
   ): Result<FencingNumber, Failure> {
-    if (this.#running === undefined) return err(notStarted(engine));
-    return this.#running.agent.authorizeOrder(engine, now);
+    if (this.#joined === undefined) return err(notJoined(engine));
+    return this.#joined.agent.authorizeOrder(engine, now);
   }
 
   override onChange(listener: () => void): void {
@@ -98,7 +98,7 @@
       log,
       clock,
       logger,
-      next: () => agent.nextOffset,
+      nextOffset: () => agent.nextOffset,
       onPage: (page) => {
         this.#onPage(page);
       },
@@ -106,14 +106,14 @@
     const timer = setInterval(() => {
       void this.#tick();
     }, TICK_MILLISECONDS);
-    this.#running = { agent, reader, timer };
+    this.#joined = { agent, reader, timer };
     void reader.run();
   }
 
   /** Takes no further part. */
   stop(): void {
-    clearInterval(this.#running?.timer);
-    this.#running?.reader.stop();
+    clearInterval(this.#joined?.timer);
+    this.#joined?.reader.stop();
   }
 
   /**
@@ -121,7 +121,7 @@
    * @returns Whether all heartbeat peers were told at once.
    */
   async leave(): Promise<boolean> {
-    this.#running?.agent.leave();
+    this.#joined?.agent.leave();
     const told = await Promise.all(this.#tick());
     return told.every(Boolean);
   }
@@ -132,7 +132,7 @@
    */
   receive(message: ClusterMessage): void {
     const { clock } = this.#parts;
-    const answers = this.#running?.agent.receive(clock.now(), message) ?? [];
+    const answers = this.#joined?.agent.receive(clock.now(), message) ?? [];
     void this.#send(answers);
   }
 
@@ -156,12 +156,12 @@
   }
 
   #onPage(page: ClusterLogPage): void {
-    this.#running?.agent.onLogPage(this.#parts.clock.now(), page);
+    this.#joined?.agent.onLogPage(this.#parts.clock.now(), page);
     this.#notifyChange();
   }
 
   #tick(): readonly Promise<boolean>[] {
-    const agent = this.#running?.agent;
+    const agent = this.#joined?.agent;
     if (agent === undefined) return [];
     agent.setContacts(this.#contacts());
     const actions = agent.tick(this.#parts.clock.now(), this.#engines());
@@ -201,13 +201,13 @@
   }
 
   #notifyChange(): void {
-    const known = this.#describe();
-    if (known === this.#known) return;
-    this.#known = known;
+    const known = this.#describeView();
+    if (known === this.#lastDescription) return;
+    this.#lastDescription = known;
     for (const listener of this.#listeners) listener();
   }
 
-  #describe(): string {
+  #describeView(): string {
     const nodes = this.live.map((member) => member.node).join();
     const controllers = this.#engines().map(({ engine }) =>
       `${engine}=${this.controllerOf(engine) ?? ""}`
@@ -216,13 +216,13 @@
   }
 }
 
-interface Running {
+interface JoinedCluster {
   readonly agent: ClusterAgent;
   readonly reader: MembershipLogReader;
   readonly timer: NodeJS.Timeout;
 }
 
-function notStarted(engine: EngineId): Failure {
+function notJoined(engine: EngineId): Failure {
   return {
     reason: "unavailable",
     step: "take_over",
--- a/packages/node/src/cluster/cluster_peer_views.ts
+++ b/packages/node/src/cluster/cluster_peer_views.ts
@@ -5,7 +5,7 @@
 /** Leaves out nodes that are suspected or have said that they leave. */
 export class ClusterPeerViews extends PeerViews {
   readonly #cluster: ClusterView;
-  readonly #own: PeerViews;
+  readonly #ownViews: PeerViews;
 
   /**
    * @param cluster Who lives.
@@ -14,17 +14,17 @@
   constructor(cluster: ClusterView, own: PeerViews) {
     super();
     this.#cluster = cluster;
-    this.#own = own;
+    this.#ownViews = own;
   }
 
   override isLeaving(node: NodeId): boolean {
-    if (this.#own.isLeaving(node)) return true;
+    if (this.#ownViews.isLeaving(node)) return true;
     const { live } = this.#cluster;
     const isViewKnown = live.length > 0;
     return isViewKnown && !live.some((member) => member.node === node);
   }
 
   override loadOf(node: NodeId): number | undefined {
-    return this.#own.loadOf(node);
+    return this.#ownViews.loadOf(node);
   }
 }
--- a/packages/node/src/cluster/cluster_transport.ts
+++ b/packages/node/src/cluster/cluster_transport.ts
@@ -15,7 +15,7 @@
 import type { PeerRegistration } from "../peers/peer_server.ts";
 import { fromEnvelope, toEnvelope } from "./cluster_envelope.ts";
 
-const DEADLINE_MILLISECONDS = 500;
+const SEND_TIMEOUT_MILLISECONDS = 500;
 
 /** Delivers messages between nodes; a lost one is not sent again. */
 export class ClusterTransport {
@@ -33,7 +33,7 @@
    */
   send(outgoing: OutgoingMessage): Promise<boolean> {
     const client = this.#client(outgoing.to.address);
-    const deadline = Date.now() + DEADLINE_MILLISECONDS;
+    const deadline = Date.now() + SEND_TIMEOUT_MILLISECONDS;
     return new Promise((resolve) => {
       if (this.#channels.isClosed) {
         resolve(false);
--- a/packages/node/src/cluster/membership_log_reader.ts
+++ b/packages/node/src/cluster/membership_log_reader.ts
@@ -19,7 +19,7 @@
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
   /** The first offset that is wanted. */
-  readonly next: () => LogOffset;
+  readonly nextOffset: () => LogOffset;
   /** Takes in each page. */
   readonly onPage: (page: ClusterLogPage) => void;
 }
@@ -28,7 +28,7 @@
 export class MembershipLogReader {
   readonly #parts: MembershipLogReaderParts;
   #stopped = false;
-  #answered = true;
+  #isLogAvailable = true;
 
   constructor(parts: MembershipLogReaderParts) {
     this.#parts = parts;
@@ -48,7 +48,7 @@
   }
 
   async #readOnce(): Promise<boolean> {
-    const { log, clock, next, onPage } = this.#parts;
+    const { log, clock, nextOffset: next, onPage } = this.#parts;
     const startedAt = clock.now();
     const page = await log.read(MEMBERSHIP_STREAM, {
       from: next(),
@@ -57,17 +57,17 @@
     });
     if (this.#stopped) return true;
     if (page.isErr()) {
-      this.#note(false, page.error.reason);
+      this.#logAvailability(false, page.error.reason);
       return false;
     }
-    this.#note(true, "");
+    this.#logAvailability(true, "");
     onPage({ startedAt, ...page.value });
     return true;
   }
 
-  #note(answered: boolean, reason: string): void {
-    if (answered === this.#answered) return;
-    this.#answered = answered;
+  #logAvailability(answered: boolean, reason: string): void {
+    if (answered === this.#isLogAvailable) return;
+    this.#isLogAvailable = answered;
     const { logger } = this.#parts;
     if (answered) logger.info("The log answers again.");
     else logger.warn("The log does not answer.", { peer: "log", reason });
--- a/packages/node/src/delivery/claim_gatherer.ts
+++ b/packages/node/src/delivery/claim_gatherer.ts
@@ -19,7 +19,7 @@
 
 const BATCH_INTERVAL = milliseconds(50);
 const SETTLE_TIMEOUT = seconds(2);
-const MAXIMUM_BATCH = 2_000;
+const MAXIMUM_BATCH_CLAIMS = 2_000;
 const MAXIMUM_KEYS = 200_000;
 const PAGE_RECORDS = 1_000;
 const LONG_POLL_MILLISECONDS = 1_000;
@@ -33,9 +33,9 @@
 export class ClaimGatherer {
   readonly #log: LogClient;
   readonly #clock: SteadyClock;
-  readonly #gathering: ClaimBatcher;
-  readonly #waiting = new Map<string, (verdict: ClaimVerdict) => void>();
-  #following = false;
+  readonly #batcher: ClaimBatcher;
+  readonly #pendingClaims = new Map<string, (verdict: ClaimVerdict) => void>();
+  #isReading = false;
   #ticker: NodeJS.Timeout | undefined;
   #stopped = false;
 
@@ -46,10 +46,10 @@
   constructor(log: LogClient, clock: SteadyClock) {
     this.#log = log;
     this.#clock = clock;
-    this.#gathering = new ClaimBatcher({
+    this.#batcher = new ClaimBatcher({
       batchInterval: BATCH_INTERVAL,
       settleTimeout: SETTLE_TIMEOUT,
-      maximumBatch: MAXIMUM_BATCH,
+      maximumBatch: MAXIMUM_BATCH_CLAIMS,
       maximumKeys: MAXIMUM_KEYS,
       window: FREE_KEY_WINDOW,
       rules: new DeliveryRules(),
@@ -59,7 +59,7 @@
 
   /** The offset that later claims lie at or above, for prefixes of keys. */
   get epoch(): LogOffset {
-    return this.#gathering.index.nextOffset;
+    return this.#batcher.index.nextOffset;
   }
 
   /**
@@ -69,9 +69,9 @@
    */
   claim(claim: KeyClaim): Promise<ClaimVerdict> {
     return new Promise((resolve) => {
-      this.#waiting.set(claim.nonce, resolve);
-      this.#gathering.submit(this.#clock.now(), claim);
-      this.#wake();
+      this.#pendingClaims.set(claim.nonce, resolve);
+      this.#batcher.submit(this.#clock.now(), claim);
+      this.#ensureRunning();
     });
   }
 
@@ -81,25 +81,25 @@
     clearInterval(this.#ticker);
   }
 
-  #wake(): void {
+  #ensureRunning(): void {
     if (this.#stopped) return;
     this.#ticker ??= setInterval(() => {
-      this.#turn();
+      this.#processPending();
     }, TICK_MILLISECONDS);
-    if (!this.#following) void this.#follow();
-    this.#turn();
+    if (!this.#isReading) void this.#readWhilePending();
+    this.#processPending();
   }
 
-  #turn(): void {
+  #processPending(): void {
     const now = this.#clock.now();
-    const batch = this.#gathering.takeBatch(now);
+    const batch = this.#batcher.takeBatch(now);
     if (batch !== undefined) void this.#append(batch);
-    for (const { nonce, verdict } of this.#gathering.takeSettled(now)) {
-      const resolve = this.#waiting.get(nonce);
-      this.#waiting.delete(nonce);
+    for (const { nonce, verdict } of this.#batcher.takeSettled(now)) {
+      const resolve = this.#pendingClaims.get(nonce);
+      this.#pendingClaims.delete(nonce);
       resolve?.(verdict);
     }
-    if (this.#waiting.size > 0) return;
+    if (this.#pendingClaims.size > 0) return;
     clearInterval(this.#ticker);
     this.#ticker = undefined;
   }
@@ -108,33 +108,33 @@
     const data = [formatClaimRecord(batch)];
     const appended = await this.#log.append(CLAIM_STREAM, data);
     const failure = appended.isErr() ? appended.error : undefined;
-    this.#gathering.appendEnded(batch.id, failure);
-    this.#turn();
+    this.#batcher.appendEnded(batch.id, failure);
+    this.#processPending();
   }
 
-  async #follow(): Promise<void> {
-    this.#following = true;
-    while (!this.#stopped && this.#waiting.size > 0) {
+  async #readWhilePending(): Promise<void> {
+    this.#isReading = true;
+    while (!this.#stopped && this.#pendingClaims.size > 0) {
       const answered = await this.#readPage();
       if (!answered) await sleep(RETRY_MILLISECONDS);
     }
-    this.#following = false;
+    this.#isReading = false;
   }
 
   async #readPage(): Promise<boolean> {
     const page = await this.#log.read(CLAIM_STREAM, {
-      from: this.#gathering.index.nextOffset,
+      from: this.#batcher.index.nextOffset,
       limit: PAGE_RECORDS,
       waitMilliseconds: LONG_POLL_MILLISECONDS,
     });
     if (page.isErr()) return false;
     const now = this.#clock.now();
-    this.#gathering.index.noteFirstKept(page.value.firstKept);
+    this.#batcher.index.noteFirstKept(page.value.firstKept);
     for (const { offset, data } of page.value.records) {
       const record = parseClaimRecord(data);
-      this.#gathering.apply(now, offset, record.unwrapOr(undefined));
+      this.#batcher.apply(now, offset, record.unwrapOr(undefined));
     }
-    this.#turn();
+    this.#processPending();
     return true;
   }
 }
--- a/packages/node/src/delivery/claim_route.ts
+++ b/packages/node/src/delivery/claim_router.ts
@@ -7,26 +7,26 @@
 } from "@foxtailwind/core";
 import type { Vm } from "@foxtailwind/edges";
 import type { ClaimGatherer } from "./claim_gatherer.ts";
-import type { OutcomePeers } from "./outcome_peers.ts";
+import type { OutcomePeerClient } from "./outcome_peer_client.ts";
 
 /** What brings claims to the node that gathers them. */
-export interface ClaimRouteParts {
+export interface ClaimRouterParts {
   readonly self: NodeId;
   readonly failureDomain: string;
   readonly nodes: () => readonly Vm[];
   readonly gatherer: ClaimGatherer;
-  readonly peers: OutcomePeers;
+  readonly peers: OutcomePeerClient;
 }
 
 /**
  * Brings a claim to the node that gathers those of its failure domain. Nodes
  * that differ about which one that is cost an append more and nothing else.
  */
-export class ClaimRoute {
-  readonly #parts: ClaimRouteParts;
+export class ClaimRouter {
+  readonly #parts: ClaimRouterParts;
 
   /** @param parts What the route works with. */
-  constructor(parts: ClaimRouteParts) {
+  constructor(parts: ClaimRouterParts) {
     this.#parts = parts;
   }
 
--- a/packages/node/src/delivery/delivery_parts.ts
+++ b/packages/node/src/delivery/delivery_parts.ts
@@ -14,14 +14,14 @@
 import type { PeerRegistration } from "../peers/peer_server.ts";
 import type { GenerationRouter } from "../serving/generation_router.ts";
 import { ClaimGatherer } from "./claim_gatherer.ts";
-import { ClaimRoute } from "./claim_route.ts";
+import { ClaimRouter } from "./claim_router.ts";
 import { GenerationDelivery } from "./generation_delivery.ts";
 import { NodeKeyedExecution } from "./node_keyed_execution.ts";
-import { OutcomePeers } from "./outcome_peers.ts";
+import { OutcomePeerClient } from "./outcome_peer_client.ts";
 import { outcomeService } from "./outcome_service.ts";
 
 /** What the delivery of a node is made of. */
-export interface DeliverySources {
+export interface DeliveryPartsOptions {
   readonly self: NodeId;
   readonly failureDomain: string;
   /** This run of the process; a restart must give another one. */
@@ -46,17 +46,17 @@
   readonly registration: PeerRegistration;
 
   /** @param sources What the parts are made of. */
-  constructor(sources: DeliverySources) {
+  constructor(sources: DeliveryPartsOptions) {
     const { self, clock, nodes, failureDomain } = sources;
     const { router, observer, crashes } = sources;
-    const peers = new OutcomePeers(sources.channels, nodes);
+    const peers = new OutcomePeerClient(sources.channels, nodes);
     this.gatherer = new ClaimGatherer(sources.log, clock);
     this.execution = new NodeKeyedExecution({
       self,
       incarnation: sources.incarnation ?? incarnationId(randomUUID()),
       clock,
       peers,
-      claims: new ClaimRoute({
+      claims: new ClaimRouter({
         self,
         failureDomain,
         nodes,
--- a/packages/node/src/delivery/generation_attempts.ts
+++ b/packages/node/src/delivery/generation_attempts.ts
@@ -19,12 +19,12 @@
 import { contentOf, type CrashMemory } from "../crashes/mod.ts";
 import type { GenerationRouter } from "../serving/generation_router.ts";
 import type { DeliveryCounters } from "./delivery_counters.ts";
-import type { GenerationOrder } from "./generation_delivery.ts";
+import type { GenerationDeliveryRequest } from "./generation_delivery.ts";
 
 /** What the attempts at one request work with. */
 export interface GenerationAttemptsParts {
-  readonly order: Pick<
-    GenerationOrder,
+  readonly deliveryRequest: Pick<
+    GenerationDeliveryRequest,
     "generation" | "streamed" | "notRepeatable"
   >;
   readonly sink: GenerationSink;
@@ -48,7 +48,7 @@
 
   /** @param parts What the attempts work with. */
   constructor(parts: GenerationAttemptsParts) {
-    const { order, budget, rules, maximumAttempts } = parts;
+    const { deliveryRequest: order, budget, rules, maximumAttempts } = parts;
     const { request, adapter } = order.generation;
     this.#parts = parts;
     this.#delivery = new RequestDelivery({
@@ -64,7 +64,7 @@
 
   /** Starts the first attempt. */
   start(): void {
-    this.#carryOut(this.#delivery.start());
+    this.#executeActions(this.#delivery.start());
   }
 
   pause(): void {
@@ -86,12 +86,12 @@
     if (event.kind === "failed" && !this.#delivery.ended) {
       this.#parts.observer.record(now, {
         kind: "attempt_failed",
-        request: this.#parts.order.generation.request,
+        request: this.#parts.deliveryRequest.generation.request,
         attempt: event.attempt,
         failure: event.failure,
       });
     }
-    this.#carryOut(this.#delivery.handle(now, event));
+    this.#executeActions(this.#delivery.handle(now, event));
     this.#scheduleWake();
   }
 
@@ -104,33 +104,33 @@
     }, Math.max(1, Math.ceil(wake - this.#parts.clock.now())));
   }
 
-  #carryOut(actions: readonly DeliveryAction[]): void {
+  #executeActions(actions: readonly DeliveryAction[]): void {
     for (const action of actions) {
       switch (action.kind) {
         case "attempt":
-          this.#attempt(action.attempt, action.fromSequence);
+          this.#startAttempt(action.attempt, action.fromSequence);
           break;
         case "cancel":
           if (action.atEngine) this.#handle?.cancel();
           break;
         case "pass":
-          this.#pass(action.sequence, action.tokens);
+          this.#forwardFrame(action.sequence, action.tokens);
           break;
         case "complete":
-          this.#end(ok(this.#toEnd(action.totals)));
+          this.#finish(ok(this.#createEnd(action.totals)));
           break;
         case "fail":
-          this.#end(err(action.failure));
+          this.#finish(err(action.failure));
           break;
       }
     }
   }
 
-  #attempt(attempt: AttemptNumber, fromSequence: number): void {
-    const { router, order, counters } = this.#parts;
+  #startAttempt(attempt: AttemptNumber, fromSequence: number): void {
+    const { router, deliveryRequest: order, counters } = this.#parts;
     if (attempt > 1) counters.retried += 1;
     if (fromSequence > 0) counters.resumed += 1;
-    const refusal = this.#refusalOfCrashing();
+    const refusal = this.#quarantineFailure();
     if (refusal !== undefined) {
       queueMicrotask(() => {
         this.#handleEvent({ kind: "failed", attempt, failure: refusal });
@@ -146,8 +146,8 @@
   }
 
   /** Why the request does not run, where its content ends engines. */
-  #refusalOfCrashing(): Failure | undefined {
-    const { crashes, order } = this.#parts;
+  #quarantineFailure(): Failure | undefined {
+    const { crashes, deliveryRequest: order } = this.#parts;
     if (crashes.isEmpty) return undefined;
     const wait = crashes.refusedFor(contentOf(order.generation));
     if (wait === undefined) return undefined;
@@ -161,21 +161,22 @@
     };
   }
 
-  #pass(sequence: number, tokens: readonly string[]): void {
-    const { request, adapter } = this.#parts.order.generation;
+  #forwardFrame(sequence: number, tokens: readonly string[]): void {
+    const { request, adapter } = this.#parts.deliveryRequest.generation;
     const { attempt } = this.#delivery;
     this.#parts.sink.onFrame({ request, attempt, sequence, tokens, adapter });
   }
 
-  #toEnd(
+  #createEnd(
     totals: Omit<GenerationEnd, "request" | "attempt">,
   ): GenerationEnd {
-    const { request } = this.#parts.order.generation;
+    const { request } = this.#parts.deliveryRequest.generation;
     return { ...totals, request, attempt: this.#delivery.attempt };
   }
 
-  #end(result: Result<GenerationEnd, Failure>): void {
-    const { sink, observer, clock, order, counters, crashes } = this.#parts;
+  #finish(result: Result<GenerationEnd, Failure>): void {
+    const { sink, observer, clock, deliveryRequest: order, counters, crashes } =
+      this.#parts;
     if (result.isOk() && !crashes.isEmpty) {
       crashes.served(contentOf(order.generation));
     }
--- a/packages/node/src/delivery/generation_delivery.ts
+++ b/packages/node/src/delivery/generation_delivery.ts
@@ -23,7 +23,7 @@
 }
 
 /** A caller's request, and what the caller asks of its delivery. */
-export interface GenerationOrder {
+export interface GenerationDeliveryRequest {
   readonly generation: GenerationRequest;
   /** Whether the caller gets tokens before the whole answer is known. */
   readonly streamed: boolean;
@@ -33,7 +33,7 @@
   readonly notRepeatable?: boolean;
 }
 
-const RETRIES = { share: 0.1, maximum: 100 } as const;
+const RETRY_BUDGET_OPTIONS = { share: 0.1, maximum: 100 } as const;
 const MAXIMUM_ATTEMPTS = 5;
 
 /** Brings callers' generations to their only outcome. */
@@ -41,7 +41,7 @@
   /** What was dropped, retried and resumed so far. */
   readonly counters = new DeliveryCounters();
   readonly #parts: GenerationDeliveryParts;
-  readonly #budget = new RetryBudget(RETRIES);
+  readonly #budget = new RetryBudget(RETRY_BUDGET_OPTIONS);
   readonly #rules = new DeliveryRules();
   readonly #keyed: KeyedGenerations;
 
@@ -51,7 +51,7 @@
     this.#keyed = new KeyedGenerations(
       parts,
       (generation, sink) =>
-        this.#attempt(
+        this.#startAttempts(
           { generation, streamed: true, notRepeatable: true },
           sink,
         ),
@@ -64,16 +64,22 @@
    * @param sink Receives each token once, in order, and one end.
    * @returns The handle of the generation.
    */
-  deliver(order: GenerationOrder, sink: GenerationSink): GenerationHandle {
+  deliver(
+    order: GenerationDeliveryRequest,
+    sink: GenerationSink,
+  ): GenerationHandle {
     const { key } = order;
     if (key !== undefined) return this.#keyed.deliver({ ...order, key }, sink);
-    return this.#attempt(order, sink);
+    return this.#startAttempts(order, sink);
   }
 
-  #attempt(order: GenerationOrder, sink: GenerationSink): GenerationHandle {
+  #startAttempts(
+    order: GenerationDeliveryRequest,
+    sink: GenerationSink,
+  ): GenerationHandle {
     const { router, clock, observer, crashes } = this.#parts;
     const attempts = new GenerationAttempts({
-      order,
+      deliveryRequest: order,
       sink,
       router,
       clock,
--- a/packages/node/src/delivery/key_limits.ts
+++ b/packages/node/src/delivery/key_limits.ts
@@ -12,18 +12,18 @@
 export const FREE_KEY_WINDOW: Duration = seconds(900);
 
 /** How long a key of a scope may be retried once the scope is not new. */
-export const SCOPE_RETRY_TIME: Duration = FREE_KEY_WINDOW;
+export const SCOPED_KEY_RETRY_WINDOW: Duration = FREE_KEY_WINDOW;
 
-const MARGIN_MILLISECONDS = 60_000;
+const RETENTION_MARGIN_MILLISECONDS = 60_000;
 
 /** How long keys may be used. */
-export const KEY_TIMING: KeyScopeLimits = {
+export const KEY_SCOPE_LIMITS: KeyScopeLimits = {
   maximumScopeLifetime: seconds(3_600),
 };
 
 /** What one node remembers of keys. */
-export const KEY_LIMITS = {
+export const KEY_LEDGER_LIMITS = {
   maximumKeys: 100_000,
   maximumAnswerBytes: 16 * 1_024 * 1_024,
-  retention: milliseconds(FREE_KEY_WINDOW + MARGIN_MILLISECONDS),
+  retention: milliseconds(FREE_KEY_WINDOW + RETENTION_MARGIN_MILLISECONDS),
 } as const;
--- a/packages/node/src/delivery/keyed_execution.ts
+++ b/packages/node/src/delivery/keyed_execution.ts
@@ -11,7 +11,7 @@
  * @param key The key as the caller sent it.
  * @returns The answer, or a failure that tells truthfully whether it ran.
  */
-export type KeyedWork = (
+export type KeyedRequestHandler = (
   payload: Uint8Array,
   key: string,
 ) => Promise<KeyedResult>;
@@ -38,7 +38,7 @@
    * @param name Names the work, alike on all nodes.
    * @param work Runs one request.
    */
-  abstract register(name: string, work: KeyedWork): void;
+  abstract register(name: string, work: KeyedRequestHandler): void;
 
   /**
    * Runs a request where its key may run, or gives the outcome of its first
--- a/packages/node/src/delivery/keyed_generation_message.ts
+++ b/packages/node/src/delivery/keyed_generation_message.ts
@@ -72,15 +72,15 @@
 /**
  * Reads a generation.
  * @param payload The bytes.
- * @param own What is this run's own.
+ * @param runFields What is this run's own.
  * @returns The request, or nothing where it cannot be read.
  */
 export function decodeGeneration(
   payload: Uint8Array,
-  own: { readonly request: RequestId; readonly arrivedAt: Instant },
+  runFields: { readonly request: RequestId; readonly arrivedAt: Instant },
 ): GenerationRequest | undefined {
-  const parsed = generationSchema.safeParse(parse(payload));
-  return parsed.success ? { ...parsed.data, ...own } : undefined;
+  const parsed = generationSchema.safeParse(parseJson(payload));
+  return parsed.success ? { ...parsed.data, ...runFields } : undefined;
 }
 
 /**
@@ -100,7 +100,7 @@
 export function decodeAnswer(
   payload: Uint8Array,
 ): Result<GenerationAnswer, Failure> {
-  const parsed = answerSchema.safeParse(parse(payload));
+  const parsed = answerSchema.safeParse(parseJson(payload));
   return parsed.success ? ok(parsed.data) : err(unreadableGeneration("ran"));
 }
 
@@ -119,7 +119,7 @@
   };
 }
 
-function parse(payload: Uint8Array): unknown {
+function parseJson(payload: Uint8Array): unknown {
   try {
     return JSON.parse(Buffer.from(payload).toString());
   } catch {
--- a/packages/node/src/delivery/keyed_generations.ts
+++ b/packages/node/src/delivery/keyed_generations.ts
@@ -25,7 +25,7 @@
 } from "./keyed_generation_message.ts";
 import { LiveReader } from "./live_reader.ts";
 
-const WORK_NAME = "generation";
+const HANDLER_NAME = "generation";
 
 /** Starts the only run of a generation. */
 export type GenerationRun = (
@@ -44,7 +44,7 @@
   readonly #execution: KeyedExecution;
   readonly #clock: SteadyClock;
   readonly #observer: RequestObserver;
-  readonly #run: GenerationRun;
+  readonly #startRun: GenerationRun;
   /** Callers here that wait for a key, and may see its tokens as they come. */
   readonly #readers = new Map<string, Set<LiveReader>>();
 
@@ -63,10 +63,10 @@
     this.#execution = parts.execution;
     this.#clock = parts.clock;
     this.#observer = parts.observer;
-    this.#run = run;
+    this.#startRun = run;
     this.#execution.register(
-      WORK_NAME,
-      (payload, key) => this.#work(payload, key),
+      HANDLER_NAME,
+      (payload, key) => this.#handle(payload, key),
     );
   }
 
@@ -80,13 +80,13 @@
     const { generation, key } = keyed;
     const reader = new LiveReader(
       generation,
-      new EndedSink(sink, (result) => {
+      new EndObserverSink(sink, (result) => {
         this.#recordEnd(generation, result);
       }),
     );
     this.#addReader(key, reader);
     void this.#execution.execute({
-      work: WORK_NAME,
+      work: HANDLER_NAME,
       key,
       payload: encodeGeneration(generation),
     }).then((result) => {
@@ -109,7 +109,7 @@
     });
   }
 
-  #work(payload: Uint8Array, key: string): Promise<KeyedResult> {
+  #handle(payload: Uint8Array, key: string): Promise<KeyedResult> {
     const generation = decodeGeneration(payload, {
       request: requestId(randomUUID()),
       arrivedAt: this.#clock.now(),
@@ -119,11 +119,13 @@
     }
     return new Promise((resolve) => {
       const sink = new CollectingSink((frame) => {
-        for (const reader of this.#readers.get(key) ?? []) reader.pass(frame);
+        for (const reader of this.#readers.get(key) ?? []) {
+          reader.forward(frame);
+        }
       }, (result) => {
         resolve(result.map(encodeAnswer));
       });
-      this.#run(generation, sink);
+      this.#startRun(generation, sink);
     });
   }
 
@@ -171,9 +173,9 @@
 }
 
 /** Tells of the end, and passes all on. */
-class EndedSink extends GenerationSink {
+class EndObserverSink extends GenerationSink {
   readonly #sink: GenerationSink;
-  readonly #ended: (result: Result<GenerationEnd, Failure>) => void;
+  readonly #onEnded: (result: Result<GenerationEnd, Failure>) => void;
 
   constructor(
     sink: GenerationSink,
@@ -181,7 +183,7 @@
   ) {
     super();
     this.#sink = sink;
-    this.#ended = ended;
+    this.#onEnded = ended;
   }
 
   override onFrame(frame: GenerationFrame): void {
@@ -189,7 +191,7 @@
   }
 
   override onEnd(result: Result<GenerationEnd, Failure>): void {
-    this.#ended(result);
+    this.#onEnded(result);
     this.#sink.onEnd(result);
   }
 }
--- a/packages/node/src/delivery/live_reader.ts
+++ b/packages/node/src/delivery/live_reader.ts
@@ -12,13 +12,13 @@
 import type { GenerationRequest } from "../serving/generation_request.ts";
 import type { GenerationAnswer } from "./keyed_generation_message.ts";
 
-const ATTEMPT = attemptNumber(1);
+const FIRST_ATTEMPT = attemptNumber(1);
 
 /** A caller that reads the answer of a key's only run, from its start. */
 export class LiveReader implements GenerationHandle {
   readonly #generation: GenerationRequest;
   readonly #sink: GenerationSink;
-  #passed = 0;
+  #forwardedTokens = 0;
   #paused = false;
   #ended = false;
 
@@ -55,9 +55,11 @@
    * Shows a frame, where it is the next one.
    * @param frame The frame.
    */
-  pass(frame: GenerationFrame): void {
-    if (this.#ended || this.#paused || frame.sequence !== this.#passed) return;
-    this.#show(frame.tokens);
+  forward(frame: GenerationFrame): void {
+    if (
+      this.#ended || this.#paused || frame.sequence !== this.#forwardedTokens
+    ) return;
+    this.#emit(frame.tokens);
   }
 
   /**
@@ -66,27 +68,30 @@
    */
   end(result: Result<GenerationAnswer, Failure>): void {
     if (this.#ended) return;
-    const rest = result.isOk() ? result.value.tokens.slice(this.#passed) : [];
-    if (rest.length > 0) this.#show(rest);
+    const rest = result.isOk()
+      ? result.value.tokens.slice(this.#forwardedTokens)
+      : [];
+    if (rest.length > 0) this.#emit(rest);
     this.#ended = true;
     const { request } = this.#generation;
     this.#sink.onEnd(result.andThen(({ end }) => {
       assertInvariant(
-        this.#passed === end.completionTokens,
+        this.#forwardedTokens === end.completionTokens,
         "answer_is_whole",
-        () => `${this.#passed} of ${end.completionTokens} tokens are shown.`,
+        () =>
+          `${this.#forwardedTokens} of ${end.completionTokens} tokens are shown.`,
       );
       return ok({ ...end, request });
     }));
   }
 
-  #show(tokens: readonly string[]): void {
+  #emit(tokens: readonly string[]): void {
     const { request, adapter } = this.#generation;
-    const sequence = this.#passed;
-    this.#passed += tokens.length;
+    const sequence = this.#forwardedTokens;
+    this.#forwardedTokens += tokens.length;
     this.#sink.onFrame({
       request,
-      attempt: ATTEMPT,
+      attempt: FIRST_ATTEMPT,
       sequence,
       tokens,
       adapter,
--- a/packages/node/src/delivery/node_keyed_execution.ts
+++ b/packages/node/src/delivery/node_keyed_execution.ts
@@ -18,35 +18,39 @@
 import { err } from "neverthrow";
 import { createHash, randomUUID } from "node:crypto";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { ClaimRoute } from "./claim_route.ts";
-import { KEY_LIMITS, KEY_TIMING, SCOPE_RETRY_TIME } from "./key_limits.ts";
+import type { ClaimRouter } from "./claim_router.ts";
+import {
+  KEY_LEDGER_LIMITS,
+  KEY_SCOPE_LIMITS,
+  SCOPED_KEY_RETRY_WINDOW,
+} from "./key_limits.ts";
 import {
   KeyedExecution,
   type KeyedRequest,
+  type KeyedRequestHandler,
   type KeyedResult,
-  type KeyedWork,
 } from "./keyed_execution.ts";
-import type { OutcomePeers } from "./outcome_peers.ts";
+import type { OutcomePeerClient } from "./outcome_peer_client.ts";
 
 /** What keyed execution works with. */
 export interface KeyedExecutionParts {
   readonly self: NodeId;
   readonly incarnation: IncarnationId;
   readonly clock: SteadyClock;
-  readonly peers: Pick<OutcomePeers, "run">;
-  readonly claims: Pick<ClaimRoute, "claim">;
+  readonly peers: Pick<OutcomePeerClient, "run">;
+  readonly claims: Pick<ClaimRouter, "claim">;
   readonly rules: DeliveryRules;
 }
 
-interface TakenRequest {
+interface AcceptedRequest {
   readonly work: string;
   readonly key: string;
   readonly payload: Uint8Array;
   readonly digest: string;
 }
 
-interface Waiting {
-  readonly request: TakenRequest;
+interface PendingRequest {
+  readonly request: AcceptedRequest;
   readonly resolve: (result: KeyedResult) => void;
 }
 
@@ -54,8 +58,8 @@
 export class NodeKeyedExecution extends KeyedExecution {
   readonly #parts: KeyedExecutionParts;
   readonly #coordinator: KeyCoordinator;
-  readonly #works = new Map<string, KeyedWork>();
-  readonly #waiting = new Map<number, Waiting>();
+  readonly #handlers = new Map<string, KeyedRequestHandler>();
+  readonly #pendingRequests = new Map<number, PendingRequest>();
   #lastTicket = 0;
 
   /** @param parts What it works with. */
@@ -66,25 +70,27 @@
       self: parts.self,
       incarnation: parts.incarnation,
       rules: parts.rules,
-      limits: KEY_LIMITS,
-      timing: KEY_TIMING,
+      limits: KEY_LEDGER_LIMITS,
+      timing: KEY_SCOPE_LIMITS,
       nextNonce: () => randomUUID(),
     });
   }
 
-  override register(name: string, work: KeyedWork): void {
-    this.#works.set(name, work);
+  override register(name: string, work: KeyedRequestHandler): void {
+    this.#handlers.set(name, work);
   }
 
   override scopeText(lifetimeMilliseconds: number): string {
     const { self, incarnation, clock } = this.#parts;
-    const lifetime = milliseconds(lifetimeMilliseconds + SCOPE_RETRY_TIME);
+    const lifetime = milliseconds(
+      lifetimeMilliseconds + SCOPED_KEY_RETRY_WINDOW,
+    );
     const expiresAt = later(clock.now(), lifetime);
     return scopePrefix({ node: self, incarnation, expiresAt });
   }
 
   override execute(request: KeyedRequest): Promise<KeyedResult> {
-    return this.#take({ ...request, digest: digestOf(request) });
+    return this.#accept({ ...request, digest: digestOf(request) });
   }
 
   /**
@@ -95,11 +101,11 @@
   runForPeer(run: KeyedRun): Promise<KeyedResult> {
     const { nonce } = run;
     const incarnation = incarnationId(run.incarnation);
-    return this.#take(run, { incarnation, nonce });
+    return this.#accept(run, { incarnation, nonce });
   }
 
-  #take(
-    request: TakenRequest,
+  #accept(
+    request: AcceptedRequest,
     forPeer?: KeyedCall["forPeer"],
   ): Promise<KeyedResult> {
     const key = parseExecutionKey(request.key);
@@ -107,10 +113,10 @@
     return new Promise((resolve) => {
       this.#lastTicket += 1;
       const ticket = this.#lastTicket;
-      this.#waiting.set(ticket, { request, resolve });
+      this.#pendingRequests.set(ticket, { request, resolve });
       const { digest } = request;
       const now = this.#parts.clock.now();
-      this.#carryOut(
+      this.#executeActions(
         this.#coordinator.request(now, {
           ticket,
           key: key.value,
@@ -121,7 +127,7 @@
     });
   }
 
-  #carryOut(actions: readonly KeyAction[]): void {
+  #executeActions(actions: readonly KeyAction[]): void {
     for (const action of actions) {
       switch (action.kind) {
         case "claim":
@@ -144,22 +150,22 @@
     const verdict = await this.#parts.claims.claim(claim);
     const now = this.#parts.clock.now();
     const { nonce } = claim;
-    this.#carryOut(this.#coordinator.claimSettled(now, nonce, verdict));
+    this.#executeActions(this.#coordinator.claimSettled(now, nonce, verdict));
   }
 
   async #run(ticket: number, key: IdempotencyKey): Promise<void> {
-    const request = this.#waiting.get(ticket)?.request;
+    const request = this.#pendingRequests.get(ticket)?.request;
     const result = request === undefined
-      ? err(unknownWork("a request that is gone"))
-      : await this.#work(request);
+      ? err(unknownHandler("a request that is gone"))
+      : await this.#runHandler(request);
     const now = this.#parts.clock.now();
-    this.#carryOut(this.#coordinator.runEnded(now, key, result));
+    this.#executeActions(this.#coordinator.runEnded(now, key, result));
   }
 
-  #work(request: TakenRequest): Promise<KeyedResult> {
-    const work = this.#works.get(request.work);
+  #runHandler(request: AcceptedRequest): Promise<KeyedResult> {
+    const work = this.#handlers.get(request.work);
     if (work === undefined) {
-      return Promise.resolve(err(unknownWork(request.work)));
+      return Promise.resolve(err(unknownHandler(request.work)));
     }
     return work(request.payload, request.key);
   }
@@ -168,7 +174,7 @@
     action: Extract<KeyAction, { readonly kind: "forward" }>,
   ): Promise<void> {
     const { ticket, node, incarnation, nonce } = action;
-    const request = this.#waiting.get(ticket)?.request;
+    const request = this.#pendingRequests.get(ticket)?.request;
     if (request === undefined) return;
     const { work, key, payload, digest } = request;
     const result = await this.#parts.peers.run(node, {
@@ -180,12 +186,12 @@
       digest,
     });
     const now = this.#parts.clock.now();
-    this.#carryOut(this.#coordinator.forwardEnded(now, ticket, result));
+    this.#executeActions(this.#coordinator.forwardEnded(now, ticket, result));
   }
 
   #answer(ticket: number, result: KeyedResult): void {
-    const waiting = this.#waiting.get(ticket);
-    this.#waiting.delete(ticket);
+    const waiting = this.#pendingRequests.get(ticket);
+    this.#pendingRequests.delete(ticket);
     waiting?.resolve(result);
   }
 }
@@ -197,7 +203,7 @@
     .digest("base64url");
 }
 
-function unknownWork(work: string): Failure {
+function unknownHandler(work: string): Failure {
   return {
     reason: "not_found",
     step: "claim_key",
--- a/packages/node/src/delivery/outcome_peers.ts
+++ b/packages/node/src/delivery/outcome_peer_client.ts
@@ -14,14 +14,14 @@
   fromKeyedOutcome,
   fromVerdictMessage,
   toClaimMessage,
-  unsettled,
+  unsettledVerdict,
 } from "./outcome_messages.ts";
 
 const CLAIM_TIMEOUT_MILLISECONDS = 8_000;
 const RUN_TIMEOUT_MILLISECONDS = 600_000;
 
 /** Asks other nodes about keys. */
-export class OutcomePeers {
+export class OutcomePeerClient {
   readonly #channels: PeerChannels;
   readonly #nodes: () => readonly Vm[];
 
@@ -43,7 +43,7 @@
   run(node: NodeId, run: KeyedRun): Promise<KeyedResult> {
     const client = this.#client(node);
     if (client === undefined) {
-      return Promise.resolve(err(gone(node, "The node is gone.")));
+      return Promise.resolve(err(unknownOutcome(node, "The node is gone.")));
     }
     const deadline = Date.now() + RUN_TIMEOUT_MILLISECONDS;
     return new Promise((resolve) => {
@@ -51,7 +51,7 @@
         resolve(
           error === null
             ? fromKeyedOutcome(answer, node)
-            : err(gone(node, messageOf(error))),
+            : err(unknownOutcome(node, describeError(error))),
         );
       });
     });
@@ -66,7 +66,9 @@
   claim(node: NodeId, claim: KeyClaim): Promise<ClaimVerdict> {
     const client = this.#client(node);
     if (client === undefined) {
-      return Promise.resolve(unsettled(node, "The gathering node is gone."));
+      return Promise.resolve(
+        unsettledVerdict(node, "The gathering node is gone."),
+      );
     }
     const deadline = Date.now() + CLAIM_TIMEOUT_MILLISECONDS;
     const batch = { claims: [toClaimMessage(claim)] };
@@ -75,7 +77,7 @@
         resolve(
           error === null
             ? fromVerdictMessage(answer.verdicts[0], node)
-            : unsettled(node, messageOf(error)),
+            : unsettledVerdict(node, describeError(error)),
         );
       });
     });
@@ -91,12 +93,12 @@
   }
 }
 
-function messageOf(error: ServiceError): string {
+function describeError(error: ServiceError): string {
   return `The node did not answer: ${error.details}.`;
 }
 
 /** Nothing is known of the key, and no other node will ever run it. */
-function gone(node: NodeId, message: string): Failure {
+function unknownOutcome(node: NodeId, message: string): Failure {
   return {
     reason: "unavailable",
     step: "forward",
--- a/packages/node/src/delivery/service_delivery.ts
+++ b/packages/node/src/delivery/service_delivery.ts
@@ -27,7 +27,7 @@
   ): Promise<Result<ServiceAnswer, Failure>>;
 }
 
-const WORK_NAME = "service_call";
+const HANDLER_NAME = "service_call";
 const KEY_HEADER = "idempotency-key";
 
 const requestSchema = z.object({
@@ -57,11 +57,11 @@
   constructor(execution: KeyedExecution, runner: ServiceCallRunner) {
     this.#execution = execution;
     this.#runner = runner;
-    execution.register(WORK_NAME, async (payload) => {
+    execution.register(HANDLER_NAME, async (payload) => {
       const request = decodeRequest(payload);
-      if (request === undefined) return err(unreadable("not_run"));
+      if (request === undefined) return err(unreadableMessage("not_run"));
       const answer = await runner.runOnce(request);
-      return answer.andThen((found) => keepIfRun(request, found));
+      return answer.andThen((found) => toKeyedResult(request, found));
     });
   }
 
@@ -77,17 +77,17 @@
   ): Promise<Result<ServiceAnswer, Failure>> {
     if (key === undefined) return await this.#runner.runOnce(request);
     const answer = await this.#execution.execute({
-      work: WORK_NAME,
+      work: HANDLER_NAME,
       key,
-      payload: encodeRequest(withKey(request, key)),
-      identity: identityOf(request),
+      payload: encodeRequest(withKeyHeader(request, key)),
+      identity: encodeIdentity(request),
     });
     return answer.andThen(decodeAnswer);
   }
 }
 
 /** The service sees the key too: its own check is a further safeguard. */
-function withKey(request: ServiceRequest, key: string): ServiceRequest {
+function withKeyHeader(request: ServiceRequest, key: string): ServiceRequest {
   const others = request.headers.filter((header) =>
     header.name.toLowerCase() !== KEY_HEADER
   );
@@ -98,7 +98,7 @@
 }
 
 /** A call that its server states as not run frees its key. */
-function keepIfRun(
+function toKeyedResult(
   request: ServiceRequest,
   answer: ServiceAnswer,
 ): Result<Uint8Array, Failure> {
@@ -113,7 +113,7 @@
 }
 
 /** Headers may differ between a request and its retry. */
-function identityOf(request: ServiceRequest): Uint8Array {
+function encodeIdentity(request: ServiceRequest): Uint8Array {
   const { service, method, path, body } = request;
   return encode([service, method, path, toBase64(body)]);
 }
@@ -135,7 +135,7 @@
 
 function decodeAnswer(payload: Uint8Array): Result<ServiceAnswer, Failure> {
   const parsed = answerSchema.safeParse(decode(payload));
-  if (!parsed.success) return err(unreadable("ran"));
+  if (!parsed.success) return err(unreadableMessage("ran"));
   return ok({ ...parsed.data, body: Buffer.from(parsed.data.body, "base64") });
 }
 
@@ -155,7 +155,7 @@
   }
 }
 
-function unreadable(outcome: Failure["outcome"]): Failure {
+function unreadableMessage(outcome: Failure["outcome"]): Failure {
   return {
     reason: "corrupt",
     step: "call_service",
--- a/packages/node/src/peers/generate_message.ts
+++ b/packages/node/src/peers/generate_message.ts
@@ -19,7 +19,7 @@
 const FIRST_ATTEMPT = 1;
 
 /** A request on its way to an engine's controller. */
-export interface HandedOver {
+export interface HandOverRequest {
   readonly engine: EngineId;
   readonly generation: GenerationRequest;
   /** The sender's present time. */
@@ -31,7 +31,9 @@
  * @param handedOver The request and its engine.
  * @returns The message.
  */
-export function toGenerateRequest(handedOver: HandedOver): GenerateRequest {
+export function toGenerateRequest(
+  handedOver: HandOverRequest,
+): GenerateRequest {
   const { engine, generation, now } = handedOver;
   return {
     request: generation.request,
--- a/packages/node/src/peers/generation_service.ts
+++ b/packages/node/src/peers/generation_service.ts
@@ -36,7 +36,7 @@
 export type HandOverRunner = Pick<GenerationRouter, "runHere">;
 
 /** What runs and counts the requests of peers. */
-export interface SessionParts {
+export interface GenerationServiceParts {
   readonly router: HandOverRunner;
   readonly clock: SteadyClock;
   readonly work: WorkInProgress;
@@ -47,7 +47,9 @@
  * @param parts What runs and counts the requests.
  * @returns The service, to register.
  */
-export function generationService(parts: SessionParts): PeerRegistration {
+export function generationService(
+  parts: GenerationServiceParts,
+): PeerRegistration {
   const sessions = new Set<HandOverSession>();
   return {
     definition: PeerService,
@@ -68,19 +70,19 @@
 /** All requests that one peer handed over by one call. */
 class HandOverSession {
   readonly #call: HandOverCall;
-  readonly #parts: SessionParts;
+  readonly #parts: GenerationServiceParts;
   readonly #lanes = new Map<number, Lane>();
   readonly #outbox: HandOverOutbox;
-  #over = false;
-  #draining = false;
+  #isDisconnected = false;
+  #isDraining = false;
 
-  constructor(call: HandOverCall, parts: SessionParts) {
+  constructor(call: HandOverCall, parts: GenerationServiceParts) {
     this.#call = call;
     this.#parts = parts;
     this.#outbox = new HandOverOutbox(
-      { write: (batch) => this.#over || call.write(batch) },
+      { write: (batch) => this.#isDisconnected || call.write(batch) },
       (blocked) => {
-        for (const lane of this.#lanes.values()) lane.holdBack(blocked);
+        for (const lane of this.#lanes.values()) lane.setPeerBlocked(blocked);
       },
     );
   }
@@ -88,19 +90,19 @@
   start(): void {
     const call = this.#call;
     call.on("data", (batch: ToController) => {
-      for (const command of batch.commands) this.#carryOut(command);
+      for (const command of batch.commands) this.#execute(command);
     });
     call.on("drain", () => {
       this.#outbox.drained();
     });
     call.on("cancelled", () => {
-      this.#lose();
+      this.#handleDisconnect();
     });
     call.on("error", () => {
-      this.#lose();
+      this.#handleDisconnect();
     });
     call.on("end", () => {
-      this.#lose();
+      this.#handleDisconnect();
       call.end();
     });
     call.write({ ready: true, closing: false, answers: [] });
@@ -108,25 +110,25 @@
 
   /** Asks the peer to end the call; ends it where the peer does not. */
   drain(): void {
-    this.#draining = true;
+    this.#isDraining = true;
     this.#call.write({ ready: false, closing: true, answers: [] });
     this.#endIfDrained();
   }
 
   #endIfDrained(): void {
-    if (!this.#draining || this.#lanes.size > 0) return;
+    if (!this.#isDraining || this.#lanes.size > 0) return;
     setTimeout(() => {
       if (this.#lanes.size === 0) this.#call.end();
     }, DRAIN_GRACE_MILLISECONDS).unref();
   }
 
-  #carryOut({ lane: number, part }: Command): void {
+  #execute({ lane: number, part }: Command): void {
     switch (part?.$case) {
       case "generate":
         this.#generate(number, part.value);
         break;
       case "paused":
-        this.#lanes.get(number)?.pauseForCaller(part.value);
+        this.#lanes.get(number)?.setCallerPaused(part.value);
         break;
       case "cancel":
         this.#lanes.get(number)?.cancel();
@@ -144,7 +146,7 @@
       number,
       request: generation.request,
       outbox: this.#outbox,
-      onOver: () => {
+      onFinished: () => {
         this.#lanes.delete(number);
         end();
         this.#endIfDrained();
@@ -152,16 +154,16 @@
     });
     this.#lanes.set(number, lane);
     lane.attach(router.runHere(engineId(message.engine), generation, lane));
-    if (this.#outbox.blocked) lane.holdBack(true);
+    if (this.#outbox.blocked) lane.setPeerBlocked(true);
   }
 
   /** The entry node may come back and resume; else its work is cancelled. */
-  #lose(): void {
-    if (this.#over) return;
-    this.#over = true;
+  #handleDisconnect(): void {
+    if (this.#isDisconnected) return;
+    this.#isDisconnected = true;
     for (const lane of this.#lanes.values()) {
-      lane.holdBack(false);
-      lane.pauseForCaller(false);
+      lane.setPeerBlocked(false);
+      lane.setCallerPaused(false);
     }
     setTimeout(() => {
       for (const lane of this.#lanes.values()) lane.cancel();
@@ -173,7 +175,7 @@
   readonly number: number;
   readonly request: RequestId;
   readonly outbox: HandOverOutbox;
-  readonly onOver: () => void;
+  readonly onFinished: () => void;
 }
 
 /** One request of a session: its answer goes to the session's outbox. */
@@ -181,8 +183,8 @@
   readonly #parts: LaneParts;
   #handle: GenerationHandle | undefined;
   #adapter: AdapterReference | undefined;
-  #heldBack = false;
-  #pausedByCaller = false;
+  #isPeerBlocked = false;
+  #isCallerPaused = false;
 
   constructor(parts: LaneParts) {
     super();
@@ -193,13 +195,13 @@
     this.#handle = handle;
   }
 
-  holdBack(blocked: boolean): void {
-    this.#heldBack = blocked;
+  setPeerBlocked(blocked: boolean): void {
+    this.#isPeerBlocked = blocked;
     this.#applyPause();
   }
 
-  pauseForCaller(paused: boolean): void {
-    this.#pausedByCaller = paused;
+  setCallerPaused(paused: boolean): void {
+    this.#isCallerPaused = paused;
     this.#applyPause();
   }
 
@@ -218,13 +220,13 @@
       (end) => ({ $case: "end", value: end }),
       (failure) => ({ $case: "failure", value: toFailureMessage(failure) }),
     );
-    const { outbox, number, onOver } = this.#parts;
+    const { outbox, number, onFinished: onOver } = this.#parts;
     outbox.push({ lane: number, part });
     onOver();
   }
 
   #applyPause(): void {
-    if (this.#heldBack || this.#pausedByCaller) this.#handle?.pause();
+    if (this.#isPeerBlocked || this.#isCallerPaused) this.#handle?.pause();
     else this.#handle?.unpause();
   }
 }
--- a/packages/node/src/peers/hand_over_link.ts
+++ b/packages/node/src/peers/hand_over_link.ts
@@ -39,10 +39,10 @@
   readonly #readyTimer: NodeJS.Timeout;
   #commands: Command[] = [];
   #lastLane = 0;
-  #ready = false;
-  #broken = false;
-  #closing = false;
-  #flushing = false;
+  #isReady = false;
+  #isBroken = false;
+  #isClosing = false;
+  #isFlushScheduled = false;
 
   /**
    * @param client The peer's client.
@@ -55,26 +55,26 @@
       this.#receive(batch);
     });
     this.#call.on("error", (error) => {
-      this.#break(error.message);
+      this.#fail(error.message);
     });
     this.#call.on("end", () => {
-      this.#break("The peer ended the call.");
+      this.#fail("The peer ended the call.");
     });
     this.#call.on("drain", () => {
       this.#flush();
     });
     this.#readyTimer = setTimeout(() => {
-      this.#break("The peer was not ready in time.");
+      this.#fail("The peer was not ready in time.");
     }, READY_TIMEOUT_MILLISECONDS);
   }
 
   /** Whether a new request may go over this link. */
-  get usable(): boolean {
-    return !this.#broken && !this.#closing;
+  get isUsable(): boolean {
+    return !this.#isBroken && !this.#isClosing;
   }
 
   /** How many requests are in progress. */
-  get lanes(): number {
+  get laneCount(): number {
     return this.#lanes.size;
   }
 
@@ -110,7 +110,7 @@
 
   /** Ends the call; requests in progress fail. */
   close(): void {
-    this.#break("The link was closed.");
+    this.#fail("The link was closed.");
   }
 
   #cancel(lane: Lane): void {
@@ -120,22 +120,22 @@
       return;
     }
     this.#commands = this.#commands.filter((one) => one.lane !== lane.number);
-    this.#end(lane, err(this.#failure(lane, CANCELLED)));
+    this.#end(lane, err(this.#failure(lane, CANCELLED_BEFORE_SENDING)));
   }
 
   #push(lane: Lane, part: Command["part"]): void {
     if (!this.#lanes.has(lane.number)) return;
     this.#commands.push({ lane: lane.number, part });
-    if (this.#flushing) return;
-    this.#flushing = true;
+    if (this.#isFlushScheduled) return;
+    this.#isFlushScheduled = true;
     setImmediate(() => {
-      this.#flushing = false;
+      this.#isFlushScheduled = false;
       this.#flush();
     });
   }
 
   #flush(): void {
-    if (!this.#ready || this.#broken || this.#commands.length === 0) return;
+    if (!this.#isReady || this.#isBroken || this.#commands.length === 0) return;
     if (this.#call.writableNeedDrain) return;
     const commands = this.#commands;
     this.#commands = [];
@@ -149,18 +149,18 @@
   }
 
   #receive(batch: ToEntry): void {
-    if (batch.ready) this.#becomeReady();
+    if (batch.ready) this.#markReady();
     for (const answer of batch.answers) this.#receiveAnswer(answer);
-    if (batch.closing) this.#closing = true;
+    if (batch.closing) this.#isClosing = true;
     this.#endIfDone();
   }
 
   #endIfDone(): void {
-    if (this.#closing && this.#lanes.size === 0) this.#call.end();
+    if (this.#isClosing && this.#lanes.size === 0) this.#call.end();
   }
 
-  #becomeReady(): void {
-    this.#ready = true;
+  #markReady(): void {
+    this.#isReady = true;
     clearTimeout(this.#readyTimer);
     this.#flush();
   }
@@ -170,7 +170,7 @@
     if (lane === undefined) return;
     switch (part?.$case) {
       case "frame":
-        passFrame(lane, part.value);
+        forwardFrame(lane, part.value);
         break;
       case "end":
         this.#end(lane, ok(toEnd(lane, part.value)));
@@ -188,9 +188,9 @@
     lane.sink.onEnd(result);
   }
 
-  #break(message: string): void {
-    if (this.#broken) return;
-    this.#broken = true;
+  #fail(message: string): void {
+    if (this.#isBroken) return;
+    this.#isBroken = true;
     clearTimeout(this.#readyTimer);
     this.#call.cancel();
     for (const lane of [...this.#lanes.values()]) {
@@ -209,12 +209,12 @@
   }
 }
 
-const CANCELLED = {
+const CANCELLED_BEFORE_SENDING = {
   reason: "cancelled",
   message: "The request was cancelled before it was handed over.",
 } as const;
 
-function passFrame(lane: Lane, frame: Frame): void {
+function forwardFrame(lane: Lane, frame: Frame): void {
   if (frame.adapter !== undefined) lane.adapter = fromAdapter(frame.adapter);
   lane.sink.onFrame({
     request: requestId(frame.request || lane.message.request),
--- a/packages/node/src/peers/hand_over_outbox.ts
+++ b/packages/node/src/peers/hand_over_outbox.ts
@@ -23,7 +23,7 @@
 export class HandOverOutbox {
   readonly #writer: BatchWriter;
   readonly #onBlocked: (blocked: boolean) => void;
-  readonly #open = new Map<number, Frame>();
+  readonly #extendableFrames = new Map<number, Frame>();
   #answers: Answer[] = [];
   #scheduled = false;
   #blocked = false;
@@ -54,9 +54,9 @@
     const isOwn = frame.request === request;
     const changed = adapter === undefined ||
       !sameAdapter(adapter, frame.adapter);
-    const last = this.#open.get(lane);
+    const last = this.#extendableFrames.get(lane);
     const joins = last !== undefined && isOwn && !changed;
-    if (joins && continues(last, frame)) {
+    if (joins && isContinuation(last, frame)) {
       last.tokens.push(...frame.tokens);
       return;
     }
@@ -67,8 +67,8 @@
       adapter: changed ? frame.adapter : undefined,
       request: isOwn ? "" : frame.request,
     };
-    if (isOwn) this.#open.set(lane, message);
-    else this.#open.delete(lane);
+    if (isOwn) this.#extendableFrames.set(lane, message);
+    else this.#extendableFrames.delete(lane);
     this.push({ lane, part: { $case: "frame", value: message } });
   }
 
@@ -101,7 +101,7 @@
     if (this.#answers.length === 0) return true;
     const answers = this.#answers;
     this.#answers = [];
-    this.#open.clear();
+    this.#extendableFrames.clear();
     if (this.#writer.write({ ready: false, closing: false, answers })) {
       return true;
     }
@@ -111,7 +111,7 @@
   }
 }
 
-function continues(last: Frame, frame: GenerationFrame): boolean {
+function isContinuation(last: Frame, frame: GenerationFrame): boolean {
   return last.attempt === frame.attempt &&
     last.sequence + last.tokens.length === frame.sequence;
 }
--- a/packages/node/src/peers/peer_channels.ts
+++ b/packages/node/src/peers/peer_channels.ts
@@ -1,7 +1,7 @@
 import { Channel, credentials } from "@grpc/grpc-js";
 
 /** A restarted peer is reached again within a second. */
-const RECONNECTION = {
+const CHANNEL_OPTIONS = {
   "grpc.initial_reconnect_backoff_ms": 100,
   "grpc.min_reconnect_backoff_ms": 100,
   "grpc.max_reconnect_backoff_ms": 1_000,
@@ -30,7 +30,7 @@
     const channel = new Channel(
       address,
       credentials.createInsecure(),
-      RECONNECTION,
+      CHANNEL_OPTIONS,
     );
     this.#channels.set(address, channel);
     return channel;
--- a/packages/node/src/peers/peer_clients.ts
+++ b/packages/node/src/peers/peer_clients.ts
@@ -1,7 +1,7 @@
 import type { GenerationHandle, GenerationSink, Vm } from "@foxtailwind/edges";
 import { PeerClient } from "@foxtailwind/protocol";
 import { credentials } from "@grpc/grpc-js";
-import { type HandedOver, toGenerateRequest } from "./generate_message.ts";
+import { type HandOverRequest, toGenerateRequest } from "./generate_message.ts";
 import { HandOverLink } from "./hand_over_link.ts";
 import type { PeerChannels } from "./peer_channels.ts";
 
@@ -24,7 +24,7 @@
    */
   generate(
     peer: Vm,
-    handedOver: HandedOver,
+    handedOver: HandOverRequest,
     sink: GenerationSink,
   ): GenerationHandle {
     const link = this.#link(peer);
@@ -40,7 +40,7 @@
   #link(peer: Vm): HandOverLink {
     const address = peer.peerAddress ?? peer.address;
     const known = this.#links.get(address);
-    if (known?.usable === true) return known;
+    if (known?.isUsable === true) return known;
     const client = new PeerClient(address, credentials.createInsecure(), {
       channelOverride: this.#channels.channel(address),
     });
