--- a/packages/node/src/configuration/cluster_status.ts
+++ b/packages/node/src/configuration/cluster_status.ts
@@ -3,8 +3,8 @@
 import { credentials, Metadata } from "@grpc/grpc-js";
 import type { PeerChannels } from "../peers/peer_channels.ts";
 
-const DEADLINE_MILLISECONDS = 1_000;
-const AT_ONCE = 64;
+const STATUS_TIMEOUT_MILLISECONDS = 1_000;
+const MAXIMUM_CONCURRENT_REQUESTS = 64;
 
 /** What one node has in force, or that it did not answer. */
 export type NodeStatus =
@@ -22,23 +22,23 @@
   channels: PeerChannels,
 ): Promise<readonly NodeStatus[]> {
   const found: NodeStatus[] = [];
-  for (let from = 0; from < nodes.length; from += AT_ONCE) {
-    const some = nodes.slice(from, from + AT_ONCE);
+  for (let from = 0; from < nodes.length; from += MAXIMUM_CONCURRENT_REQUESTS) {
+    const some = nodes.slice(from, from + MAXIMUM_CONCURRENT_REQUESTS);
     found.push(
-      ...await Promise.all(some.map((node) => askNode(node, channels))),
+      ...await Promise.all(some.map((node) => readNodeStatus(node, channels))),
     );
   }
   return found;
 }
 
-function askNode(node: Vm, channels: PeerChannels): Promise<NodeStatus> {
+function readNodeStatus(node: Vm, channels: PeerChannels): Promise<NodeStatus> {
   const address = node.peerAddress ?? node.address;
   const client = new ConfigurationClient(
     address,
     credentials.createInsecure(),
     { channelOverride: channels.channel(address) },
   );
-  const deadline = Date.now() + DEADLINE_MILLISECONDS;
+  const deadline = Date.now() + STATUS_TIMEOUT_MILLISECONDS;
   return new Promise((resolve) => {
     client.status({}, new Metadata(), { deadline }, (error, status) => {
       resolve(
--- a/packages/node/src/configuration/configuration_follower.ts
+++ b/packages/node/src/configuration/configuration_follower.ts
@@ -23,12 +23,12 @@
 
 const LONG_POLL_MILLISECONDS = 500;
 const RETRY_MILLISECONDS = 100;
-const HALTED_MILLISECONDS = 500;
-const LOG_PATIENCE_MILLISECONDS = 1_000;
-const TRIAL = milliseconds(1_000);
-const PARENT_PAUSE = milliseconds(2_000);
+const HALTED_POLL_MILLISECONDS = 500;
+const LOG_READ_GRACE_MILLISECONDS = 1_000;
+const MINIMUM_FOLLOW_DURATION = milliseconds(1_000);
+const PARENT_RETRY_DELAY = milliseconds(2_000);
 /** Beyond this, a peer's records are not trusted to be the latest. */
-const FRESH = milliseconds(3_000);
+const MAXIMUM_PEER_DATA_AGE = milliseconds(3_000);
 const LOG_NAME = "log";
 
 /** What a follower works with. */
@@ -50,7 +50,7 @@
   readonly store: ConfigurationStore;
   readonly logSource: LogSource;
   readonly #parts: FollowerParts;
-  readonly #peers: PeerSource;
+  readonly #peerSource: PeerSource;
   #source = LOG_NAME;
   #parentPausedUntil = instant(0);
   #logFailures = 0;
@@ -63,7 +63,10 @@
     this.#parts = parts;
     this.store = new ConfigurationStore(clock, logger);
     this.logSource = new LogSource(parts.log, { store: this.store, logger });
-    this.#peers = new PeerSource(parts.channels, { store: this.store, clock });
+    this.#peerSource = new PeerSource(parts.channels, {
+      store: this.store,
+      clock,
+    });
   }
 
   /** The configuration in force. */
@@ -111,10 +114,10 @@
       if (this.store.reader.halt !== undefined) {
         // Whoever passed the record on, the log has it, and nobody is followed.
         this.#source = LOG_NAME;
-        await sleep(HALTED_MILLISECONDS, undefined, { ref: false });
+        await sleep(HALTED_POLL_MILLISECONDS, undefined, { ref: false });
         continue;
       }
-      const place = this.#place();
+      const place = this.#currentPosition();
       const peer = this.#choosePeer(place);
       if (peer === undefined) await this.#readLog();
       else await this.#followPeer(peer, place);
@@ -133,10 +136,10 @@
   /** Ends {@link run} after the read in progress. */
   stop(): void {
     this.#stopped = true;
-    this.#peers.stop();
+    this.#peerSource.stop();
   }
 
-  #place(): DistributionPosition {
+  #currentPosition(): DistributionPosition {
     const nodes = this.#parts.directory.live("entry").map((
       vm,
     ): DistributionNode => ({
@@ -164,7 +167,7 @@
     this.#logRead ??= this.#startLogRead();
     const answered = await Promise.race([
       this.#logRead,
-      sleep(LONG_POLL_MILLISECONDS + LOG_PATIENCE_MILLISECONDS, false, {
+      sleep(LONG_POLL_MILLISECONDS + LOG_READ_GRACE_MILLISECONDS, false, {
         ref: false,
       }),
     ]);
@@ -187,22 +190,28 @@
       .find((vm) => vm.id === peer)?.peerAddress;
     if (address !== undefined) {
       this.#source = peer;
-      await this.#peers.follow(address, (since) => this.#stays(since, place));
+      await this.#peerSource.follow(
+        address,
+        (since) => this.#shouldKeepFollowing(since, place),
+      );
     }
-    await this.#afterPeer();
+    await this.#handleFollowEnd();
   }
 
-  #stays(since: Instant, place: DistributionPosition): boolean {
+  #shouldKeepFollowing(since: Instant, place: DistributionPosition): boolean {
     const { clock } = this.#parts;
-    if (elapsed(since, clock.now()) < TRIAL) return true;
-    if (this.store.age() > FRESH) return false;
-    const current = this.#place();
+    if (elapsed(since, clock.now()) < MINIMUM_FOLLOW_DURATION) return true;
+    if (this.store.age() > MAXIMUM_PEER_DATA_AGE) return false;
+    const current = this.#currentPosition();
     return !current.readsLog && current.parent === place.parent;
   }
 
   /** The log is asked next; the parent again after a while. */
-  async #afterPeer(): Promise<void> {
-    this.#parentPausedUntil = later(this.#parts.clock.now(), PARENT_PAUSE);
+  async #handleFollowEnd(): Promise<void> {
+    this.#parentPausedUntil = later(
+      this.#parts.clock.now(),
+      PARENT_RETRY_DELAY,
+    );
     if (this.#logFailures === 0) return;
     this.#logFailures += 1;
     this.#logRead ??= this.#startLogRead();
--- a/packages/node/src/configuration/configuration_publisher.ts
+++ b/packages/node/src/configuration/configuration_publisher.ts
@@ -20,10 +20,10 @@
   type AcceptedChange,
   type PublishFailure,
   publishFailure,
-  refusedByReaders,
+  toPublishFailure,
 } from "./publish_failure.ts";
 
-const DEADLINE = milliseconds(4_000);
+const PUBLISH_TIMEOUT = milliseconds(4_000);
 const RETRY_MILLISECONDS = 100;
 
 /** What a publisher works with. */
@@ -53,25 +53,25 @@
     record: ConfigurationRecord,
   ): Promise<Result<AcceptedChange, PublishFailure>> {
     const known = this.#find(record);
-    if (known !== undefined) return settle(known, true);
-    const refusal = this.#refuseBeforehand(record);
+    if (known !== undefined) return toPublishResult(known, true);
+    const refusal = this.#validate(record);
     if (refusal !== undefined) return err(refusal);
-    const until = later(this.#parts.clock.now(), DEADLINE);
+    const until = later(this.#parts.clock.now(), PUBLISH_TIMEOUT);
     const appended = await this.#append(record, until);
     if (appended.isErr()) return err(appended.error);
     const settled = await this.#readBack(record, {
       offset: appended.value,
       until,
     });
-    if (settled === undefined) return err(notReadBack(record.id));
-    return settle(settled, settled.offset !== appended.value);
+    if (settled === undefined) return err(readBackFailure(record.id));
+    return toPublishResult(settled, settled.offset !== appended.value);
   }
 
   #find(record: ConfigurationRecord): RecentChange | undefined {
     return this.#parts.follower.configuration.recent.find(record.id);
   }
 
-  #refuseBeforehand(record: ConfigurationRecord): PublishFailure | undefined {
+  #validate(record: ConfigurationRecord): PublishFailure | undefined {
     const { reader } = this.#parts.follower.store;
     if (reader.halt !== undefined) {
       return publishFailure("unavailable", {
@@ -117,7 +117,9 @@
       mayHaveRun ||= offset.error.outcome !== "not_run";
       const wait = offset.error.retryAfterMilliseconds ?? RETRY_MILLISECONDS;
       if (this.#parts.clock.now() + wait >= until) {
-        return err(notAppended(record.id, { cause: offset.error, mayHaveRun }));
+        return err(
+          appendFailure(record.id, { cause: offset.error, mayHaveRun }),
+        );
       }
       await sleep(wait);
     }
@@ -138,7 +140,7 @@
   }
 }
 
-function settle(
+function toPublishResult(
   change: RecentChange,
   repeated: boolean,
 ): Result<AcceptedChange, PublishFailure> {
@@ -147,10 +149,10 @@
   if (verdict.kind === "conflict" && verdict.change === id) {
     return ok({ id, offset: verdict.winner, repeated: true });
   }
-  return err(refusedByReaders(verdict));
+  return err(toPublishFailure(verdict));
 }
 
-function notAppended(
+function appendFailure(
   id: string,
   { cause, mayHaveRun }: {
     readonly cause: Failure;
@@ -167,7 +169,7 @@
   };
 }
 
-function notReadBack(id: string): PublishFailure {
+function readBackFailure(id: string): PublishFailure {
   return {
     ...publishFailure("timeout", {
       message: `Change ${id} was appended, but could not be read back.`,
--- a/packages/node/src/configuration/configuration_store.ts
+++ b/packages/node/src/configuration/configuration_store.ts
@@ -12,7 +12,7 @@
 } from "@foxtailwind/core";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { PartLogger } from "../logging/part_logger.ts";
-import { RecordRing } from "./record_ring.ts";
+import { RecordBuffer } from "./record_ring.ts";
 
 /** All records of the log from one offset to another. */
 export interface RecordRange {
@@ -25,7 +25,7 @@
 /** The configuration of this node, and the latest records to pass on. */
 export class ConfigurationStore {
   readonly reader = new ConfigurationReader();
-  readonly #ring = new RecordRing();
+  readonly #recentRecords = new RecordBuffer();
   readonly #listeners = new Set<() => void>();
   readonly #clock: SteadyClock;
   readonly #logger: PartLogger;
@@ -60,9 +60,9 @@
   take(range: RecordRange): boolean {
     if (!this.reader.isContiguous(range.from)) return false;
     const before = this.reader.nextOffset;
-    for (const record of range.records) this.#read(record);
+    for (const record of range.records) this.#readRecord(record);
     this.confirm(range.age);
-    if (this.reader.nextOffset > before) this.#tell();
+    if (this.reader.nextOffset > before) this.#notifyListeners();
     return true;
   }
 
@@ -73,11 +73,11 @@
   adopt(configuration: Configuration): void {
     if (configuration.offset <= this.reader.configuration.offset) return;
     this.reader.adopt(configuration);
-    this.#ring.restart(this.reader.nextOffset);
+    this.#recentRecords.reset(this.reader.nextOffset);
     this.#logger.info("A snapshot was taken over.", {
       offset: configuration.offset,
     });
-    this.#tell();
+    this.#notifyListeners();
   }
 
   /**
@@ -99,7 +99,7 @@
    * @returns The records, or nothing where only the whole state will do.
    */
   recordsFrom(from: LogOffset): readonly StoredRecord[] | undefined {
-    return this.#ring.from(from);
+    return this.#recentRecords.readFrom(from);
   }
 
   /**
@@ -112,11 +112,11 @@
     return () => this.#listeners.delete(listener);
   }
 
-  #read(record: StoredRecord): void {
+  #readRecord(record: StoredRecord): void {
     const wasHalted = this.reader.halt !== undefined;
     const reading = this.reader.read(record);
     if (reading.kind !== "already_read" && reading.kind !== "halted") {
-      this.#ring.push(record);
+      this.#recentRecords.push(record);
     }
     this.#report(record, reading, wasHalted);
   }
@@ -142,7 +142,7 @@
     }
   }
 
-  #tell(): void {
+  #notifyListeners(): void {
     for (const listener of this.#listeners) listener();
   }
 }
--- a/packages/node/src/configuration/log_source.ts
+++ b/packages/node/src/configuration/log_source.ts
@@ -55,12 +55,12 @@
       records: page.records,
       age: reachesTail ? milliseconds(0) : undefined,
     });
-    return taken || await this.#startFromSnapshot(page.firstKept);
+    return taken || await this.#restoreFromSnapshot(page.firstKept);
   }
 
-  async #startFromSnapshot(firstKept: LogOffset): Promise<boolean> {
-    const kept = await this.#readKept(firstKept);
-    for (const manifest of manifestsIn(kept).reverse()) {
+  async #restoreFromSnapshot(firstKept: LogOffset): Promise<boolean> {
+    const kept = await this.#readRetained(firstKept);
+    for (const manifest of findManifests(kept).reverse()) {
       if (manifest.covers + 1 < firstKept) continue;
       const configuration = await this.#readSnapshot(manifest);
       if (configuration === undefined) continue;
@@ -75,7 +75,7 @@
     return false;
   }
 
-  async #readKept(firstKept: LogOffset): Promise<readonly StoredRecord[]> {
+  async #readRetained(firstKept: LogOffset): Promise<readonly StoredRecord[]> {
     const records: StoredRecord[] = [];
     let from = firstKept;
     for (;;) {
@@ -127,7 +127,7 @@
   return page.records.at(-1)?.offset ?? from - 1;
 }
 
-function manifestsIn(records: readonly StoredRecord[]): SnapshotManifest[] {
+function findManifests(records: readonly StoredRecord[]): SnapshotManifest[] {
   return records.flatMap(({ data }) => {
     const text = parseConfigurationRecord(data);
     return text.kind === "manifest" ? [text.manifest] : [];
--- a/packages/node/src/configuration/peer_source.ts
+++ b/packages/node/src/configuration/peer_source.ts
@@ -58,7 +58,7 @@
       const silent = elapsed(heardAt, this.#clock.now()) > SILENCE_LIMIT;
       if (silent || !stays(since)) call.cancel();
     }, CHECK_MILLISECONDS);
-    await endOf(call);
+    await waitForEnd(call);
     clearInterval(check);
   }
 
@@ -68,7 +68,7 @@
   }
 }
 
-function endOf(call: ClientReadableStream<FollowAnswer>): Promise<void> {
+function waitForEnd(call: ClientReadableStream<FollowAnswer>): Promise<void> {
   return new Promise((resolve) => {
     call.on("error", () => {
       resolve();
--- a/packages/node/src/configuration/publish_failure.ts
+++ b/packages/node/src/configuration/publish_failure.ts
@@ -34,7 +34,7 @@
  * @param verdict Their verdict.
  * @returns The failure.
  */
-export function refusedByReaders(verdict: Refusal): PublishFailure {
+export function toPublishFailure(verdict: Refusal): PublishFailure {
   switch (verdict.kind) {
     case "conflict": {
       const { item, winner: offset, author, change } = verdict;
--- a/packages/node/src/configuration/record_ring.ts
+++ b/packages/node/src/configuration/record_ring.ts
@@ -8,9 +8,9 @@
 const MAXIMUM_CHARACTERS = 2 * 1_024 * 1_024;
 
 /** The latest records as they lie in the log, to be passed on; bounded. */
-export class RecordRing {
+export class RecordBuffer {
   #records: StoredRecord[] = [];
-  #start = logOffset(0);
+  #startOffset = logOffset(0);
   #characters = 0;
 
   /**
@@ -27,7 +27,7 @@
       const oldest = this.#records.shift();
       if (oldest === undefined) return;
       this.#characters -= oldest.data.length;
-      this.#start = logOffset(oldest.offset + 1);
+      this.#startOffset = logOffset(oldest.offset + 1);
     }
   }
 
@@ -35,10 +35,10 @@
    * Forgets all records.
    * @param start The lowest offset that may be asked for from now on.
    */
-  restart(start: LogOffset): void {
+  reset(start: LogOffset): void {
     this.#records = [];
     this.#characters = 0;
-    this.#start = start;
+    this.#startOffset = start;
   }
 
   /**
@@ -46,8 +46,8 @@
    * @param from The offset.
    * @returns The records, or nothing where some are no longer kept.
    */
-  from(from: LogOffset): readonly StoredRecord[] | undefined {
-    if (from < this.#start) return undefined;
+  readFrom(from: LogOffset): readonly StoredRecord[] | undefined {
+    if (from < this.#startOffset) return undefined;
     const index = this.#records.findLastIndex(({ offset }) => offset < from);
     return this.#records.slice(index + 1);
   }
--- a/packages/node/src/configuration/snapshot_writer.ts
+++ b/packages/node/src/configuration/snapshot_writer.ts
@@ -42,7 +42,7 @@
   #timer: NodeJS.Timeout | undefined;
   #lastManifest: SnapshotManifest | undefined;
   #lastSeenAt: Instant;
-  #writing = false;
+  #isWriting = false;
 
   /** @param parts What it works with. */
   constructor(parts: SnapshotWriterParts) {
@@ -71,12 +71,12 @@
       this.#lastManifest = reader.lastManifest;
       this.#lastSeenAt = clock.now();
     }
-    if (this.#writing || reader.halt !== undefined) return false;
+    if (this.#isWriting || reader.halt !== undefined) return false;
     if (!follower.caughtUp || reader.configuration.offset < 0) return false;
     if (!this.#isDue()) return false;
-    this.#writing = true;
+    this.#isWriting = true;
     const written = await this.#write();
-    this.#writing = false;
+    this.#isWriting = false;
     return written;
   }
 
@@ -109,7 +109,7 @@
     const offsets: LogOffset[] = [];
     for (const chunk of snapshotChunks(copy)) {
       const offset = await log.append(SNAPSHOT_STREAM, [packChunk(chunk)]);
-      if (offset.isErr()) return this.#giveUp(offset.error.message);
+      if (offset.isErr()) return this.#reportFailure(offset.error.message);
       offsets.push(offset.value);
     }
     const manifest = formatSnapshotManifest({
@@ -118,7 +118,7 @@
       chunks: offsets,
     });
     const appended = await log.append(CONFIGURATION_STREAM, [manifest]);
-    if (appended.isErr()) return this.#giveUp(appended.error.message);
+    if (appended.isErr()) return this.#reportFailure(appended.error.message);
     this.#lastSeenAt = clock.now();
     logger.info("A snapshot was written.", {
       covers,
@@ -128,7 +128,7 @@
   }
 
   /** What was appended does no harm; the next tick begins again. */
-  #giveUp(reason: string): boolean {
+  #reportFailure(reason: string): boolean {
     this.#parts.logger.warn("A snapshot was not written.", {
       peer: "log",
       reason,
--- a/packages/node/src/configuration/spread_service.ts
+++ b/packages/node/src/configuration/spread_service.ts
@@ -22,8 +22,8 @@
 import type { ConfigurationStore } from "./configuration_store.ts";
 import { packChunk } from "./snapshot_packing.ts";
 
-const ALIVE_MILLISECONDS = 300;
-const MESSAGE_CHARACTERS = 262_144;
+const ALIVE_INTERVAL_MILLISECONDS = 300;
+const MAXIMUM_BATCH_CHARACTERS = 262_144;
 
 type FollowCall = ServerWritableStream<FollowRequest, FollowAnswer>;
 
@@ -53,7 +53,7 @@
       definition: ConfigurationService,
       implementation: {
         follow: (call: FollowCall) => {
-          this.#open(call);
+          this.#openStream(call);
         },
         status: (
           _call: ServerUnaryCall<StatusRequest, StatusAnswer>,
@@ -70,15 +70,15 @@
     for (const stream of this.#streams) stream.end();
   }
 
-  #open(call: FollowCall): void {
+  #openStream(call: FollowCall): void {
     const stream = new FollowerStream(call, this.#store);
     this.#streams.add(stream);
     const stopAdvances = this.#store.onAdvance(() => {
-      stream.send();
+      stream.sendPending();
     });
     const alive = setInterval(() => {
       stream.sendAlive();
-    }, ALIVE_MILLISECONDS);
+    }, ALIVE_INTERVAL_MILLISECONDS);
     call.on("close", () => {
       clearInterval(alive);
       stopAdvances();
@@ -92,7 +92,7 @@
   readonly #call: FollowCall;
   readonly #store: ConfigurationStore;
   #next: LogOffset;
-  #sendingState = false;
+  #isSendingSnapshot = false;
 
   constructor(call: FollowCall, store: ConfigurationStore) {
     this.#call = call;
@@ -101,13 +101,13 @@
   }
 
   /** Sends what the follower does not have, unless it is slow to take it. */
-  send(): void {
+  sendPending(): void {
     const { nextOffset: next } = this.#store.reader;
-    if (this.#sendingState || this.#call.writableNeedDrain) return;
+    if (this.#isSendingSnapshot || this.#call.writableNeedDrain) return;
     if (this.#next >= next) return;
     const records = this.#store.recordsFrom(this.#next);
     if (records === undefined) {
-      void this.#sendState();
+      void this.#sendSnapshot();
       return;
     }
     this.#sendRecords(records);
@@ -116,7 +116,7 @@
 
   /** Sends a sign of life after all that is due. */
   sendAlive(): void {
-    this.send();
+    this.sendPending();
     const { nextOffset: next } = this.#store.reader;
     this.#write({
       $case: "alive",
@@ -132,7 +132,7 @@
   #sendRecords(records: readonly StoredRecord[]): void {
     const ageMilliseconds = this.#store.age();
     let from = this.#next;
-    for (const batch of batchesOf(records)) {
+    for (const batch of splitIntoBatches(records)) {
       const next = logOffset((batch.at(-1)?.offset ?? from) + 1);
       this.#write({
         $case: "records",
@@ -143,8 +143,8 @@
   }
 
   /** Sends a chunk a turn of the loop, so that nothing else waits long. */
-  async #sendState(): Promise<void> {
-    this.#sendingState = true;
+  async #sendSnapshot(): Promise<void> {
+    this.#isSendingSnapshot = true;
     const copy = copyForSnapshot(this.#store.reader.configuration);
     for (const chunk of snapshotChunks(copy)) {
       if (this.#call.writableEnded || this.#call.destroyed) return;
@@ -152,8 +152,8 @@
       await nextTurn();
     }
     this.#next = logOffset(copy.covers + 1);
-    this.#sendingState = false;
-    this.send();
+    this.#isSendingSnapshot = false;
+    this.sendPending();
   }
 
   #write(part: NonNullable<FollowAnswer["part"]>): void {
@@ -161,13 +161,13 @@
   }
 }
 
-function batchesOf(
+function splitIntoBatches(
   records: readonly StoredRecord[],
 ): readonly (readonly StoredRecord[])[] {
   const batches: StoredRecord[][] = [];
-  let characters = MESSAGE_CHARACTERS;
+  let characters = MAXIMUM_BATCH_CHARACTERS;
   for (const record of records) {
-    if (characters + record.data.length > MESSAGE_CHARACTERS) {
+    if (characters + record.data.length > MAXIMUM_BATCH_CHARACTERS) {
       batches.push([]);
       characters = 0;
     }
--- a/packages/node/src/crashes/crash_memory.ts
+++ b/packages/node/src/crashes/crash_memory.ts
@@ -20,7 +20,7 @@
 /** Between two tries at a log that fails, in milliseconds. */
 const RETRY_MILLISECONDS = 500;
 /** Records that wait to be appended at most; the oldest are left out. */
-const MOST_UNWRITTEN = 500;
+const MAXIMUM_UNWRITTEN_RECORDS = 500;
 
 /** What the memory of crashes works with. */
 export interface CrashMemoryParts {
@@ -37,8 +37,8 @@
   readonly #parts: CrashMemoryParts;
   readonly #quarantine = new RequestQuarantine();
   readonly #unwritten: CrashRecord[] = [];
-  #refused: ReadonlySet<ContentDigest> = new Set();
-  #next: LogOffset = logOffset(0);
+  #quarantinedContents: ReadonlySet<ContentDigest> = new Set();
+  #nextOffset: LogOffset = logOffset(0);
   #isWriting = false;
   #isStopped = false;
 
@@ -97,24 +97,26 @@
   }
 
   #add(record: CrashRecord): void {
-    this.#take(record);
-    if (this.#unwritten.length >= MOST_UNWRITTEN) this.#unwritten.shift();
+    this.#apply(record);
+    if (this.#unwritten.length >= MAXIMUM_UNWRITTEN_RECORDS) {
+      this.#unwritten.shift();
+    }
     this.#unwritten.push(record);
     if (!this.#isWriting) void this.#write();
   }
 
-  #take(record: CrashRecord): void {
+  #apply(record: CrashRecord): void {
     const now = this.#parts.clock.now();
     if (record.kind === "served") this.#quarantine.recordServed(record.content);
     else this.#quarantine.addSuspicion(now, record.suspicion);
     this.#quarantine.expire(now);
-    this.#noteRefused();
+    this.#logNewlyQuarantined();
   }
 
-  #noteRefused(): void {
+  #logNewlyQuarantined(): void {
     const { quarantinedContents: contents } = this.#quarantine;
     for (const content of contents) {
-      if (this.#refused.has(content)) continue;
+      if (this.#quarantinedContents.has(content)) continue;
       this.#parts.logger.warn(
         "Requests of a content that ends engines are refused.",
         {
@@ -122,7 +124,7 @@
         },
       );
     }
-    this.#refused = contents;
+    this.#quarantinedContents = contents;
   }
 
   async #write(): Promise<void> {
@@ -147,21 +149,21 @@
 
   async #readPage(): Promise<boolean> {
     const page = await this.#parts.log.read(CRASH_STREAM, {
-      from: this.#next,
+      from: this.#nextOffset,
       limit: PAGE_RECORDS,
       waitMilliseconds: LONG_POLL_MILLISECONDS,
     });
     if (page.isErr() || this.#isStopped) return this.#isStopped;
     const { records, firstKept } = page.value;
-    this.#next = logOffset(Math.max(this.#next, firstKept));
-    for (const record of records) this.#takeIn(record);
+    this.#nextOffset = logOffset(Math.max(this.#nextOffset, firstKept));
+    for (const record of records) this.#applyStored(record);
     return true;
   }
 
-  #takeIn({ offset, data }: LogRecord): void {
-    this.#next = logOffset(offset + 1);
+  #applyStored({ offset, data }: LogRecord): void {
+    this.#nextOffset = logOffset(offset + 1);
     const record = parseCrashRecord(data);
-    if (record.isOk()) this.#take(record.value);
+    if (record.isOk()) this.#apply(record.value);
     else {
       this.#parts.logger.warn("A record of crashes can't be read.", {
         offset,
--- a/packages/node/src/crashes/engine_suspects.ts
+++ b/packages/node/src/crashes/engine_suspects.ts
@@ -11,12 +11,12 @@
 import type { CrashMemory } from "./crash_memory.ts";
 
 /** An engine whose end is noticed later than this did not end with a stream. */
-const NOTICE_TIME = milliseconds(10_000);
+const MAXIMUM_DETECTION_DELAY = milliseconds(10_000);
 
 interface BrokenStream {
   readonly brokeAt: Instant;
   readonly content: ContentDigest;
-  readonly weight: Duration;
+  readonly runTime: Duration;
 }
 
 /**
@@ -50,7 +50,11 @@
   ): void {
     const weight = suspectRunTime(ranFor);
     if (weight === undefined) return;
-    this.#broken = [...this.#broken, { brokeAt: now, content, weight }];
+    this.#broken = [...this.#broken, {
+      brokeAt: now,
+      content,
+      runTime: weight,
+    }];
   }
 
   /**
@@ -59,7 +63,9 @@
    * @returns Whether streams broke off of which that is not known.
    */
   arePending(now: Instant): boolean {
-    return this.#broken.some((one) => elapsed(one.brokeAt, now) <= NOTICE_TIME);
+    return this.#broken.some((one) =>
+      elapsed(one.brokeAt, now) <= MAXIMUM_DETECTION_DELAY
+    );
   }
 
   /**
@@ -77,8 +83,8 @@
    */
   ended(now: Instant, bootId: string): void {
     const server = engineRun(this.#engine, bootId);
-    for (const { brokeAt, content, weight } of this.#broken) {
-      if (elapsed(brokeAt, now) > NOTICE_TIME) continue;
+    for (const { brokeAt, content, runTime: weight } of this.#broken) {
+      if (elapsed(brokeAt, now) > MAXIMUM_DETECTION_DELAY) continue;
       this.#memory.suspect({ server, content, ranFor: weight });
     }
     this.#broken = [];
--- a/packages/node/src/drain/drain.ts
+++ b/packages/node/src/drain/drain.ts
@@ -31,7 +31,7 @@
     this.#parts = parts;
     this.#stop = new PlannedStop(parts.terms);
     parts.work.onIdle(() => {
-      this.#act();
+      this.#advance();
     });
   }
 
@@ -54,30 +54,30 @@
     this.#finished ??= new Promise((resolve) => {
       this.#finish = resolve;
       this.#stop.begin(this.#parts.clock.now());
-      this.#act();
+      this.#advance();
     });
     return this.#finished;
   }
 
-  #act(): void {
+  #advance(): void {
     const now = this.#parts.clock.now();
     const orders = this.#stop.decide(now, this.#parts.work.count);
-    for (const order of orders) this.#carryOut(order);
+    for (const order of orders) this.#execute(order);
     clearTimeout(this.#timer);
     const wake = this.#stop.nextWake();
     if (wake === undefined) return;
     this.#timer = setTimeout(() => {
-      this.#act();
+      this.#advance();
     }, Math.max(1, Math.ceil(wake - now)));
   }
 
-  #carryOut(order: StopAction): void {
+  #execute(order: StopAction): void {
     switch (order.kind) {
       case "announce":
         void this.#announce();
         break;
       case "hand_over":
-        void this.#release();
+        void this.#releaseEngines();
         break;
       case "stop":
         this.#finish(order.cutOff);
@@ -90,16 +90,16 @@
     if (told.isErr()) {
       this.#warn("Some peers do not know of the stop.", told.error);
     } else this.#stop.announced(this.#parts.clock.now());
-    this.#act();
+    this.#advance();
   }
 
-  async #release(): Promise<void> {
+  async #releaseEngines(): Promise<void> {
     const released = await this.#parts.handOver.releaseEngines();
     if (released.isErr()) {
       this.#warn("Engines were not handed over.", released.error);
     }
     this.#stop.handedOver();
-    this.#act();
+    this.#advance();
   }
 
   #warn(
--- a/packages/node/src/drain/leaving_engines.ts
+++ b/packages/node/src/drain/leaving_engines.ts
@@ -34,14 +34,16 @@
   constructor(parts: LeavingEnginesParts) {
     this.#parts = parts;
     parts.directory.onChange(() => {
-      this.#release();
+      this.#releaseLeaving();
     });
   }
 
   /** Asks the engines controlled here, now and then until {@link stop}. */
   async run(): Promise<void> {
     while (!this.#isStopped) {
-      await Promise.all(this.#controlled().map((vm) => this.#ask(vm)));
+      await Promise.all(
+        this.#controlledVms().map((vm) => this.#pollEngine(vm)),
+      );
       await sleep(POLL_MILLISECONDS);
     }
   }
@@ -51,20 +53,20 @@
     this.#isStopped = true;
   }
 
-  async #ask(vm: VmOfRole<"engine">): Promise<void> {
+  async #pollEngine(vm: VmOfRole<"engine">): Promise<void> {
     const state = await this.#parts.engineClient(vm).readState();
     if (this.#isStopped || state.isErr() || !state.value.leaving) return;
     this.#parts.directory.markLeaving(vm.id);
   }
 
-  #controlled(): readonly VmOfRole<"engine">[] {
-    const held = this.#held();
+  #controlledVms(): readonly VmOfRole<"engine">[] {
+    const held = this.#controlledIds();
     return this.#parts.directory.live("engine")
       .filter((vm) => held.has(engineId(vm.id)));
   }
 
-  #release(): void {
-    const held = this.#held();
+  #releaseLeaving(): void {
+    const held = this.#controlledIds();
     for (const vm of this.#parts.directory.vms) {
       const engine = engineId(vm.id);
       if (vm.state !== "leaving" || !held.has(engine)) continue;
@@ -73,7 +75,7 @@
     }
   }
 
-  #held(): ReadonlySet<EngineId> {
+  #controlledIds(): ReadonlySet<EngineId> {
     const engines = [...this.#parts.engines.controllers];
     return new Set(engines.map(({ engine }) => engine));
   }
