--- a/packages/node/src/cluster/cluster_envelope.ts
+++ b/packages/node/src/cluster/cluster_envelope.ts
@@ -19,7 +19,7 @@
 } from "@foxtailwind/protocol";
 
 /**
- * Puts a message into its form on the wire.
+ * Converts a message to its wire format.
  * @param message The message.
  * @returns The envelope.
  */
@@ -45,7 +45,7 @@
             from: toRun(message.from),
             number: message.number,
             durationMilliseconds: message.duration,
-            engines: message.engines.map((one) => ({ ...one })),
+            engines: message.engines.map((engine) => ({ ...engine })),
           },
         },
       };
@@ -65,9 +65,9 @@
 }
 
 /**
- * Reads a message from its form on the wire.
+ * Parses a message from its wire format.
  * @param envelope The envelope.
- * @returns The message, or nothing where a newer node sent an unknown one.
+ * @returns The message, or `undefined` if a newer node sent an unknown kind.
  */
 export function fromEnvelope(
   envelope: ClusterEnvelope,
--- a/packages/node/src/cluster/cluster_hand_over.ts
+++ b/packages/node/src/cluster/cluster_hand_over.ts
@@ -7,19 +7,19 @@
 const POLL_MILLISECONDS = 50;
 const MAXIMUM_WAIT_MILLISECONDS = 10_000;
 
-/** Hands a leaving node's engines over to the other nodes. */
+/** Hands the engines of a leaving node over to other nodes. */
 export class ClusterHandOver extends HandOver {
   readonly #cluster: ClusterNode;
 
-  /** @param cluster This node's part in the cluster. */
+  /** @param cluster This node's membership and ownership. */
   constructor(cluster: ClusterNode) {
     super();
     this.#cluster = cluster;
   }
 
   override async announceLeaving(): Promise<Result<void, Failure>> {
-    const allTold = await this.#cluster.leave();
-    if (allTold) return ok(undefined);
+    const isAnnouncedToAll = await this.#cluster.leave();
+    if (isAnnouncedToAll) return ok(undefined);
     return err(failure("unavailable", "Some heartbeat peers do not answer."));
   }
 
--- a/packages/node/src/cluster/cluster_node.ts
+++ b/packages/node/src/cluster/cluster_node.ts
@@ -34,7 +34,7 @@
 
 const TICK_MILLISECONDS = 50;
 
-/** What a cluster node works with. */
+/** The dependencies of {@link ClusterNode}. */
 export interface ClusterNodeParts {
   readonly node: Settings["node"];
   readonly clock: SteadyClock;
@@ -44,7 +44,7 @@
   readonly logger: PartLogger;
 }
 
-/** Runs this node's part in membership and ownership. */
+/** Runs the membership and ownership protocols of this node. */
 export class ClusterNode extends ClusterView {
   readonly #parts: ClusterNodeParts;
   readonly #listeners: (() => void)[] = [];
@@ -60,7 +60,7 @@
     return this.#joined?.agent.live ?? [];
   }
 
-  /** The engines that this node controls, or is about to. */
+  /** The engines that this node controls or is about to control. */
   get controlled(): readonly EngineId[] {
     return this.#joined?.agent.controlled ?? [];
   }
@@ -89,7 +89,7 @@
 
   /**
    * Joins the cluster.
-   * @param address Where this node's gRPC server listens.
+   * @param address The address at which this node's gRPC server listens.
    */
   start(address: string): void {
     const agent = this.#makeAgent(address);
@@ -110,24 +110,24 @@
     void reader.run();
   }
 
-  /** Takes no further part. */
+  /** Stops taking part in the cluster. */
   stop(): void {
     clearInterval(this.#joined?.timer);
     this.#joined?.reader.stop();
   }
 
   /**
-   * Says that this node leaves, and lets it hand its engines over.
-   * @returns Whether all heartbeat peers were told at once.
+   * Announces that this node is leaving and starts handing its engines over.
+   * @returns Whether all heartbeat peers confirmed the first announcement.
    */
   async leave(): Promise<boolean> {
     this.#joined?.agent.leave();
-    const told = await Promise.all(this.#tick());
-    return told.every(Boolean);
+    const confirmations = await Promise.all(this.#tick());
+    return confirmations.every(Boolean);
   }
 
   /**
-   * Takes in another node's message.
+   * Handles a message of another node.
    * @param message The message.
    */
   receive(message: ClusterMessage): void {
@@ -180,7 +180,11 @@
     const result = await log.append(MEMBERSHIP_STREAM, [text]);
     if (result.isOk()) return;
     const { outcome, reason, peer, step } = result.error;
-    logger.warn("A record was not appended.", { peer, step, reason });
+    logger.warn("Appending a membership record failed.", {
+      peer,
+      step,
+      reason,
+    });
     if (outcome === "not_run") agent.appendRejected(record.id);
   }
 
@@ -201,9 +205,9 @@
   }
 
   #notifyChange(): void {
-    const known = this.#describeView();
-    if (known === this.#lastDescription) return;
-    this.#lastDescription = known;
+    const description = this.#describeView();
+    if (description === this.#lastDescription) return;
+    this.#lastDescription = description;
     for (const listener of this.#listeners) listener();
   }
 
--- a/packages/node/src/cluster/cluster_peer_views.ts
+++ b/packages/node/src/cluster/cluster_peer_views.ts
@@ -2,19 +2,19 @@
 import { PeerViews } from "../routing/mod.ts";
 import type { ClusterView } from "./cluster_view.ts";
 
-/** Leaves out nodes that are suspected or have said that they leave. */
+/** Treats nodes that are suspected or have announced a stop as leaving. */
 export class ClusterPeerViews extends PeerViews {
   readonly #cluster: ClusterView;
   readonly #ownViews: PeerViews;
 
   /**
-   * @param cluster Who lives.
-   * @param own What this node knows of itself.
+   * @param cluster The membership view.
+   * @param ownViews The view without membership, for loads and leaving nodes.
    */
-  constructor(cluster: ClusterView, own: PeerViews) {
+  constructor(cluster: ClusterView, ownViews: PeerViews) {
     super();
     this.#cluster = cluster;
-    this.#ownViews = own;
+    this.#ownViews = ownViews;
   }
 
   override isLeaving(node: NodeId): boolean {
--- a/packages/node/src/cluster/cluster_serving.ts
+++ b/packages/node/src/cluster/cluster_serving.ts
@@ -10,11 +10,11 @@
 import { OrderRight } from "../serving/order_right.ts";
 import type { ClusterView } from "./cluster_view.ts";
 
-/** The right to order, as the cluster's rules give it. */
+/** Authorizes orders to engines according to the cluster's ownership rules. */
 export class ClusterOrderRight extends OrderRight {
   readonly #cluster: ClusterView;
 
-  /** @param cluster Decides. */
+  /** @param cluster The cluster view, which decides. */
   constructor(cluster: ClusterView) {
     super();
     this.#cluster = cluster;
@@ -28,11 +28,11 @@
   }
 }
 
-/** The engines' controllers, as the cluster's log names them. */
+/** Finds the controllers of engines from the cluster's log. */
 export class ClusterAssignment extends EngineAssignment {
   readonly #cluster: ClusterView;
 
-  /** @param cluster Knows the controllers. */
+  /** @param cluster The cluster view, which knows the controllers. */
   constructor(cluster: ClusterView) {
     super();
     this.#cluster = cluster;
--- a/packages/node/src/cluster/cluster_transport.ts
+++ b/packages/node/src/cluster/cluster_transport.ts
@@ -17,7 +17,7 @@
 
 const SEND_TIMEOUT_MILLISECONDS = 500;
 
-/** Delivers messages between nodes; a lost one is not sent again. */
+/** Sends messages between nodes; a lost message is not sent again. */
 export class ClusterTransport {
   readonly #channels: PeerChannels;
   readonly #clients = new Map<string, ClusterClient>();
@@ -28,8 +28,8 @@
 
   /**
    * Sends a message.
-   * @param outgoing The message and where it goes.
-   * @returns Whether the peer has confirmed that it came.
+   * @param outgoing The message and its destination.
+   * @returns Whether the peer has confirmed that it received the message.
    */
   send(outgoing: OutgoingMessage): Promise<boolean> {
     const client = this.#client(outgoing.to.address);
@@ -62,9 +62,9 @@
 }
 
 /**
- * Receives the messages of the other nodes.
+ * Creates the service that receives messages of other nodes.
  * @param receive Called with each message.
- * @returns The service, to register.
+ * @returns The gRPC service to register.
  */
 export function clusterService(
   receive: (message: ClusterMessage) => void,
@@ -74,11 +74,11 @@
     implementation: {
       deliver(
         call: ServerUnaryCall<ClusterEnvelope, Delivered>,
-        answer: sendUnaryData<Delivered>,
+        callback: sendUnaryData<Delivered>,
       ) {
         const message = fromEnvelope(call.request);
         if (message !== undefined) receive(message);
-        answer(null, {});
+        callback(null, {});
       },
     },
   };
--- a/packages/node/src/cluster/cluster_view.ts
+++ b/packages/node/src/cluster/cluster_view.ts
@@ -8,16 +8,16 @@
 } from "@foxtailwind/core";
 import type { Result } from "neverthrow";
 
-/** What a node knows of its cluster: who lives, who controls what. */
+/** A node's view of its cluster: live members and controllers of engines. */
 export abstract class ClusterView {
-  /** The members that neither leave nor are suspected. */
+  /** The members that are neither leaving nor suspected. */
   abstract readonly live: readonly Member[];
 
   /**
-   * Finds the node that controls an engine. This node counts only once the
-   * waits after a takeover are over.
+   * Finds the node that controls an engine. This node is returned only once the
+   * waits after a takeover have ended.
    * @param engine The engine.
-   * @returns The node, or nothing where none controls the engine now.
+   * @returns The node, or `undefined` if no node controls the engine now.
    */
   abstract controllerOf(engine: EngineId): NodeId | undefined;
 
@@ -25,7 +25,7 @@
    * Decides whether this node may give an engine a destructive order.
    * @param engine The engine.
    * @param now The present time.
-   * @returns The order's fencing number, or why none may be given.
+   * @returns The order's fencing number, or why the order is not allowed.
    */
   abstract current(
     engine: EngineId,
@@ -33,8 +33,8 @@
   ): Result<FencingNumber, Failure>;
 
   /**
-   * Calls back after each change of members or controllers.
-   * @param listener Called without arguments.
+   * Registers a listener for changes of members or controllers.
+   * @param listener Called after each change.
    */
   abstract onChange(listener: () => void): void;
 }
--- a/packages/node/src/cluster/membership_log_reader.ts
+++ b/packages/node/src/cluster/membership_log_reader.ts
@@ -9,22 +9,22 @@
 import type { PartLogger } from "../logging/part_logger.ts";
 
 const PAGE_RECORDS = 1_000;
-/** Well below the lease, which each read at the tail renews. */
+/** Well below the lease, which each read that reaches the tail renews. */
 const LONG_POLL_MILLISECONDS = 300;
 const RETRY_MILLISECONDS = 100;
 
-/** What a reader works with. */
+/** The dependencies of {@link MembershipLogReader}. */
 export interface MembershipLogReaderParts {
   readonly log: LogClient;
   readonly clock: SteadyClock;
   readonly logger: PartLogger;
-  /** The first offset that is wanted. */
+  /** Returns the offset of the next record to read. */
   readonly nextOffset: () => LogOffset;
-  /** Takes in each page. */
+  /** Receives each page. */
   readonly onPage: (page: ClusterLogPage) => void;
 }
 
-/** Follows the log's membership stream. */
+/** Reads the log's membership stream continuously. */
 export class MembershipLogReader {
   readonly #parts: MembershipLogReaderParts;
   #stopped = false;
@@ -37,21 +37,21 @@
   /** Reads until {@link stop}. */
   async run(): Promise<void> {
     while (!this.#stopped) {
-      const answered = await this.#readOnce();
-      if (!answered) await sleep(RETRY_MILLISECONDS);
+      const isAvailable = await this.#readOnce();
+      if (!isAvailable) await sleep(RETRY_MILLISECONDS);
     }
   }
 
-  /** Ends {@link run} after the read in progress. */
+  /** Stops {@link run} after the read in progress. */
   stop(): void {
     this.#stopped = true;
   }
 
   async #readOnce(): Promise<boolean> {
-    const { log, clock, nextOffset: next, onPage } = this.#parts;
+    const { log, clock, nextOffset, onPage } = this.#parts;
     const startedAt = clock.now();
     const page = await log.read(MEMBERSHIP_STREAM, {
-      from: next(),
+      from: nextOffset(),
       limit: PAGE_RECORDS,
       waitMilliseconds: LONG_POLL_MILLISECONDS,
     });
@@ -65,11 +65,11 @@
     return true;
   }
 
-  #logAvailability(answered: boolean, reason: string): void {
-    if (answered === this.#isLogAvailable) return;
-    this.#isLogAvailable = answered;
+  #logAvailability(isAvailable: boolean, reason: string): void {
+    if (isAvailable === this.#isLogAvailable) return;
+    this.#isLogAvailable = isAvailable;
     const { logger } = this.#parts;
-    if (answered) logger.info("The log answers again.");
-    else logger.warn("The log does not answer.", { peer: "log", reason });
+    if (isAvailable) logger.info("The log is available again.");
+    else logger.warn("The log is unavailable.", { peer: "log", reason });
   }
 }
--- a/packages/node/src/cluster/mod.ts
+++ b/packages/node/src/cluster/mod.ts
@@ -1,5 +1,5 @@
 /**
- * This node's part in membership and ownership.
+ * Membership and ownership of this node in the cluster.
  * @module
  */
 export * from "./cluster_hand_over.ts";
--- a/packages/node/src/configuration/cluster_status.ts
+++ b/packages/node/src/configuration/cluster_status.ts
@@ -6,13 +6,13 @@
 const STATUS_TIMEOUT_MILLISECONDS = 1_000;
 const MAXIMUM_CONCURRENT_REQUESTS = 64;
 
-/** What one node has in force, or that it did not answer. */
+/** The configuration status of one node, or that it did not answer. */
 export type NodeStatus =
   | { readonly kind: "answered"; readonly status: StatusAnswer }
   | { readonly kind: "unreachable"; readonly node: string };
 
 /**
- * Asks nodes what they have in force.
+ * Reads the configuration status of nodes.
  * @param nodes The nodes.
  * @param channels The connections to peers.
  * @returns One entry for each node, in the same order.
@@ -21,14 +21,14 @@
   nodes: readonly Vm[],
   channels: PeerChannels,
 ): Promise<readonly NodeStatus[]> {
-  const found: NodeStatus[] = [];
+  const statuses: NodeStatus[] = [];
   for (let from = 0; from < nodes.length; from += MAXIMUM_CONCURRENT_REQUESTS) {
-    const some = nodes.slice(from, from + MAXIMUM_CONCURRENT_REQUESTS);
-    found.push(
-      ...await Promise.all(some.map((node) => readNodeStatus(node, channels))),
+    const batch = nodes.slice(from, from + MAXIMUM_CONCURRENT_REQUESTS);
+    statuses.push(
+      ...await Promise.all(batch.map((node) => readNodeStatus(node, channels))),
     );
   }
-  return found;
+  return statuses;
 }
 
 function readNodeStatus(node: Vm, channels: PeerChannels): Promise<NodeStatus> {
--- a/packages/node/src/configuration/configuration_follower.ts
+++ b/packages/node/src/configuration/configuration_follower.ts
@@ -27,11 +27,11 @@
 const LOG_READ_GRACE_MILLISECONDS = 1_000;
 const MINIMUM_FOLLOW_DURATION = milliseconds(1_000);
 const PARENT_RETRY_DELAY = milliseconds(2_000);
-/** Beyond this, a peer's records are not trusted to be the latest. */
+/** A peer's records that are older than this may not be the latest. */
 const MAXIMUM_PEER_DATA_AGE = milliseconds(3_000);
 const LOG_NAME = "log";
 
-/** What a follower works with. */
+/** The dependencies of {@link ConfigurationFollower}. */
 export interface FollowerParts {
   readonly self: DistributionNode;
   readonly log: LogClient;
@@ -42,9 +42,9 @@
 }
 
 /**
- * Keeps the configuration in force: from the peer that the spread tree names,
- * from the log where this node reads it for its failure domain or no peer has
- * the latest, and from any peer while the log does not answer.
+ * Keeps the configuration of this node up to date. It follows its parent in the
+ * distribution tree. It reads the log if it does so for its failure domain or no
+ * peer has the latest records, and follows any peer while the log is down.
  */
 export class ConfigurationFollower {
   readonly store: ConfigurationStore;
@@ -57,7 +57,7 @@
   #logRead: Promise<boolean> | undefined;
   #stopped = false;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: FollowerParts) {
     const { clock, logger } = parts;
     this.#parts = parts;
@@ -74,22 +74,22 @@
     return this.store.reader.configuration;
   }
 
-  /** How many records could not be read. */
+  /** The number of records that could not be parsed. */
   get corruptRecords(): number {
     return this.store.reader.corruptRecords;
   }
 
-  /** Whether the log's tail was reached once, here or at a peer. */
+  /** Whether the log's tail was reached at least once, here or by a peer. */
   get caughtUp(): boolean {
     return this.store.caughtUp;
   }
 
-  /** Where records come from at present: `log`, or a peer's id. */
+  /** The current source of records: `log`, or a peer's id. */
   get source(): string {
     return this.#source;
   }
 
-  /** Tells peers and operators what is in force here. */
+  /** Returns the configuration status for peers and operators. */
   status(): StatusAnswer {
     const { reader } = this.store;
     const { halt } = reader;
@@ -108,24 +108,24 @@
     };
   }
 
-  /** Follows until {@link stop}. */
+  /** Follows the configuration until {@link stop}. */
   async run(): Promise<void> {
     while (!this.#stopped) {
       if (this.store.reader.halt !== undefined) {
-        // Whoever passed the record on, the log has it, and nobody is followed.
+        // The record is in the log, whichever peer sent it. No peer is followed.
         this.#source = LOG_NAME;
         await sleep(HALTED_POLL_MILLISECONDS, undefined, { ref: false });
         continue;
       }
-      const place = this.#currentPosition();
-      const peer = this.#choosePeer(place);
+      const position = this.#currentPosition();
+      const peer = this.#choosePeer(position);
       if (peer === undefined) await this.#readLog();
-      else await this.#followPeer(peer, place);
+      else await this.#followPeer(peer, position);
     }
   }
 
   /**
-   * Reads the log once, besides what {@link run} does.
+   * Reads the log once, independently of {@link run}.
    * @param waitMilliseconds How long to wait at the tail.
    * @returns Whether the log answered.
    */
@@ -133,7 +133,7 @@
     return this.logSource.readOnce(waitMilliseconds);
   }
 
-  /** Ends {@link run} after the read in progress. */
+  /** Stops {@link run} after the read in progress. */
   stop(): void {
     this.#stopped = true;
     this.#peerSource.stop();
@@ -149,16 +149,16 @@
     return distributionPosition(this.#parts.self, nodes);
   }
 
-  #choosePeer(place: DistributionPosition): string | undefined {
-    if (this.#logFailures > 0) return this.#peerDuringOutage(place);
-    const paused = this.#parts.clock.now() < this.#parentPausedUntil;
-    return paused ? undefined : place.parent;
+  #choosePeer(position: DistributionPosition): string | undefined {
+    if (this.#logFailures > 0) return this.#peerDuringOutage(position);
+    const isParentPaused = this.#parts.clock.now() < this.#parentPausedUntil;
+    return isParentPaused ? undefined : position.parent;
   }
 
-  #peerDuringOutage(place: DistributionPosition): string | undefined {
-    const peers = place.parent === undefined
-      ? place.fallbackPeers
-      : [place.parent, ...place.fallbackPeers];
+  #peerDuringOutage(position: DistributionPosition): string | undefined {
+    const peers = position.parent === undefined
+      ? position.fallbackPeers
+      : [position.parent, ...position.fallbackPeers];
     return peers[(this.#logFailures - 1) % Math.max(1, peers.length)];
   }
 
@@ -185,28 +185,34 @@
     return answered;
   }
 
-  async #followPeer(peer: string, place: DistributionPosition): Promise<void> {
+  async #followPeer(
+    peer: string,
+    position: DistributionPosition,
+  ): Promise<void> {
     const address = this.#parts.directory.live("entry")
       .find((vm) => vm.id === peer)?.peerAddress;
     if (address !== undefined) {
       this.#source = peer;
       await this.#peerSource.follow(
         address,
-        (since) => this.#shouldKeepFollowing(since, place),
+        (since) => this.#shouldKeepFollowing(since, position),
       );
     }
     await this.#handleFollowEnd();
   }
 
-  #shouldKeepFollowing(since: Instant, place: DistributionPosition): boolean {
+  #shouldKeepFollowing(
+    since: Instant,
+    position: DistributionPosition,
+  ): boolean {
     const { clock } = this.#parts;
     if (elapsed(since, clock.now()) < MINIMUM_FOLLOW_DURATION) return true;
     if (this.store.age() > MAXIMUM_PEER_DATA_AGE) return false;
     const current = this.#currentPosition();
-    return !current.readsLog && current.parent === place.parent;
+    return !current.readsLog && current.parent === position.parent;
   }
 
-  /** The log is asked next; the parent again after a while. */
+  /** Lets the log be read next, and the parent be followed after a delay. */
   async #handleFollowEnd(): Promise<void> {
     this.#parentPausedUntil = later(
       this.#parts.clock.now(),
--- a/packages/node/src/configuration/configuration_publisher.ts
+++ b/packages/node/src/configuration/configuration_publisher.ts
@@ -26,36 +26,36 @@
 const PUBLISH_TIMEOUT = milliseconds(4_000);
 const RETRY_MILLISECONDS = 100;
 
-/** What a publisher works with. */
+/** The dependencies of {@link ConfigurationPublisher}. */
 export interface PublisherParts {
   readonly log: LogClient;
   readonly follower: ConfigurationFollower;
   readonly clock: SteadyClock;
 }
 
-/** Appends operators' changes and reads back what became of them. */
+/** Appends operators' changes and reads their verdicts back. */
 export class ConfigurationPublisher {
   readonly #parts: PublisherParts;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: PublisherParts) {
     this.#parts = parts;
   }
 
   /**
-   * Publishes a record. The same id may be published again at any time: it
-   * gives what became of the first, and changes nothing more.
+   * Publishes a record. Publishing the same id again at any time returns the
+   * result of the first publication and changes nothing more.
    * @param record The record.
-   * @returns Where it was accepted, or why it was not, or that this is not
-   * known yet.
+   * @returns The offset at which it was accepted, or why it was refused, or that
+   * its result is not known yet.
    */
   async publish(
     record: ConfigurationRecord,
   ): Promise<Result<AcceptedChange, PublishFailure>> {
     const known = this.#find(record);
     if (known !== undefined) return toPublishResult(known, true);
-    const refusal = this.#validate(record);
-    if (refusal !== undefined) return err(refusal);
+    const failure = this.#validate(record);
+    if (failure !== undefined) return err(failure);
     const until = later(this.#parts.clock.now(), PUBLISH_TIMEOUT);
     const appended = await this.#append(record, until);
     if (appended.isErr()) return err(appended.error);
@@ -100,11 +100,11 @@
   #isMissing(change: ConfigurationChange): boolean {
     if (!change.kind.startsWith("remove_")) return false;
     const { configuration } = this.#parts.follower;
-    const made = configuration.stateAsChange(itemKeyOf(change));
-    return made.kind.startsWith("remove_");
+    const current = configuration.stateAsChange(itemKeyOf(change));
+    return current.kind.startsWith("remove_");
   }
 
-  /** Appending the same id again is safe, so a lost answer is asked again. */
+  /** Retries if an answer is lost; appending the same id again is safe. */
   async #append(
     record: ConfigurationRecord,
     until: number,
--- a/packages/node/src/configuration/configuration_store.ts
+++ b/packages/node/src/configuration/configuration_store.ts
@@ -12,17 +12,17 @@
 } from "@foxtailwind/core";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { PartLogger } from "../logging/part_logger.ts";
-import { RecordBuffer } from "./record_ring.ts";
+import { RecordBuffer } from "./record_buffer.ts";
 
-/** All records of the log from one offset to another. */
+/** A contiguous range of log records. */
 export interface RecordRange {
   readonly from: LogOffset;
   readonly records: readonly StoredRecord[];
-  /** How long ago the range was known to reach the log's tail. */
+  /** How long ago the range reached the log's tail, if it is known to have. */
   readonly age: Duration | undefined;
 }
 
-/** The configuration of this node, and the latest records to pass on. */
+/** Keeps this node's configuration and the latest records for followers. */
 export class ConfigurationStore {
   readonly reader = new ConfigurationReader();
   readonly #recentRecords = new RecordBuffer();
@@ -36,14 +36,15 @@
     this.#logger = logger;
   }
 
-  /** Whether the log's tail was reached once, here or at a peer. */
+  /** Whether the log's tail was reached at least once, here or by a peer. */
   get caughtUp(): boolean {
     return this.#confirmedAt !== undefined;
   }
 
   /**
-   * Measures how long ago all accepted changes were known to be read.
-   * @returns The time, infinite where that was never so.
+   * Returns how long ago this node was last known to have read all accepted
+   * changes.
+   * @returns The time; infinite if that was never known.
    */
   age(): Duration {
     if (this.#confirmedAt === undefined) {
@@ -55,7 +56,7 @@
   /**
    * Reads a range of records.
    * @param range The range.
-   * @returns Whether it joins what was read before.
+   * @returns Whether the range is contiguous with the records read before.
    */
   take(range: RecordRange): boolean {
     if (!this.reader.isContiguous(range.from)) return false;
@@ -67,22 +68,22 @@
   }
 
   /**
-   * Takes over a configuration that covers more than is read here.
+   * Adopts a configuration if it covers more than was read here.
    * @param configuration The configuration.
    */
   adopt(configuration: Configuration): void {
     if (configuration.offset <= this.reader.configuration.offset) return;
     this.reader.adopt(configuration);
     this.#recentRecords.reset(this.reader.nextOffset);
-    this.#logger.info("A snapshot was taken over.", {
+    this.#logger.info("A configuration snapshot was adopted.", {
       offset: configuration.offset,
     });
     this.#notifyListeners();
   }
 
   /**
-   * Notes that what is read here reached the log's tail.
-   * @param age How long ago; nothing where it did not.
+   * Records that the records read here reached the log's tail.
+   * @param age How long ago; `undefined` if they did not.
    */
   confirm(age: Duration | undefined): void {
     if (age === undefined || this.reader.halt !== undefined) return;
@@ -94,18 +95,18 @@
   }
 
   /**
-   * Reads records to pass on.
-   * @param from The lowest offset wanted.
-   * @returns The records, or nothing where only the whole state will do.
+   * Reads records for a follower.
+   * @param from The first offset to return.
+   * @returns The records, or `undefined` if the follower needs a snapshot.
    */
   recordsFrom(from: LogOffset): readonly StoredRecord[] | undefined {
     return this.#recentRecords.readFrom(from);
   }
 
   /**
-   * Calls back after each advance.
-   * @param listener What to call.
-   * @returns Ends the calls.
+   * Registers a listener for advances of the configuration.
+   * @param listener Called after each advance.
+   * @returns Removes the listener.
    */
   onAdvance(listener: () => void): () => void {
     this.#listeners.add(listener);
@@ -128,17 +129,23 @@
   ): void {
     if (reading.kind === "corrupt") {
       const reason = reading.message;
-      this.#logger.error("A record was passed over.", { offset, reason });
+      this.#logger.error("A configuration record was skipped as corrupt.", {
+        offset,
+        reason,
+      });
     }
     if (reading.kind === "manifest" && reading.matches === false) {
-      this.#logger.error("A snapshot differs from what was read here.", {
+      this.#logger.error("A snapshot does not match the records read here.", {
         offset,
       });
     }
     if (reading.kind === "halted" && !wasHalted) {
-      this.#logger.error("A record needs a newer release of the daemon.", {
-        offset,
-      });
+      this.#logger.error(
+        "A configuration record needs a newer release of the daemon.",
+        {
+          offset,
+        },
+      );
     }
   }
 
--- a/packages/node/src/configuration/log_source.ts
+++ b/packages/node/src/configuration/log_source.ts
@@ -33,45 +33,49 @@
     this.#logger = parts.logger;
   }
 
-  /** The oldest record that the log keeps, as of the last read here. */
+  /** The oldest offset that the log retains, as of the last read here. */
   get firstKept(): LogOffset {
     return this.#firstKept;
   }
 
   /**
-   * Reads one page, from a snapshot first where retention passed the records.
+   * Reads one page, or restores a snapshot if the log no longer retains the next
+   * records.
    * @param waitMilliseconds How long to wait at the tail.
-   * @returns Whether the log answered and its answer could be used.
+   * @returns Whether the log answered and its answer was usable.
    */
   async readOnce(waitMilliseconds: number): Promise<boolean> {
     const from = this.#store.reader.nextOffset;
     const page = await this.#readPage(from, waitMilliseconds);
     if (page === undefined) return false;
     this.#firstKept = page.firstKept;
-    const joins = page.firstKept <= from;
+    const isContiguous = page.firstKept <= from;
     const reachesTail = lastOffset(page, from) + 1 >= page.tail;
-    const taken = joins && this.#store.take({
+    const wasRead = isContiguous && this.#store.take({
       from,
       records: page.records,
       age: reachesTail ? milliseconds(0) : undefined,
     });
-    return taken || await this.#restoreFromSnapshot(page.firstKept);
+    return wasRead || await this.#restoreFromSnapshot(page.firstKept);
   }
 
   async #restoreFromSnapshot(firstKept: LogOffset): Promise<boolean> {
-    const kept = await this.#readRetained(firstKept);
-    for (const manifest of findManifests(kept).reverse()) {
+    const retained = await this.#readRetained(firstKept);
+    for (const manifest of findManifests(retained).reverse()) {
       if (manifest.covers + 1 < firstKept) continue;
       const configuration = await this.#readSnapshot(manifest);
       if (configuration === undefined) continue;
       this.#store.adopt(configuration);
       return true;
     }
-    this.#logger.error("The log holds neither all records nor a snapshot.", {
-      peer: "log",
-      step: "read_log",
-      offset: firstKept,
-    });
+    this.#logger.error(
+      "The log has neither all records nor a usable snapshot.",
+      {
+        peer: "log",
+        step: "read_log",
+        offset: firstKept,
+      },
+    );
     return false;
   }
 
@@ -115,7 +119,7 @@
       waitMilliseconds,
     });
     if (page.isOk()) return page.value;
-    this.#logger.warn("The log did not answer.", {
+    this.#logger.warn("Reading the configuration from the log failed.", {
       peer: page.error.peer,
       step: page.error.step,
     });
@@ -129,7 +133,7 @@
 
 function findManifests(records: readonly StoredRecord[]): SnapshotManifest[] {
   return records.flatMap(({ data }) => {
-    const text = parseConfigurationRecord(data);
-    return text.kind === "manifest" ? [text.manifest] : [];
+    const record = parseConfigurationRecord(data);
+    return record.kind === "manifest" ? [record.manifest] : [];
   });
 }
--- a/packages/node/src/configuration/peer_source.ts
+++ b/packages/node/src/configuration/peer_source.ts
@@ -15,7 +15,7 @@
 const CHECK_MILLISECONDS = 250;
 const SILENCE_LIMIT = milliseconds(1_500);
 
-/** Takes records and, where they are gone, the state from other nodes. */
+/** Receives records, or a snapshot if those are gone, from other nodes. */
 export class PeerSource {
   readonly #channels: PeerChannels;
   readonly #store: ConfigurationStore;
@@ -32,13 +32,14 @@
   }
 
   /**
-   * Follows a peer until it ends, falls silent, or is not to be followed on.
-   * @param address The peer's address for gRPC.
-   * @param stays Tells now and then whether to follow on.
+   * Follows a peer until the stream ends, nothing arrives for too long, or the
+   * peer shall no longer be followed.
+   * @param address The peer's gRPC address.
+   * @param shouldContinue Checked periodically: whether to keep following.
    */
   async follow(
     address: string,
-    stays: (since: Instant) => boolean,
+    shouldContinue: (since: Instant) => boolean,
   ): Promise<void> {
     const client = new ConfigurationClient(
       address,
@@ -48,21 +49,22 @@
     const call = client.follow({ from: this.#store.reader.nextOffset });
     this.#call = call;
     const since = this.#clock.now();
-    let heardAt = since;
+    let lastReceivedAt = since;
     const receiver = new AnswerReceiver(this.#store);
     call.on("data", (answer: FollowAnswer) => {
-      heardAt = this.#clock.now();
+      lastReceivedAt = this.#clock.now();
       if (!receiver.receive(answer)) call.cancel();
     });
     const check = setInterval(() => {
-      const silent = elapsed(heardAt, this.#clock.now()) > SILENCE_LIMIT;
-      if (silent || !stays(since)) call.cancel();
+      const isSilent =
+        elapsed(lastReceivedAt, this.#clock.now()) > SILENCE_LIMIT;
+      if (isSilent || !shouldContinue(since)) call.cancel();
     }, CHECK_MILLISECONDS);
     await waitForEnd(call);
     clearInterval(check);
   }
 
-  /** Ends the following in progress. */
+  /** Stops following the current peer. */
   stop(): void {
     this.#call?.cancel();
   }
@@ -79,6 +81,7 @@
   });
 }
 
+/** Applies the parts of a peer's answer to the store. */
 class AnswerReceiver {
   readonly #store: ConfigurationStore;
   #restorer: SnapshotRestorer | undefined;
@@ -87,7 +90,7 @@
     this.#store = store;
   }
 
-  /** Takes one part; answers whether the rest is wanted. */
+  /** Handles one part and returns whether to keep receiving. */
   receive({ part }: FollowAnswer): boolean {
     switch (part?.$case) {
       case "records":
--- a/packages/node/src/configuration/publish_failure.ts
+++ b/packages/node/src/configuration/publish_failure.ts
@@ -5,15 +5,15 @@
   LogOffset,
 } from "@foxtailwind/core";
 
-/** A change that was accepted. */
+/** An accepted change. */
 export interface AcceptedChange {
   readonly id: ChangeId;
   readonly offset: LogOffset;
-  /** Whether the id had been read before. */
+  /** Whether a change with the same id had been read before. */
   readonly repeated: boolean;
 }
 
-/** Who came first. */
+/** The earlier change that a conflicting change lost to. */
 export interface Winner {
   readonly item: string;
   readonly offset: LogOffset;
@@ -21,20 +21,20 @@
   readonly change: ChangeId;
 }
 
-/** Why a change was not accepted, and what the operator can do. */
+/** Why a change was not accepted and what the operator can do about it. */
 export interface PublishFailure extends Failure {
   readonly remedy: string;
   readonly winner?: Winner;
 }
 
-type Refusal = Exclude<FirstVerdict, { readonly kind: "accepted" }>;
+type RefusingVerdict = Exclude<FirstVerdict, { readonly kind: "accepted" }>;
 
 /**
- * Tells an operator why readers refuse a record.
- * @param verdict Their verdict.
+ * Converts the readers' refusal of a record to a failure for the operator.
+ * @param verdict The readers' verdict.
  * @returns The failure.
  */
-export function toPublishFailure(verdict: Refusal): PublishFailure {
+export function toPublishFailure(verdict: RefusingVerdict): PublishFailure {
   switch (verdict.kind) {
     case "conflict": {
       const { item, winner: offset, author, change } = verdict;
@@ -57,9 +57,9 @@
 }
 
 /**
- * Makes a failure of a publication that changed nothing.
- * @param reason Why.
- * @param text What to tell the operator.
+ * Creates the failure of a publication that changed nothing.
+ * @param reason The reason.
+ * @param text The message and remedy for the operator.
  * @returns The failure.
  */
 export function publishFailure(
--- a/packages/node/src/configuration/record_ring.ts
+++ b/packages/node/src/configuration/record_buffer.ts
@@ -7,15 +7,15 @@
 const MAXIMUM_RECORDS = 4_096;
 const MAXIMUM_CHARACTERS = 2 * 1_024 * 1_024;
 
-/** The latest records as they lie in the log, to be passed on; bounded. */
+/** A bounded buffer of the latest log records, to be sent to followers. */
 export class RecordBuffer {
   #records: StoredRecord[] = [];
   #startOffset = logOffset(0);
   #characters = 0;
 
   /**
-   * Keeps a record, in the place of the oldest where there are too many.
-   * @param record The record; its offset is above all before.
+   * Adds a record and drops the oldest ones beyond the limits.
+   * @param record The record, with a higher offset than all earlier ones.
    */
   push(record: StoredRecord): void {
     this.#records.push(record);
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Forgets all records.
-   * @param start The lowest offset that may be asked for from now on.
+   * Removes all records.
+   * @param start The lowest offset that may be read from now on.
    */
   reset(start: LogOffset): void {
     this.#records = [];
@@ -44,7 +44,7 @@
   /**
    * Reads the records from an offset on.
    * @param from The offset.
-   * @returns The records, or nothing where some are no longer kept.
+   * @returns The records, or `undefined` if some are no longer buffered.
    */
   readFrom(from: LogOffset): readonly StoredRecord[] | undefined {
     if (from < this.#startOffset) return undefined;
--- a/packages/node/src/configuration/snapshot_writer.ts
+++ b/packages/node/src/configuration/snapshot_writer.ts
@@ -21,7 +21,7 @@
 
 const TICK_MILLISECONDS = 1_000;
 
-/** What a snapshot writer works with. */
+/** The dependencies of {@link SnapshotWriter}. */
 export interface SnapshotWriterParts {
   readonly self: string;
   readonly log: LogClient;
@@ -36,7 +36,7 @@
   };
 }
 
-/** Appends snapshots, where this node is the one to do so. */
+/** Appends snapshots to the log when it is this node's turn to do so. */
 export class SnapshotWriter {
   readonly #parts: SnapshotWriterParts;
   #timer: NodeJS.Timeout | undefined;
@@ -44,25 +44,25 @@
   #lastSeenAt: Instant;
   #isWriting = false;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: SnapshotWriterParts) {
     this.#parts = parts;
     this.#lastSeenAt = parts.clock.now();
   }
 
-  /** Looks now and then whether a snapshot is due. */
+  /** Starts checking periodically whether a snapshot is due. */
   start(): void {
     this.#timer = setInterval(() => void this.tick(), TICK_MILLISECONDS);
   }
 
-  /** Stops looking. */
+  /** Stops checking. */
   stop(): void {
     clearInterval(this.#timer);
   }
 
   /**
-   * Writes a snapshot where one is due here.
-   * @returns Whether one was written.
+   * Writes a snapshot if this node is due to write one.
+   * @returns Whether a snapshot was written.
    */
   async tick(): Promise<boolean> {
     const { follower, clock } = this.#parts;
@@ -127,9 +127,9 @@
     return true;
   }
 
-  /** What was appended does no harm; the next tick begins again. */
+  /** Chunks already appended do no harm; the next tick starts from scratch. */
   #reportFailure(reason: string): boolean {
-    this.#parts.logger.warn("A snapshot was not written.", {
+    this.#parts.logger.warn("Writing a snapshot failed.", {
       peer: "log",
       reason,
     });
--- a/packages/node/src/configuration/spread_service.ts
+++ b/packages/node/src/configuration/spread_service.ts
@@ -27,27 +27,27 @@
 
 type FollowCall = ServerWritableStream<FollowRequest, FollowAnswer>;
 
-/** Passes records on to the peers that follow this node. */
+/** Sends configuration records to the peers that follow this node. */
 export class SpreadService {
   readonly #store: ConfigurationStore;
   readonly #status: () => StatusAnswer;
   readonly #streams = new Set<FollowerStream>();
 
   /**
-   * @param store What is passed on.
-   * @param status Tells what is in force here.
+   * @param store The configuration and the records to send.
+   * @param status Returns the configuration status of this node.
    */
   constructor(store: ConfigurationStore, status: () => StatusAnswer) {
     this.#store = store;
     this.#status = status;
   }
 
-  /** How many peers follow this node. */
+  /** The number of peers that follow this node. */
   get followers(): number {
     return this.#streams.size;
   }
 
-  /** The gRPC service, to register. */
+  /** The gRPC service to register. */
   get registration(): PeerRegistration {
     return {
       definition: ConfigurationService,
@@ -57,9 +57,9 @@
         },
         status: (
           _call: ServerUnaryCall<StatusRequest, StatusAnswer>,
-          answer: sendUnaryData<StatusAnswer>,
+          callback: sendUnaryData<StatusAnswer>,
         ) => {
-          answer(null, this.#status());
+          callback(null, this.#status());
         },
       },
     };
@@ -73,21 +73,22 @@
   #openStream(call: FollowCall): void {
     const stream = new FollowerStream(call, this.#store);
     this.#streams.add(stream);
-    const stopAdvances = this.#store.onAdvance(() => {
+    const removeListener = this.#store.onAdvance(() => {
       stream.sendPending();
     });
-    const alive = setInterval(() => {
+    const aliveTimer = setInterval(() => {
       stream.sendAlive();
     }, ALIVE_INTERVAL_MILLISECONDS);
     call.on("close", () => {
-      clearInterval(alive);
-      stopAdvances();
+      clearInterval(aliveTimer);
+      removeListener();
       this.#streams.delete(stream);
     });
     stream.sendAlive();
   }
 }
 
+/** Sends records, or a snapshot if those are gone, to one follower. */
 class FollowerStream {
   readonly #call: FollowCall;
   readonly #store: ConfigurationStore;
@@ -100,7 +101,7 @@
     this.#next = logOffset(call.request.from);
   }
 
-  /** Sends what the follower does not have, unless it is slow to take it. */
+  /** Sends the records that the follower lacks, unless the stream is full. */
   sendPending(): void {
     const { nextOffset: next } = this.#store.reader;
     if (this.#isSendingSnapshot || this.#call.writableNeedDrain) return;
@@ -114,7 +115,7 @@
     this.#next = next;
   }
 
-  /** Sends a sign of life after all that is due. */
+  /** Sends pending records, then a message that the stream is alive. */
   sendAlive(): void {
     this.sendPending();
     const { nextOffset: next } = this.#store.reader;
@@ -142,7 +143,7 @@
     }
   }
 
-  /** Sends a chunk a turn of the loop, so that nothing else waits long. */
+  /** Sends one chunk per event loop turn so that nothing else waits long. */
   async #sendSnapshot(): Promise<void> {
     this.#isSendingSnapshot = true;
     const copy = copyForSnapshot(this.#store.reader.configuration);
--- a/packages/node/src/crashes/crash_memory.ts
+++ b/packages/node/src/crashes/crash_memory.ts
@@ -17,12 +17,12 @@
 
 const PAGE_RECORDS = 1_000;
 const LONG_POLL_MILLISECONDS = 10_000;
-/** Between two tries at a log that fails, in milliseconds. */
+/** The delay between tries while the log fails. */
 const RETRY_MILLISECONDS = 500;
-/** Records that wait to be appended at most; the oldest are left out. */
+/** The maximum number of unwritten records; beyond it the oldest are dropped. */
 const MAXIMUM_UNWRITTEN_RECORDS = 500;
 
-/** What the memory of crashes works with. */
+/** The dependencies of {@link CrashMemory}. */
 export interface CrashMemoryParts {
   readonly log: LogClient;
   readonly clock: SteadyClock;
@@ -30,8 +30,8 @@
 }
 
 /**
- * Remembers which contents end the engines that run them, together with all
- * nodes: each appends what it sees to a stream of the log, and follows it.
+ * Tracks which request contents crash engines, shared by all nodes: each node
+ * appends its observations to a log stream and follows that stream.
  */
 export class CrashMemory {
   readonly #parts: CrashMemoryParts;
@@ -42,44 +42,44 @@
   #isWriting = false;
   #isStopped = false;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: CrashMemoryParts) {
     this.#parts = parts;
   }
 
-  /** Follows the stream until {@link stop}. */
+  /** Follows the log stream until {@link stop}. */
   async run(): Promise<void> {
     while (!this.#isStopped) {
-      const isRead = await this.#readPage();
-      if (!isRead) await sleep(RETRY_MILLISECONDS);
+      const wasRead = await this.#readPage();
+      if (!wasRead) await sleep(RETRY_MILLISECONDS);
     }
   }
 
-  /** Ends {@link run} after the read in progress. */
+  /** Stops {@link run} after the read in progress. */
   stop(): void {
     this.#isStopped = true;
   }
 
-  /** Whether no content is suspected, so that none needs to be digested. */
+  /** Whether no content is suspected, so that no digests are needed. */
   get isEmpty(): boolean {
     return this.#quarantine.isEmpty;
   }
 
   /**
-   * Tells whether a content is refused.
-   * @param content The content.
-   * @returns The time until it may be tried again, or nothing.
+   * Returns how long a content stays quarantined.
+   * @param content The content's digest.
+   * @returns The time until it may be tried again, or `undefined` if it may run.
    */
   refusedFor(content: ContentDigest): Duration | undefined {
     return this.#quarantine.remainingTime(this.#parts.clock.now(), content);
   }
 
   /**
-   * Takes note that a run of an engine may have ended under a content.
-   * @param suspicion What is suspected.
+   * Records that a content may have crashed an engine.
+   * @param suspicion The content and the run of the engine.
    */
   suspect(suspicion: CrashSuspicion): void {
-    this.#parts.logger.info("An engine may have ended under a request.", {
+    this.#parts.logger.info("A request may have crashed an engine.", {
       engine: suspicion.server,
       content: suspicion.content,
       ran_for: Math.round(suspicion.ranFor),
@@ -88,12 +88,12 @@
   }
 
   /**
-   * Takes note that a request was served to its end.
-   * @param content Its content.
+   * Records that a request was served completely.
+   * @param content The digest of its content.
    */
   served(content: ContentDigest): void {
-    const dropped = this.#quarantine.recordServed(content);
-    if (dropped.length > 0) this.#add({ kind: "served", content });
+    const retracted = this.#quarantine.recordServed(content);
+    if (retracted.length > 0) this.#add({ kind: "served", content });
   }
 
   #add(record: CrashRecord): void {
@@ -118,7 +118,7 @@
     for (const content of contents) {
       if (this.#quarantinedContents.has(content)) continue;
       this.#parts.logger.warn(
-        "Requests of a content that ends engines are refused.",
+        "Requests with a content that crashes engines are refused.",
         {
           content,
         },
@@ -143,7 +143,7 @@
 
   #dropWritten(records: readonly CrashRecord[]): void {
     const written = new Set(records);
-    const left = this.#unwritten.filter((one) => !written.has(one));
+    const left = this.#unwritten.filter((record) => !written.has(record));
     this.#unwritten.splice(0, this.#unwritten.length, ...left);
   }
 
@@ -165,7 +165,7 @@
     const record = parseCrashRecord(data);
     if (record.isOk()) this.#apply(record.value);
     else {
-      this.#parts.logger.warn("A record of crashes can't be read.", {
+      this.#parts.logger.warn("A crash record is corrupt.", {
         offset,
         detail: record.error,
       });
--- a/packages/node/src/crashes/engine_suspects.ts
+++ b/packages/node/src/crashes/engine_suspects.ts
@@ -10,7 +10,7 @@
 } from "@foxtailwind/core";
 import type { CrashMemory } from "./crash_memory.ts";
 
-/** An engine whose end is noticed later than this did not end with a stream. */
+/** A stream that broke longer before the detected crash is not a suspect. */
 const MAXIMUM_DETECTION_DELAY = milliseconds(10_000);
 
 interface BrokenStream {
@@ -20,8 +20,8 @@
 }
 
 /**
- * The requests whose streams from one run of an engine broke off: suspects,
- * once it turns out that the run has ended, and else nothing.
+ * Tracks requests whose streams from one run of an engine broke off. They become
+ * suspects only if that run turns out to have ended.
  */
 export class EngineSuspects {
   readonly #engine: EngineId;
@@ -30,7 +30,7 @@
 
   /**
    * @param engine The engine.
-   * @param memory Takes the suspicions.
+   * @param memory Records the suspicions.
    */
   constructor(engine: EngineId, memory: CrashMemory) {
     this.#engine = engine;
@@ -38,29 +38,30 @@
   }
 
   /**
-   * Takes note of a stream that broke off.
+   * Records a stream that broke off.
    * @param now The present time.
-   * @param content What was asked for.
-   * @param ranFor From its first token on, where one came.
+   * @param content The digest of the request's content.
+   * @param ranFor The time since its first token, if there was one.
    */
   broke(
     now: Instant,
     content: ContentDigest,
     ranFor: Duration | undefined,
   ): void {
-    const weight = suspectRunTime(ranFor);
-    if (weight === undefined) return;
+    const runTime = suspectRunTime(ranFor);
+    if (runTime === undefined) return;
     this.#broken = [...this.#broken, {
       brokeAt: now,
       content,
-      runTime: weight,
+      runTime,
     }];
   }
 
   /**
-   * Tells whether it matters if the engine still runs.
+   * Returns whether the state of the engine needs to be checked.
    * @param now The present time.
-   * @returns Whether streams broke off of which that is not known.
+   * @returns Whether it is unknown for some broken stream if the engine still
+   * runs.
    */
   arePending(now: Instant): boolean {
     return this.#broken.some((one) =>
@@ -69,23 +70,23 @@
   }
 
   /**
-   * Takes note that the engine still runs.
-   * @param askedAt When it was asked: streams that broke later stay suspect.
+   * Records that the engine still runs.
+   * @param askedAt When it was asked; streams that broke later stay pending.
    */
   lives(askedAt: Instant): void {
     this.#broken = this.#broken.filter(({ brokeAt }) => brokeAt > askedAt);
   }
 
   /**
-   * Takes note that the engine's run has ended.
+   * Records that the engine's run has ended.
    * @param now The present time.
-   * @param bootId The run.
+   * @param bootId The boot id of the run.
    */
   ended(now: Instant, bootId: string): void {
     const server = engineRun(this.#engine, bootId);
-    for (const { brokeAt, content, runTime: weight } of this.#broken) {
+    for (const { brokeAt, content, runTime } of this.#broken) {
       if (elapsed(brokeAt, now) > MAXIMUM_DETECTION_DELAY) continue;
-      this.#memory.suspect({ server, content, ranFor: weight });
+      this.#memory.suspect({ server, content, ranFor: runTime });
     }
     this.#broken = [];
   }
--- a/packages/node/src/crashes/generation_content.ts
+++ b/packages/node/src/crashes/generation_content.ts
@@ -3,7 +3,8 @@
 import type { GenerationRequest } from "../serving/generation_request.ts";
 
 /**
- * Digests what a request asks an engine for, whatever its id and its node.
+ * Computes the digest of what a request asks of an engine, independent of its
+ * request id and node.
  * @param generation The request.
  * @returns The digest of model, adapter, messages and length.
  */
--- a/packages/node/src/crashes/mod.ts
+++ b/packages/node/src/crashes/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The memory of requests that end the engines that run them.
+ * Tracking of requests that crash engines.
  * @module
  */
 export * from "./crash_memory.ts";
--- a/packages/node/src/delivery/claim_gatherer.ts
+++ b/packages/node/src/delivery/claim_gatherer.ts
@@ -27,8 +27,8 @@
 const TICK_MILLISECONDS = 10;
 
 /**
- * Claims free keys in the log for the nodes of a failure domain. It reads the
- * log only while claims are pending, so that it costs nothing when unused.
+ * Claims free keys in the log for all nodes of a failure domain. It reads the
+ * log only while claims are pending, so it costs nothing when unused.
  */
 export class ClaimGatherer {
   readonly #log: LogClient;
@@ -41,7 +41,7 @@
 
   /**
    * @param log The log.
-   * @param clock This VM's clock.
+   * @param clock The clock of this VM.
    */
   constructor(log: LogClient, clock: SteadyClock) {
     this.#log = log;
@@ -57,7 +57,7 @@
     });
   }
 
-  /** The offset that later claims lie at or above, for prefixes of keys. */
+  /** A lower bound on the offsets of later claims, used in key prefixes. */
   get epoch(): LogOffset {
     return this.#batcher.index.nextOffset;
   }
@@ -65,7 +65,7 @@
   /**
    * Claims a key.
    * @param claim The claim.
-   * @returns The key's winner, or why the claim was not settled.
+   * @returns The winning claim, or why the claim was not settled.
    */
   claim(claim: KeyClaim): Promise<ClaimVerdict> {
     return new Promise((resolve) => {
@@ -115,8 +115,8 @@
   async #readWhilePending(): Promise<void> {
     this.#isReading = true;
     while (!this.#stopped && this.#pendingClaims.size > 0) {
-      const answered = await this.#readPage();
-      if (!answered) await sleep(RETRY_MILLISECONDS);
+      const wasRead = await this.#readPage();
+      if (!wasRead) await sleep(RETRY_MILLISECONDS);
     }
     this.#isReading = false;
   }
--- a/packages/node/src/delivery/claim_router.ts
+++ b/packages/node/src/delivery/claim_router.ts
@@ -9,7 +9,7 @@
 import type { ClaimGatherer } from "./claim_gatherer.ts";
 import type { OutcomePeerClient } from "./outcome_peer_client.ts";
 
-/** What brings claims to the node that gathers them. */
+/** The dependencies of {@link ClaimRouter}. */
 export interface ClaimRouterParts {
   readonly self: NodeId;
   readonly failureDomain: string;
@@ -19,13 +19,13 @@
 }
 
 /**
- * Brings a claim to the node that gathers those of its failure domain. Nodes
- * that differ about which one that is cost an append more and nothing else.
+ * Sends claims to the node that gathers those of the failure domain. If nodes
+ * disagree about which node that is, the only cost is an extra append.
  */
 export class ClaimRouter {
   readonly #parts: ClaimRouterParts;
 
-  /** @param parts What the route works with. */
+  /** @param parts The dependencies. */
   constructor(parts: ClaimRouterParts) {
     this.#parts = parts;
   }
@@ -33,24 +33,27 @@
   /**
    * Claims a key.
    * @param claim The claim.
-   * @returns The key's winner, or why the claim was not settled.
+   * @returns The winning claim, or why the claim was not settled.
    */
   async claim(claim: KeyClaim): Promise<ClaimVerdict> {
     const { self, gatherer, peers } = this.#parts;
     const node = this.#gatheringNode();
     if (node === undefined || node === self) return gatherer.claim(claim);
     const verdict = await peers.claim(node, claim);
-    // The list may still name a node that is gone. The claim keeps its nonce,
-    // so that it wins or loses as one, even if that node appended it too.
+    // The VM list may still contain a node that is gone. The claim keeps its
+    // nonce, so it counts as one claim even if that node appended it too.
     return isUnanswered(verdict, node) ? gatherer.claim(claim) : verdict;
   }
 
   #gatheringNode(): NodeId | undefined {
     const { failureDomain, nodes } = this.#parts;
-    const near = nodes().filter((vm) =>
+    const candidates = nodes().filter((vm) =>
       vm.failureDomain === failureDomain && vm.state === "live"
     );
-    return rendezvousChoice(failureDomain, near.map((vm) => nodeId(vm.id)));
+    return rendezvousChoice(
+      failureDomain,
+      candidates.map((vm) => nodeId(vm.id)),
+    );
   }
 }
 
--- a/packages/node/src/delivery/delivery_counters.ts
+++ b/packages/node/src/delivery/delivery_counters.ts
@@ -1,15 +1,15 @@
 import type { DroppedFrames } from "@foxtailwind/core";
 
-/** Counts what the delivery of generations dropped and tried again. */
+/** Counts dropped frames, retries and resumptions of generations. */
 export class DeliveryCounters {
-  /** Frames dropped, by reason. */
+  /** Dropped frames by reason. */
   readonly dropped = { late: 0, foreign: 0, repeated: 0, misordered: 0 };
   retried = 0;
   resumed = 0;
 
   /**
-   * Adds the frames that one request dropped.
-   * @param dropped The frames, by reason.
+   * Adds the frames that were dropped for one request.
+   * @param dropped The number of frames by reason.
    */
   addDropped(dropped: DroppedFrames): void {
     this.dropped.late += dropped.late;
--- a/packages/node/src/delivery/delivery_parts.ts
+++ b/packages/node/src/delivery/delivery_parts.ts
@@ -20,40 +20,40 @@
 import { OutcomePeerClient } from "./outcome_peer_client.ts";
 import { outcomeService } from "./outcome_service.ts";
 
-/** What the delivery of a node is made of. */
+/** The dependencies of {@link DeliveryParts}. */
 export interface DeliveryPartsOptions {
   readonly self: NodeId;
   readonly failureDomain: string;
-  /** This run of the process; a restart must give another one. */
+  /** Identifies this run of the process; each restart must use a new value. */
   readonly incarnation?: IncarnationId;
   readonly clock: SteadyClock;
   readonly log: LogClient;
   readonly channels: PeerChannels;
-  /** Lists the entry VMs known at present, the leaving ones included. */
+  /** Lists the currently known entry VMs, including leaving ones. */
   readonly nodes: () => readonly Vm[];
   readonly router: Pick<GenerationRouter, "route">;
   readonly observer: RequestObserver;
   readonly crashes: CrashMemory;
-  /** Counts what peers have in progress here. */
+  /** Counts the requests of peers that are in progress here. */
   readonly work: WorkInProgress;
 }
 
-/** The parts of a node that bring requests to their only outcome. */
+/** Creates the parts of a node that give each request exactly one outcome. */
 export class DeliveryParts {
   readonly execution: NodeKeyedExecution;
   readonly generations: GenerationDelivery;
   readonly gatherer: ClaimGatherer;
   readonly registration: PeerRegistration;
 
-  /** @param sources What the parts are made of. */
-  constructor(sources: DeliveryPartsOptions) {
-    const { self, clock, nodes, failureDomain } = sources;
-    const { router, observer, crashes } = sources;
-    const peers = new OutcomePeerClient(sources.channels, nodes);
-    this.gatherer = new ClaimGatherer(sources.log, clock);
+  /** @param options The dependencies. */
+  constructor(options: DeliveryPartsOptions) {
+    const { self, clock, nodes, failureDomain } = options;
+    const { router, observer, crashes } = options;
+    const peers = new OutcomePeerClient(options.channels, nodes);
+    this.gatherer = new ClaimGatherer(options.log, clock);
     this.execution = new NodeKeyedExecution({
       self,
-      incarnation: sources.incarnation ?? incarnationId(randomUUID()),
+      incarnation: options.incarnation ?? incarnationId(randomUUID()),
       clock,
       peers,
       claims: new ClaimRouter({
@@ -75,7 +75,7 @@
     this.registration = outcomeService({
       execution: this.execution,
       gatherer: this.gatherer,
-      work: sources.work,
+      work: options.work,
     });
   }
 
--- a/packages/node/src/delivery/generation_attempts.ts
+++ b/packages/node/src/delivery/generation_attempts.ts
@@ -21,7 +21,7 @@
 import type { DeliveryCounters } from "./delivery_counters.ts";
 import type { GenerationDeliveryRequest } from "./generation_delivery.ts";
 
-/** What the attempts at one request work with. */
+/** The dependencies of {@link GenerationAttempts}. */
 export interface GenerationAttemptsParts {
   readonly deliveryRequest: Pick<
     GenerationDeliveryRequest,
@@ -38,7 +38,7 @@
   readonly maximumAttempts: number;
 }
 
-/** Carries out what the delivery of one request decides. */
+/** Executes the actions that {@link RequestDelivery} decides for one request. */
 export class GenerationAttempts implements GenerationHandle {
   readonly #parts: GenerationAttemptsParts;
   readonly #delivery: RequestDelivery;
@@ -46,16 +46,16 @@
   #paused = false;
   #timer: NodeJS.Timeout | undefined;
 
-  /** @param parts What the attempts work with. */
+  /** @param parts The dependencies. */
   constructor(parts: GenerationAttemptsParts) {
-    const { deliveryRequest: order, budget, rules, maximumAttempts } = parts;
-    const { request, adapter } = order.generation;
+    const { deliveryRequest, budget, rules, maximumAttempts } = parts;
+    const { request, adapter } = deliveryRequest.generation;
     this.#parts = parts;
     this.#delivery = new RequestDelivery({
       request,
       adapter,
-      repeatable: order.notRepeatable !== true,
-      streamed: order.streamed,
+      repeatable: deliveryRequest.notRepeatable !== true,
+      streamed: deliveryRequest.streamed,
       maximumAttempts,
       budget,
       rules,
@@ -127,17 +127,17 @@
   }
 
   #startAttempt(attempt: AttemptNumber, fromSequence: number): void {
-    const { router, deliveryRequest: order, counters } = this.#parts;
+    const { router, deliveryRequest, counters } = this.#parts;
     if (attempt > 1) counters.retried += 1;
     if (fromSequence > 0) counters.resumed += 1;
-    const refusal = this.#quarantineFailure();
-    if (refusal !== undefined) {
+    const failure = this.#quarantineFailure();
+    if (failure !== undefined) {
       queueMicrotask(() => {
-        this.#handleEvent({ kind: "failed", attempt, failure: refusal });
+        this.#handleEvent({ kind: "failed", attempt, failure });
       });
       return;
     }
-    const generation = { ...order.generation, attempt, fromSequence };
+    const generation = { ...deliveryRequest.generation, attempt, fromSequence };
     const sink = new AttemptSink(attempt, (event) => {
       this.#handleEvent(event);
     });
@@ -145,11 +145,11 @@
     if (this.#paused) this.#handle.pause();
   }
 
-  /** Why the request does not run, where its content ends engines. */
+  /** Returns the failure of a request whose content is quarantined, if it is. */
   #quarantineFailure(): Failure | undefined {
-    const { crashes, deliveryRequest: order } = this.#parts;
+    const { crashes, deliveryRequest } = this.#parts;
     if (crashes.isEmpty) return undefined;
-    const wait = crashes.refusedFor(contentOf(order.generation));
+    const wait = crashes.refusedFor(contentOf(deliveryRequest.generation));
     if (wait === undefined) return undefined;
     return {
       reason: "refused",
@@ -175,15 +175,15 @@
   }
 
   #finish(result: Result<GenerationEnd, Failure>): void {
-    const { sink, observer, clock, deliveryRequest: order, counters, crashes } =
+    const { sink, observer, clock, deliveryRequest, counters, crashes } =
       this.#parts;
     if (result.isOk() && !crashes.isEmpty) {
-      crashes.served(contentOf(order.generation));
+      crashes.served(contentOf(deliveryRequest.generation));
     }
     counters.addDropped(this.#delivery.droppedFrames);
     observer.record(clock.now(), {
       kind: "ended",
-      request: order.generation.request,
+      request: deliveryRequest.generation.request,
       ...(result.isErr() && { failure: result.error }),
       completionTokens: result.isOk() ? result.value.completionTokens : 0,
     });
@@ -191,7 +191,7 @@
   }
 }
 
-/** Receives one attempt's answer. */
+/** Converts the frames and the end of one attempt to delivery events. */
 class AttemptSink extends GenerationSink {
   readonly #attempt: AttemptNumber;
   readonly #handle: (event: DeliveryEvent) => void;
--- a/packages/node/src/delivery/generation_delivery.ts
+++ b/packages/node/src/delivery/generation_delivery.ts
@@ -13,7 +13,7 @@
 import { KeyedGenerations } from "./keyed_generations.ts";
 import type { KeyedExecution } from "./keyed_execution.ts";
 
-/** What generations are delivered with. */
+/** The dependencies of {@link GenerationDelivery}. */
 export interface GenerationDeliveryParts {
   readonly router: Pick<GenerationRouter, "route">;
   readonly clock: SteadyClock;
@@ -22,30 +22,30 @@
   readonly execution: KeyedExecution;
 }
 
-/** A caller's request, and what the caller asks of its delivery. */
+/** A caller's request and its delivery options. */
 export interface GenerationDeliveryRequest {
   readonly generation: GenerationRequest;
-  /** Whether the caller gets tokens before the whole answer is known. */
+  /** Whether the caller receives tokens before the answer is complete. */
   readonly streamed: boolean;
-  /** The `Idempotency-Key`: the request runs at most once for it. */
+  /** The `Idempotency-Key`, for which the request runs at most once. */
   readonly key?: string | undefined;
-  /** Without a key: the request is sent once. */
+  /** Whether a request without a key is sent only once. */
   readonly notRepeatable?: boolean;
 }
 
 const RETRY_BUDGET_OPTIONS = { share: 0.1, maximum: 100 } as const;
 const MAXIMUM_ATTEMPTS = 5;
 
-/** Brings callers' generations to their only outcome. */
+/** Delivers exactly one outcome for each generation of a caller. */
 export class GenerationDelivery {
-  /** What was dropped, retried and resumed so far. */
+  /** The numbers of dropped frames, retries and resumptions so far. */
   readonly counters = new DeliveryCounters();
   readonly #parts: GenerationDeliveryParts;
   readonly #budget = new RetryBudget(RETRY_BUDGET_OPTIONS);
   readonly #rules = new DeliveryRules();
   readonly #keyed: KeyedGenerations;
 
-  /** @param parts What generations are delivered with. */
+  /** @param parts The dependencies. */
   constructor(parts: GenerationDeliveryParts) {
     this.#parts = parts;
     this.#keyed = new KeyedGenerations(
@@ -60,26 +60,28 @@
 
   /**
    * Delivers a generation.
-   * @param order The request.
+   * @param deliveryRequest The request.
    * @param sink Receives each token once, in order, and one end.
    * @returns The handle of the generation.
    */
   deliver(
-    order: GenerationDeliveryRequest,
+    deliveryRequest: GenerationDeliveryRequest,
     sink: GenerationSink,
   ): GenerationHandle {
-    const { key } = order;
-    if (key !== undefined) return this.#keyed.deliver({ ...order, key }, sink);
-    return this.#startAttempts(order, sink);
+    const { key } = deliveryRequest;
+    if (key !== undefined) {
+      return this.#keyed.deliver({ ...deliveryRequest, key }, sink);
+    }
+    return this.#startAttempts(deliveryRequest, sink);
   }
 
   #startAttempts(
-    order: GenerationDeliveryRequest,
+    deliveryRequest: GenerationDeliveryRequest,
     sink: GenerationSink,
   ): GenerationHandle {
     const { router, clock, observer, crashes } = this.#parts;
     const attempts = new GenerationAttempts({
-      deliveryRequest: order,
+      deliveryRequest,
       sink,
       router,
       clock,
--- a/packages/node/src/delivery/key_limits.ts
+++ b/packages/node/src/delivery/key_limits.ts
@@ -6,22 +6,22 @@
 } from "@foxtailwind/core";
 
 /**
- * How long a free key's claim is kept; retries must come within it. The log
- * must keep its records for longer.
+ * How long the claim of a free key is kept. Retries must arrive within this
+ * time, and the log must retain its records for longer.
  */
 export const FREE_KEY_WINDOW: Duration = seconds(900);
 
-/** How long a key of a scope may be retried once the scope is not new. */
+/** How long a scoped key may be retried after its scope closes for new keys. */
 export const SCOPED_KEY_RETRY_WINDOW: Duration = FREE_KEY_WINDOW;
 
 const RETENTION_MARGIN_MILLISECONDS = 60_000;
 
-/** How long keys may be used. */
+/** Limits on the lifetime of key scopes. */
 export const KEY_SCOPE_LIMITS: KeyScopeLimits = {
   maximumScopeLifetime: seconds(3_600),
 };
 
-/** What one node remembers of keys. */
+/** Limits on the keys and answers that one node keeps. */
 export const KEY_LEDGER_LIMITS = {
   maximumKeys: 100_000,
   maximumAnswerBytes: 16 * 1_024 * 1_024,
--- a/packages/node/src/delivery/keyed_execution.ts
+++ b/packages/node/src/delivery/keyed_execution.ts
@@ -1,59 +1,61 @@
 import type { Failure } from "@foxtailwind/core";
 import type { Result } from "neverthrow";
 
-/** The outcome of keyed work: its answer in the work's own form. */
+/** The outcome of a keyed request: its encoded answer, or a failure. */
 export type KeyedResult = Result<Uint8Array, Failure>;
 
 /**
- * Work that runs where its key may run. It must send what it does at most
- * once: no retry, unless a first try is proven not to have run.
- * @param payload The request, in the work's own form.
+ * Handles a request on the node that may run its key. It must send the request
+ * at most once: it may retry only if the first try is proven not to have run.
+ * @param payload The encoded request.
  * @param key The key as the caller sent it.
- * @returns The answer, or a failure that tells truthfully whether it ran.
+ * @returns The encoded answer, or a failure whose outcome states truthfully
+ * whether the request ran.
  */
 export type KeyedRequestHandler = (
   payload: Uint8Array,
   key: string,
 ) => Promise<KeyedResult>;
 
-/** A request that must not run twice. */
+/** A request that must run at most once. */
 export interface KeyedRequest {
-  /** Names the registered work that runs it, on whichever node that is. */
+  /** The name of the registered handler, on whichever node runs the request. */
   readonly work: string;
   /** The `Idempotency-Key` as the caller sent it. */
   readonly key: string;
-  /** What the work gets. */
+  /** The encoded request that the handler receives. */
   readonly payload: Uint8Array;
   /**
-   * What a retry must repeat byte for byte, where that is not the whole
-   * payload: other uses of the key are refused.
+   * The bytes that a retry must repeat, by default the whole payload. A request
+   * that reuses the key with other bytes is refused.
    */
   readonly identity?: Uint8Array;
 }
 
-/** Runs work at most once for each key, over all nodes and caller retries. */
+/** Runs at most one request per key, across all nodes and caller retries. */
 export abstract class KeyedExecution {
   /**
-   * Registers work, before the daemon serves callers or peers.
-   * @param name Names the work, alike on all nodes.
-   * @param work Runs one request.
+   * Registers a handler. Must be called before the daemon serves callers or
+   * peers.
+   * @param name The handler's name, the same on all nodes.
+   * @param handler Handles one request.
    */
-  abstract register(name: string, work: KeyedRequestHandler): void;
+  abstract register(name: string, handler: KeyedRequestHandler): void;
 
   /**
-   * Runs a request where its key may run, or gives the outcome of its first
-   * run. One key stands for one request: another one is refused.
+   * Runs a request on the node that may run its key, or returns the outcome of
+   * the key's first run. A different request with the same key is refused.
    * @param request The request.
-   * @returns The outcome of the key's only run; or why it did not run, or
-   * that nothing is known of it and it will not be run.
+   * @returns The outcome of the key's only run; or a failure that says why it
+   * did not run, or that its outcome is unknown and it will not be run.
    */
   abstract execute(request: KeyedRequest): Promise<KeyedResult>;
 
   /**
-   * Gives the text that callers put before their own keys, so that only this
-   * node runs them; `GET /v1/addresses` passes it on.
+   * Creates the prefix that callers put before their own keys so that only this
+   * node runs them. `GET /v1/addresses` returns it.
    * @param lifetimeMilliseconds How long callers may use it for new keys;
-   * retries may come for some time longer.
+   * retries are accepted for some time longer.
    * @returns The prefix.
    */
   abstract scopeText(lifetimeMilliseconds: number): string;
--- a/packages/node/src/delivery/keyed_generation_message.ts
+++ b/packages/node/src/delivery/keyed_generation_message.ts
@@ -16,7 +16,7 @@
 import * as z from "zod";
 import type { GenerationRequest } from "../serving/generation_request.ts";
 
-/** The whole answer of a generation. */
+/** The complete answer of a generation. */
 export interface GenerationAnswer {
   readonly tokens: readonly string[];
   readonly end: GenerationEnd;
@@ -51,8 +51,8 @@
 });
 
 /**
- * Puts a generation into bytes: what the caller's retry repeats, and nothing
- * that differs between the two.
+ * Encodes a generation: only the fields that a caller's retry repeats, none
+ * that differ between the request and its retry.
  * @param generation The request.
  * @returns The bytes.
  */
@@ -70,10 +70,10 @@
 }
 
 /**
- * Reads a generation.
+ * Decodes a generation.
  * @param payload The bytes.
- * @param runFields What is this run's own.
- * @returns The request, or nothing where it cannot be read.
+ * @param runFields The fields that are specific to this run.
+ * @returns The request, or `undefined` if the bytes are invalid.
  */
 export function decodeGeneration(
   payload: Uint8Array,
@@ -84,7 +84,7 @@
 }
 
 /**
- * Puts an answer into bytes.
+ * Encodes an answer.
  * @param answer The answer.
  * @returns The bytes.
  */
@@ -93,9 +93,9 @@
 }
 
 /**
- * Reads an answer.
+ * Decodes an answer.
  * @param payload The bytes.
- * @returns The answer, or why it cannot be read.
+ * @returns The answer, or a failure if the bytes are invalid.
  */
 export function decodeAnswer(
   payload: Uint8Array,
@@ -105,8 +105,8 @@
 }
 
 /**
- * Makes the failure of a message that cannot be read.
- * @param outcome What is known of the run.
+ * Creates the failure of a message that cannot be decoded.
+ * @param outcome Whether the generation is known to have run.
  * @returns The failure.
  */
 export function unreadableGeneration(outcome: Failure["outcome"]): Failure {
--- a/packages/node/src/delivery/keyed_generations.ts
+++ b/packages/node/src/delivery/keyed_generations.ts
@@ -27,7 +27,7 @@
 
 const HANDLER_NAME = "generation";
 
-/** Starts the only run of a generation. */
+/** Starts the single run of a generation. */
 export type GenerationRun = (
   generation: GenerationRequest,
   sink: GenerationSink,
@@ -39,18 +39,18 @@
   readonly key: string;
 }
 
-/** Runs generations with keys at most once, and replays their answers. */
+/** Runs generations with keys at most once and replays their answers. */
 export class KeyedGenerations {
   readonly #execution: KeyedExecution;
   readonly #clock: SteadyClock;
   readonly #observer: RequestObserver;
   readonly #startRun: GenerationRun;
-  /** Callers here that wait for a key, and may see its tokens as they come. */
+  /** Callers of this node that wait for a key and may get its tokens live. */
   readonly #readers = new Map<string, Set<LiveReader>>();
 
   /**
-   * @param parts Runs keys at most once; the clock; who learns of ends.
-   * @param run Starts the only run.
+   * @param parts The keyed execution, the clock and the observer of ends.
+   * @param run Starts the single run of a generation.
    */
   constructor(
     parts: {
@@ -74,7 +74,8 @@
    * Delivers a generation with a key.
    * @param keyed The request.
    * @param sink Receives the answer of the key's only run.
-   * @returns The handle; a cancel leaves the run going for the caller's retry.
+   * @returns The handle. Cancelling it does not stop the run, so that a retry
+   * of the caller can still get the answer.
    */
   deliver(keyed: KeyedGeneration, sink: GenerationSink): GenerationHandle {
     const { generation, key } = keyed;
@@ -96,7 +97,7 @@
     return reader;
   }
 
-  /** The run has a request id of its own; each caller's request ends too. */
+  /** Records the end of a caller's request; the run has its own request id. */
   #recordEnd(
     generation: GenerationRequest,
     result: Result<GenerationEnd, Failure>,
@@ -142,24 +143,24 @@
   }
 }
 
-/** Gathers the whole answer, and shows each frame as it comes. */
+/** Collects the whole answer and passes on each frame as it arrives. */
 class CollectingSink extends GenerationSink {
-  readonly #onToken: (frame: GenerationFrame) => void;
+  readonly #onFrame: (frame: GenerationFrame) => void;
   readonly #onAnswer: (result: Result<GenerationAnswer, Failure>) => void;
   readonly #tokens: string[] = [];
 
   constructor(
-    onToken: (frame: GenerationFrame) => void,
+    onFrame: (frame: GenerationFrame) => void,
     onAnswer: (result: Result<GenerationAnswer, Failure>) => void,
   ) {
     super();
-    this.#onToken = onToken;
+    this.#onFrame = onFrame;
     this.#onAnswer = onAnswer;
   }
 
   override onFrame(frame: GenerationFrame): void {
     this.#tokens.push(...frame.tokens);
-    this.#onToken(frame);
+    this.#onFrame(frame);
   }
 
   override onEnd(result: Result<GenerationEnd, Failure>): void {
@@ -172,18 +173,18 @@
   }
 }
 
-/** Tells of the end, and passes all on. */
+/** Passes frames and the end on, and reports the end to a callback. */
 class EndObserverSink extends GenerationSink {
   readonly #sink: GenerationSink;
   readonly #onEnded: (result: Result<GenerationEnd, Failure>) => void;
 
   constructor(
     sink: GenerationSink,
-    ended: (result: Result<GenerationEnd, Failure>) => void,
+    onEnded: (result: Result<GenerationEnd, Failure>) => void,
   ) {
     super();
     this.#sink = sink;
-    this.#onEnded = ended;
+    this.#onEnded = onEnded;
   }
 
   override onFrame(frame: GenerationFrame): void {
--- a/packages/node/src/delivery/live_reader.ts
+++ b/packages/node/src/delivery/live_reader.ts
@@ -14,7 +14,7 @@
 
 const FIRST_ATTEMPT = attemptNumber(1);
 
-/** A caller that reads the answer of a key's only run, from its start. */
+/** Forwards the answer of a key's only run to one caller, from the start. */
 export class LiveReader implements GenerationHandle {
   readonly #generation: GenerationRequest;
   readonly #sink: GenerationSink;
@@ -31,7 +31,7 @@
     this.#sink = sink;
   }
 
-  /** Shows no more tokens as they come; the end brings the rest. */
+  /** Stops forwarding live tokens; the end delivers the rest. */
   pause(): void {
     this.#paused = true;
   }
@@ -40,7 +40,7 @@
     this.#paused = false;
   }
 
-  /** The caller left: it gets its end at once, and the run goes on. */
+  /** Ends the caller's request at once after it left; the run continues. */
   cancel(): void {
     this.end(err({
       reason: "cancelled",
@@ -52,7 +52,7 @@
   }
 
   /**
-   * Shows a frame, where it is the next one.
+   * Forwards a frame if it is the next one.
    * @param frame The frame.
    */
   forward(frame: GenerationFrame): void {
@@ -63,7 +63,7 @@
   }
 
   /**
-   * Ends the answer, with the tokens that were not shown yet.
+   * Forwards the remaining tokens and ends the answer.
    * @param result The answer.
    */
   end(result: Result<GenerationAnswer, Failure>): void {
--- a/packages/node/src/delivery/node_keyed_execution.ts
+++ b/packages/node/src/delivery/node_keyed_execution.ts
@@ -32,7 +32,7 @@
 } from "./keyed_execution.ts";
 import type { OutcomePeerClient } from "./outcome_peer_client.ts";
 
-/** What keyed execution works with. */
+/** The dependencies of {@link NodeKeyedExecution}. */
 export interface KeyedExecutionParts {
   readonly self: NodeId;
   readonly incarnation: IncarnationId;
@@ -54,7 +54,7 @@
   readonly resolve: (result: KeyedResult) => void;
 }
 
-/** Carries out what the coordinator of this incarnation's keys decides. */
+/** Executes the actions that the {@link KeyCoordinator} of this node decides. */
 export class NodeKeyedExecution extends KeyedExecution {
   readonly #parts: KeyedExecutionParts;
   readonly #coordinator: KeyCoordinator;
@@ -62,7 +62,7 @@
   readonly #pendingRequests = new Map<number, PendingRequest>();
   #lastTicket = 0;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: KeyedExecutionParts) {
     super();
     this.#parts = parts;
@@ -76,8 +76,8 @@
     });
   }
 
-  override register(name: string, work: KeyedRequestHandler): void {
-    this.#handlers.set(name, work);
+  override register(name: string, handler: KeyedRequestHandler): void {
+    this.#handlers.set(name, handler);
   }
 
   override scopeText(lifetimeMilliseconds: number): string {
@@ -95,7 +95,7 @@
 
   /**
    * Runs a request that a peer forwarded.
-   * @param run The request.
+   * @param run The request and the incarnation that may run it.
    * @returns The outcome.
    */
   runForPeer(run: KeyedRun): Promise<KeyedResult> {
@@ -163,11 +163,11 @@
   }
 
   #runHandler(request: AcceptedRequest): Promise<KeyedResult> {
-    const work = this.#handlers.get(request.work);
-    if (work === undefined) {
+    const handler = this.#handlers.get(request.work);
+    if (handler === undefined) {
       return Promise.resolve(err(unknownHandler(request.work)));
     }
-    return work(request.payload, request.key);
+    return handler(request.payload, request.key);
   }
 
   async #forward(
@@ -190,9 +190,9 @@
   }
 
   #answer(ticket: number, result: KeyedResult): void {
-    const waiting = this.#pendingRequests.get(ticket);
+    const pending = this.#pendingRequests.get(ticket);
     this.#pendingRequests.delete(ticket);
-    waiting?.resolve(result);
+    pending?.resolve(result);
   }
 }
 
--- a/packages/node/src/delivery/outcome_messages.ts
+++ b/packages/node/src/delivery/outcome_messages.ts
@@ -19,23 +19,23 @@
 import type { KeyedResult } from "./keyed_execution.ts";
 
 /**
- * Puts the outcome of a key into a message.
+ * Converts the outcome of a key to a message.
  * @param result The outcome.
  * @returns The message.
  */
 export function toKeyedOutcome(result: KeyedResult): KeyedOutcome {
-  const part: KeyedOutcome["result"] = result.match(
+  const messageResult: KeyedOutcome["result"] = result.match(
     (answer) => ({ $case: "answer", value: Buffer.from(answer) }),
     (failure) => ({ $case: "failure", value: toFailureMessage(failure) }),
   );
-  return { result: part };
+  return { result: messageResult };
 }
 
 /**
  * Reads the outcome of a key from a message.
  * @param message The message.
- * @param peer Who sent it.
- * @returns The outcome; unknown where the message holds none.
+ * @param peer The sender.
+ * @returns The outcome; unknown if the message has none.
  */
 export function fromKeyedOutcome(
   message: KeyedOutcome,
@@ -58,7 +58,7 @@
 }
 
 /**
- * Puts a claim into a message.
+ * Converts a claim to a message.
  * @param claim The claim.
  * @returns The message.
  */
@@ -84,7 +84,7 @@
 }
 
 /**
- * Puts a verdict into a message.
+ * Converts a verdict to a message.
  * @param verdict The verdict.
  * @returns The message.
  */
@@ -103,9 +103,9 @@
 
 /**
  * Reads a verdict from a message.
- * @param message The message, or nothing.
- * @param peer Who sent it.
- * @returns The verdict; refused where the message holds none.
+ * @param message The message, if there is one.
+ * @param peer The sender.
+ * @returns The verdict; refused if the message has none.
  */
 export function fromVerdictMessage(
   message: ClaimVerdictMessage | undefined,
@@ -125,8 +125,8 @@
 }
 
 /**
- * Makes the verdict of a claim that the gathering node did not settle. The
- * claimant has not run the key, so "not run" is true of it.
+ * Creates the verdict of a claim that the gathering node did not settle. The
+ * claimant has not run the key, so the outcome is "not run".
  * @param peer The gathering node.
  * @param message What went wrong.
  * @returns The verdict.
--- a/packages/node/src/delivery/outcome_peer_client.ts
+++ b/packages/node/src/delivery/outcome_peer_client.ts
@@ -20,14 +20,14 @@
 const CLAIM_TIMEOUT_MILLISECONDS = 8_000;
 const RUN_TIMEOUT_MILLISECONDS = 600_000;
 
-/** Asks other nodes about keys. */
+/** Sends keyed requests and key claims to other nodes. */
 export class OutcomePeerClient {
   readonly #channels: PeerChannels;
   readonly #nodes: () => readonly Vm[];
 
   /**
    * @param channels The connections to the peers.
-   * @param nodes Lists the nodes as known at present, the leaving included.
+   * @param nodes Lists the currently known nodes, including leaving ones.
    */
   constructor(channels: PeerChannels, nodes: () => readonly Vm[]) {
     this.#channels = channels;
@@ -35,10 +35,10 @@
   }
 
   /**
-   * Has a request run by the node that alone may run its key.
+   * Forwards a request to the only node that may run its key.
    * @param node The node.
-   * @param run The request, and the incarnation that may run it.
-   * @returns The outcome; unknown where the node is gone or silent.
+   * @param run The request and the incarnation that may run it.
+   * @returns The outcome; unknown if the node is gone or does not answer.
    */
   run(node: NodeId, run: KeyedRun): Promise<KeyedResult> {
     const client = this.#client(node);
@@ -58,10 +58,10 @@
   }
 
   /**
-   * Claims a key through a gathering node.
+   * Claims a key through the node that gathers claims.
    * @param node The gathering node.
    * @param claim The claim.
-   * @returns The verdict; refused where the node is gone or silent.
+   * @returns The verdict; refused if the node is gone or does not answer.
    */
   claim(node: NodeId, claim: KeyClaim): Promise<ClaimVerdict> {
     const client = this.#client(node);
@@ -84,7 +84,7 @@
   }
 
   #client(node: NodeId): OutcomesClient | undefined {
-    const vm = this.#nodes().find((one) => one.id === node);
+    const vm = this.#nodes().find((candidate) => candidate.id === node);
     if (vm === undefined) return undefined;
     const address = vm.peerAddress ?? vm.address;
     return new OutcomesClient(address, credentials.createInsecure(), {
@@ -97,7 +97,7 @@
   return `The node did not answer: ${error.details}.`;
 }
 
-/** Nothing is known of the key, and no other node will ever run it. */
+/** The key's outcome is unknown, and no other node will ever run the key. */
 function unknownOutcome(node: NodeId, message: string): Failure {
   return {
     reason: "unavailable",
--- a/packages/node/src/delivery/outcome_service.ts
+++ b/packages/node/src/delivery/outcome_service.ts
@@ -17,9 +17,9 @@
   toVerdictMessage,
 } from "./outcome_messages.ts";
 
-/** What answers peers about keys. */
+/** The dependencies of the outcome service. */
 export interface OutcomeServiceParts {
-  /** Runs the keys of this incarnation. */
+  /** Runs the keys that this incarnation may run. */
   readonly execution: NodeKeyedExecution;
   /** Claims keys for the nodes of this failure domain. */
   readonly gatherer: ClaimGatherer;
@@ -27,9 +27,9 @@
 }
 
 /**
- * Answers peers about keys.
- * @param parts What answers.
- * @returns The service, to register.
+ * Creates the service that runs keyed requests and claims keys for peers.
+ * @param parts The dependencies.
+ * @returns The gRPC service to register.
  */
 export function outcomeService(parts: OutcomeServiceParts): PeerRegistration {
   const { execution, gatherer, work } = parts;
@@ -38,22 +38,22 @@
     implementation: {
       runKeyed(
         call: ServerUnaryCall<KeyedRun, KeyedOutcome>,
-        done: sendUnaryData<KeyedOutcome>,
+        callback: sendUnaryData<KeyedOutcome>,
       ) {
         const end = work.begin();
         void execution.runForPeer(call.request).then((result) => {
           end();
-          done(null, toKeyedOutcome(result));
+          callback(null, toKeyedOutcome(result));
         });
       },
       claim(
         call: ServerUnaryCall<ClaimBatch, ClaimVerdicts>,
-        done: sendUnaryData<ClaimVerdicts>,
+        callback: sendUnaryData<ClaimVerdicts>,
       ) {
         const end = work.begin();
         void claimAll(gatherer, call.request).then((verdicts) => {
           end();
-          done(null, { verdicts: verdicts.map(toVerdictMessage) });
+          callback(null, { verdicts: verdicts.map(toVerdictMessage) });
         });
       },
     },
--- a/packages/node/src/delivery/service_delivery.ts
+++ b/packages/node/src/delivery/service_delivery.ts
@@ -4,11 +4,11 @@
 import * as z from "zod";
 import type { KeyedExecution } from "./keyed_execution.ts";
 
-/** A caller's call to a plain service, before a server is chosen. */
+/** A caller's call to a plain service for which no server is chosen yet. */
 export interface ServiceRequest {
   readonly service: string;
   readonly method: string;
-  /** Path and query. */
+  /** The path and the query. */
   readonly path: string;
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
@@ -17,10 +17,11 @@
 /** Sends a call to one server of its service, at most once. */
 export abstract class ServiceCallRunner {
   /**
-   * Sends a call once. Another server may be tried only where the first is
-   * proven not to have run it.
+   * Sends a call once. Another server may be tried only if the first is proven
+   * not to have run the call.
    * @param request The call.
-   * @returns The answer, or a failure that tells truthfully whether it ran.
+   * @returns The answer, or a failure whose outcome states truthfully whether
+   * the call ran.
    */
   abstract runOnce(
     request: ServiceRequest,
@@ -45,7 +46,7 @@
   leaving: z.boolean(),
 });
 
-/** Brings calls that must not run twice to plain services. */
+/** Delivers calls that must not run twice to plain services. */
 export class ServiceDelivery {
   readonly #execution: KeyedExecution;
   readonly #runner: ServiceCallRunner;
@@ -61,15 +62,15 @@
       const request = decodeRequest(payload);
       if (request === undefined) return err(unreadableMessage("not_run"));
       const answer = await runner.runOnce(request);
-      return answer.andThen((found) => toKeyedResult(request, found));
+      return answer.andThen((received) => toKeyedResult(request, received));
     });
   }
 
   /**
    * Runs a call that must not run twice.
    * @param request The call.
-   * @param key The `Idempotency-Key`; without one it is sent once.
-   * @returns The answer of the only run, or what is known of it.
+   * @param key The `Idempotency-Key`; without one the call is sent once.
+   * @returns The answer of the only run, or a failure with its known outcome.
    */
   async deliver(
     request: ServiceRequest,
@@ -86,7 +87,7 @@
   }
 }
 
-/** The service sees the key too: its own check is a further safeguard. */
+/** Adds the key for the service, whose own check is a further safeguard. */
 function withKeyHeader(request: ServiceRequest, key: string): ServiceRequest {
   const others = request.headers.filter((header) =>
     header.name.toLowerCase() !== KEY_HEADER
@@ -97,7 +98,7 @@
   };
 }
 
-/** A call that its server states as not run frees its key. */
+/** Fails if the server states that the call did not run, to free its key. */
 function toKeyedResult(
   request: ServiceRequest,
   answer: ServiceAnswer,
@@ -112,7 +113,7 @@
   });
 }
 
-/** Headers may differ between a request and its retry. */
+/** Leaves out the headers, which may differ between a call and its retry. */
 function encodeIdentity(request: ServiceRequest): Uint8Array {
   const { service, method, path, body } = request;
   return encode([service, method, path, toBase64(body)]);
--- a/packages/node/src/drain/counted_requests.ts
+++ b/packages/node/src/drain/counted_requests.ts
@@ -2,7 +2,7 @@
 import type { Drain } from "./drain.ts";
 import type { WorkInProgress } from "./work_in_progress.ts";
 
-/** What counting works with. */
+/** The dependencies of {@link countRequests}. */
 export interface CountedRequestsParts {
   readonly work: WorkInProgress;
   readonly drain: Drain;
@@ -12,7 +12,8 @@
  * Counts the HTTP requests in progress, and asks callers to close their
  * connections once the node is leaving.
  * @param application The HTTP server.
- * @param parts What counts, and whether the node is leaving.
+ * @param parts The request counter, and the drain, which knows whether the node
+ * is leaving.
  */
 export function countRequests(
   application: FastifyInstance,
--- a/packages/node/src/drain/drain.ts
+++ b/packages/node/src/drain/drain.ts
@@ -9,7 +9,7 @@
 import type { HandOver } from "./hand_over.ts";
 import type { WorkInProgress } from "./work_in_progress.ts";
 
-/** What a drain works with. */
+/** The dependencies of {@link Drain}. */
 export interface DrainParts {
   readonly terms: PlannedStopOptions;
   readonly work: WorkInProgress;
@@ -18,7 +18,7 @@
   readonly logger: PartLogger;
 }
 
-/** Carries out a planned stop. */
+/** Executes a planned stop of this node. */
 export class Drain {
   readonly #parts: DrainParts;
   readonly #stop: PlannedStop;
@@ -26,7 +26,7 @@
   #finished: Promise<number> | undefined;
   #finish: (cutOff: number) => void = () => undefined;
 
-  /** @param parts What the drain works with. */
+  /** @param parts The dependencies. */
   constructor(parts: DrainParts) {
     this.#parts = parts;
     this.#stop = new PlannedStop(parts.terms);
@@ -35,20 +35,20 @@
     });
   }
 
-  /** How far the stop has come. */
+  /** The current phase of the stop. */
   get phase(): StopPhase {
     return this.#stop.phase;
   }
 
-  /** Whether this node takes no new work. */
+  /** Whether this node has begun to stop and takes no new work. */
   get isLeaving(): boolean {
     return this.#stop.phase !== "serving";
   }
 
   /**
-   * Begins, or joins, the planned stop.
-   * @returns Once nothing is in progress: how many requests were cut off,
-   * which only a bound set by the operator can make other than 0.
+   * Begins the planned stop, or waits for the one in progress.
+   * @returns The number of requests that were cut off, once nothing is in
+   * progress. It is 0 unless the operator has set a time limit.
    */
   run(): Promise<number> {
     this.#finished ??= new Promise((resolve) => {
@@ -61,8 +61,8 @@
 
   #advance(): void {
     const now = this.#parts.clock.now();
-    const orders = this.#stop.decide(now, this.#parts.work.count);
-    for (const order of orders) this.#execute(order);
+    const actions = this.#stop.decide(now, this.#parts.work.count);
+    for (const action of actions) this.#execute(action);
     clearTimeout(this.#timer);
     const wake = this.#stop.nextWake();
     if (wake === undefined) return;
@@ -71,8 +71,8 @@
     }, Math.max(1, Math.ceil(wake - now)));
   }
 
-  #execute(order: StopAction): void {
-    switch (order.kind) {
+  #execute(action: StopAction): void {
+    switch (action.kind) {
       case "announce":
         void this.#announce();
         break;
@@ -80,15 +80,15 @@
         void this.#releaseEngines();
         break;
       case "stop":
-        this.#finish(order.cutOff);
+        this.#finish(action.cutOff);
         break;
     }
   }
 
   async #announce(): Promise<void> {
-    const told = await this.#parts.handOver.announceLeaving();
-    if (told.isErr()) {
-      this.#warn("Some peers do not know of the stop.", told.error);
+    const announced = await this.#parts.handOver.announceLeaving();
+    if (announced.isErr()) {
+      this.#warn("Announcing the stop to some peers failed.", announced.error);
     } else this.#stop.announced(this.#parts.clock.now());
     this.#advance();
   }
@@ -96,7 +96,7 @@
   async #releaseEngines(): Promise<void> {
     const released = await this.#parts.handOver.releaseEngines();
     if (released.isErr()) {
-      this.#warn("Engines were not handed over.", released.error);
+      this.#warn("Handing engines over failed.", released.error);
     }
     this.#stop.handedOver();
     this.#advance();
--- a/packages/node/src/drain/hand_over.ts
+++ b/packages/node/src/drain/hand_over.ts
@@ -1,7 +1,7 @@
 import type { Failure } from "@foxtailwind/core";
 import type { Result } from "neverthrow";
 
-/** Lets go of what this node holds for the others, when it stops. */
+/** Hands the duties of a stopping node over to other nodes. */
 export abstract class HandOver {
   /**
    * Tells the peers that this node takes no new work.
@@ -10,9 +10,9 @@
   abstract announceLeaving(): Promise<Result<void, Failure>>;
 
   /**
-   * Gives the engines that this node controls to other nodes. Requests in
-   * progress on them go on here until they end.
-   * @returns Once others control them, or why not.
+   * Hands the engines that this node controls over to other nodes. Requests in
+   * progress on them continue here until they end.
+   * @returns Once other nodes control them, or why they do not.
    */
   abstract releaseEngines(): Promise<Result<void, Failure>>;
 }
--- a/packages/node/src/drain/leaving_engines.ts
+++ b/packages/node/src/drain/leaving_engines.ts
@@ -6,15 +6,15 @@
 
 const POLL_MILLISECONDS = 500;
 
-/** Where the engines that this node controls stand. */
+/** The engines that this node controls. */
 export interface ControlledEngines {
-  /** The controllers that run here. */
+  /** The controllers that run on this node. */
   readonly controllers: Iterable<{ readonly engine: EngineId }>;
-  /** Brings waiting requests elsewhere; those in progress go on. */
+  /** Moves waiting requests elsewhere; those in progress continue. */
   stopControlling(engine: EngineId): void;
 }
 
-/** What the watch works with. */
+/** The dependencies of {@link LeavingEngines}. */
 export interface LeavingEnginesParts {
   readonly directory: VmDirectory;
   readonly engines: ControlledEngines;
@@ -23,14 +23,14 @@
 }
 
 /**
- * Takes new work away from engines that leave, whether the VM list or the
- * engine itself says so first.
+ * Stops new work on leaving engines, whether the VM list or the engine itself
+ * reports first that it leaves.
  */
 export class LeavingEngines {
   readonly #parts: LeavingEnginesParts;
   #isStopped = false;
 
-  /** @param parts What the watch works with. */
+  /** @param parts The dependencies. */
   constructor(parts: LeavingEnginesParts) {
     this.#parts = parts;
     parts.directory.onChange(() => {
@@ -38,7 +38,7 @@
     });
   }
 
-  /** Asks the engines controlled here, now and then until {@link stop}. */
+  /** Polls the engines controlled here until {@link stop}. */
   async run(): Promise<void> {
     while (!this.#isStopped) {
       await Promise.all(
@@ -48,7 +48,7 @@
     }
   }
 
-  /** Stops asking. */
+  /** Stops polling. */
   stop(): void {
     this.#isStopped = true;
   }
@@ -60,16 +60,16 @@
   }
 
   #controlledVms(): readonly VmOfRole<"engine">[] {
-    const held = this.#controlledIds();
+    const controlled = this.#controlledIds();
     return this.#parts.directory.live("engine")
-      .filter((vm) => held.has(engineId(vm.id)));
+      .filter((vm) => controlled.has(engineId(vm.id)));
   }
 
   #releaseLeaving(): void {
-    const held = this.#controlledIds();
+    const controlled = this.#controlledIds();
     for (const vm of this.#parts.directory.vms) {
       const engine = engineId(vm.id);
-      if (vm.state !== "leaving" || !held.has(engine)) continue;
+      if (vm.state !== "leaving" || !controlled.has(engine)) continue;
       this.#parts.logger.info("An engine is leaving.", { engine });
       this.#parts.engines.stopControlling(engine);
     }
--- a/packages/node/src/drain/work_in_progress.ts
+++ b/packages/node/src/drain/work_in_progress.ts
@@ -3,14 +3,14 @@
   readonly #listeners: (() => void)[] = [];
   #count = 0;
 
-  /** How many are in progress. */
+  /** The number of requests in progress. */
   get count(): number {
     return this.#count;
   }
 
   /**
-   * Calls back whenever nothing is in progress any more.
-   * @param listener What to call.
+   * Registers a listener for the end of the last request in progress.
+   * @param listener Called each time the count drops to 0.
    */
   onIdle(listener: () => void): void {
     this.#listeners.push(listener);
@@ -18,7 +18,7 @@
 
   /**
    * Begins a request.
-   * @returns Ends it; further calls of it do nothing.
+   * @returns Ends the request; further calls do nothing.
    */
   begin(): () => void {
     this.#count += 1;
--- a/packages/node/src/peers/failure_message.ts
+++ b/packages/node/src/peers/failure_message.ts
@@ -7,7 +7,7 @@
 import type { FailureMessage } from "@foxtailwind/protocol";
 
 /**
- * Puts a failure into a message.
+ * Converts a failure to a message.
  * @param failure The failure.
  * @returns The message.
  */
--- a/packages/node/src/peers/generate_message.ts
+++ b/packages/node/src/peers/generate_message.ts
@@ -18,23 +18,24 @@
 
 const FIRST_ATTEMPT = 1;
 
-/** A request on its way to an engine's controller. */
+/** A request to be handed over to the controller of an engine. */
 export interface HandOverRequest {
   readonly engine: EngineId;
   readonly generation: GenerationRequest;
-  /** The sender's present time. */
+  /** The present time on the sender's clock. */
   readonly now: Instant;
 }
 
 /**
- * Puts a request into a message; the time it waited goes as a duration.
- * @param handedOver The request and its engine.
+ * Converts a request to a message. The time that it
+ * has waited is sent as a duration.
+ * @param handOver The request and its engine.
  * @returns The message.
  */
 export function toGenerateRequest(
-  handedOver: HandOverRequest,
+  handOver: HandOverRequest,
 ): GenerateRequest {
-  const { engine, generation, now } = handedOver;
+  const { engine, generation, now } = handOver;
   return {
     request: generation.request,
     attempt: generation.attempt ?? FIRST_ATTEMPT,
@@ -54,8 +55,8 @@
 /**
  * Reads a request from a message.
  * @param message The message.
- * @param now The receiver's present time.
- * @returns The request, its arrival placed on the receiver's clock.
+ * @param now The present time on the receiver's clock.
+ * @returns The request, with its arrival time on the receiver's clock.
  */
 export function fromGenerateRequest(
   message: GenerateRequest,
@@ -78,8 +79,8 @@
 
 /**
  * Reads an adapter reference from a message.
- * @param message The message, or nothing.
- * @returns The reference; empty ids where there is no message.
+ * @param message The message, if there is one.
+ * @returns The reference; with empty ids if there is no message.
  */
 export function fromAdapter(message: Adapter | undefined): AdapterReference {
   return {
--- a/packages/node/src/peers/generation_service.ts
+++ b/packages/node/src/peers/generation_service.ts
@@ -24,18 +24,18 @@
 import { HandOverOutbox } from "./hand_over_outbox.ts";
 import type { PeerRegistration } from "./peer_server.ts";
 
-/** How long a request runs on for an entry node that may come back. */
+/** How long a request keeps running for an entry node that may reconnect. */
 const RESUME_GRACE_MILLISECONDS = 3_000;
 
-/** How long a peer has to end a call itself that is to close. */
+/** How long a peer has to end a call that is asked to close. */
 const DRAIN_GRACE_MILLISECONDS = 1_000;
 
 type HandOverCall = ServerDuplexStream<ToController, ToEntry>;
 
-/** What requests that are handed over run on. */
+/** Runs requests that are handed over to this node. */
 export type HandOverRunner = Pick<GenerationRouter, "runHere">;
 
-/** What runs and counts the requests of peers. */
+/** The dependencies of the generation service. */
 export interface GenerationServiceParts {
   readonly router: HandOverRunner;
   readonly clock: SteadyClock;
@@ -43,9 +43,10 @@
 }
 
 /**
- * Answers peers that hand requests over to engines controlled here.
- * @param parts What runs and counts the requests.
- * @returns The service, to register.
+ * Creates the service through which peers hand over requests for engines that
+ * this node controls.
+ * @param parts The dependencies.
+ * @returns The gRPC service to register.
  */
 export function generationService(
   parts: GenerationServiceParts,
@@ -67,7 +68,7 @@
   };
 }
 
-/** All requests that one peer handed over by one call. */
+/** The requests that one peer hands over through one call. */
 class HandOverSession {
   readonly #call: HandOverCall;
   readonly #parts: GenerationServiceParts;
@@ -108,7 +109,7 @@
     call.write({ ready: true, closing: false, answers: [] });
   }
 
-  /** Asks the peer to end the call; ends it where the peer does not. */
+  /** Asks the peer to end the call, and ends it if the peer does not. */
   drain(): void {
     this.#isDraining = true;
     this.#call.write({ ready: false, closing: true, answers: [] });
@@ -157,7 +158,7 @@
     if (this.#outbox.blocked) lane.setPeerBlocked(true);
   }
 
-  /** The entry node may come back and resume; else its work is cancelled. */
+  /** Cancels the requests unless the entry node reconnects to resume them. */
   #handleDisconnect(): void {
     if (this.#isDisconnected) return;
     this.#isDisconnected = true;
@@ -178,7 +179,7 @@
   readonly onFinished: () => void;
 }
 
-/** One request of a session: its answer goes to the session's outbox. */
+/** One request of a session; writes its answer to the session's outbox. */
 class Lane extends GenerationSink {
   readonly #parts: LaneParts;
   #handle: GenerationHandle | undefined;
@@ -220,9 +221,9 @@
       (end) => ({ $case: "end", value: end }),
       (failure) => ({ $case: "failure", value: toFailureMessage(failure) }),
     );
-    const { outbox, number, onFinished: onOver } = this.#parts;
+    const { outbox, number, onFinished } = this.#parts;
     outbox.push({ lane: number, part });
-    onOver();
+    onFinished();
   }
 
   #applyPause(): void {
--- a/packages/node/src/peers/hand_over_link.ts
+++ b/packages/node/src/peers/hand_over_link.ts
@@ -27,11 +27,11 @@
   readonly message: GenerateRequest;
   readonly sink: GenerationSink;
   adapter: AdapterReference;
-  /** Whether the peer may have learned of the request. */
+  /** Whether the request was written, so that the peer may have received it. */
   sent: boolean;
 }
 
-/** One call to a peer, which carries all requests handed over to it. */
+/** Carries all requests that are handed over to a peer through one call. */
 export class HandOverLink {
   readonly #peer: string;
   readonly #call: ClientDuplexStream<ToController, ToEntry>;
@@ -45,8 +45,8 @@
   #isFlushScheduled = false;
 
   /**
-   * @param client The peer's client.
-   * @param peer The peer's id, named in failures.
+   * @param client The client of the peer.
+   * @param peer The peer's id, for failures.
    */
   constructor(client: PeerClient, peer: string) {
     this.#peer = peer;
@@ -68,12 +68,12 @@
     }, READY_TIMEOUT_MILLISECONDS);
   }
 
-  /** Whether a new request may go over this link. */
+  /** Whether the link accepts new requests. */
   get isUsable(): boolean {
     return !this.#isBroken && !this.#isClosing;
   }
 
-  /** How many requests are in progress. */
+  /** The number of requests in progress. */
   get laneCount(): number {
     return this.#lanes.size;
   }
@@ -108,7 +108,7 @@
     };
   }
 
-  /** Ends the call; requests in progress fail. */
+  /** Closes the call; requests in progress fail. */
   close(): void {
     this.#fail("The link was closed.");
   }
@@ -119,7 +119,9 @@
       this.#push(lane, { $case: "cancel", value: true });
       return;
     }
-    this.#commands = this.#commands.filter((one) => one.lane !== lane.number);
+    this.#commands = this.#commands.filter((command) =>
+      command.lane !== lane.number
+    );
     this.#end(lane, err(this.#failure(lane, CANCELLED_BEFORE_SENDING)));
   }
 
--- a/packages/node/src/peers/hand_over_outbox.ts
+++ b/packages/node/src/peers/hand_over_outbox.ts
@@ -2,24 +2,24 @@
 import { type RequestId, sameAdapter } from "@foxtailwind/core";
 import type { Answer, Frame, ToEntry } from "@foxtailwind/protocol";
 
-/** What an outbox writes to. */
+/** The destination of an outbox. */
 export interface BatchWriter {
   /**
    * Writes a batch.
-   * @returns Whether the peer keeps up; if not, {@link HandOverOutbox.drained}
-   * follows.
+   * @returns Whether more may be written at once; if not,
+   * {@link HandOverOutbox.drained} must be called once it may.
    */
   write(batch: ToEntry): boolean;
 }
 
-/** What the entry node knows of a lane without being told again. */
+/** The state of a lane that the entry node already knows. */
 export interface LaneState {
   readonly request: RequestId;
-  /** The adapter that the frame before named. */
+  /** The adapter of the previous frame. */
   readonly adapter: AdapterReference | undefined;
 }
 
-/** Gathers the answers of one turn of the loop into one message. */
+/** Batches the answers of one event loop turn into one message. */
 export class HandOverOutbox {
   readonly #writer: BatchWriter;
   readonly #onBlocked: (blocked: boolean) => void;
@@ -29,25 +29,25 @@
   #blocked = false;
 
   /**
-   * @param writer Takes the batches.
-   * @param onBlocked Learns when the peer stops or goes on keeping up.
+   * @param writer Receives the batches.
+   * @param onBlocked Called when the writer becomes blocked or unblocked.
    */
   constructor(writer: BatchWriter, onBlocked: (blocked: boolean) => void) {
     this.#writer = writer;
     this.#onBlocked = onBlocked;
   }
 
-  /** Whether the peer does not keep up at present. */
+  /** Whether the writer currently waits for the peer to drain it. */
   get blocked(): boolean {
     return this.#blocked;
   }
 
   /**
-   * Adds a frame; one that goes on where the last one of its lane ended is
-   * joined to it.
+   * Adds a frame, merged into the last frame of its lane if it continues that
+   * frame.
    * @param lane The lane.
    * @param frame The frame.
-   * @param known What the entry node knows of the lane.
+   * @param known The state of the lane that the entry node already knows.
    */
   pushFrame(lane: number, frame: GenerationFrame, known: LaneState): void {
     const { adapter, request } = known;
@@ -55,8 +55,8 @@
     const changed = adapter === undefined ||
       !sameAdapter(adapter, frame.adapter);
     const last = this.#extendableFrames.get(lane);
-    const joins = last !== undefined && isOwn && !changed;
-    if (joins && isContinuation(last, frame)) {
+    const canMerge = last !== undefined && isOwn && !changed;
+    if (canMerge && isContinuation(last, frame)) {
       last.tokens.push(...frame.tokens);
       return;
     }
@@ -86,7 +86,7 @@
     });
   }
 
-  /** The peer keeps up again. */
+  /** Resumes writing after the peer has drained the writer. */
   drained(): void {
     if (!this.#blocked) return;
     this.#blocked = false;
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Writes what is gathered.
-   * @returns Whether the peer keeps up.
+   * Writes the pending answers.
+   * @returns Whether more may be written at once.
    */
   flush(): boolean {
     if (this.#answers.length === 0) return true;
--- a/packages/node/src/peers/peer_channels.ts
+++ b/packages/node/src/peers/peer_channels.ts
@@ -1,6 +1,6 @@
 import { Channel, credentials } from "@grpc/grpc-js";
 
-/** A restarted peer is reached again within a second. */
+/** Backoff limits that reconnect to a restarted peer within a second. */
 const CHANNEL_OPTIONS = {
   "grpc.initial_reconnect_backoff_ms": 100,
   "grpc.min_reconnect_backoff_ms": 100,
@@ -9,20 +9,20 @@
   "grpc.keepalive_timeout_ms": 1_000,
 } as const;
 
-/** Keeps one gRPC connection to each peer, which all services share. */
+/** Keeps one gRPC connection to each peer, shared by all services. */
 export class PeerChannels {
   readonly #channels = new Map<string, Channel>();
   #isClosed = false;
 
-  /** Whether the node has stopped, and calls no peer any more. */
+  /** Whether the node has stopped and no longer calls peers. */
   get isClosed(): boolean {
     return this.#isClosed;
   }
 
   /**
-   * Gives the connection to a peer.
-   * @param address IP literal and port.
-   * @returns The channel; made where there is none yet.
+   * Returns the connection to a peer, creating it if needed.
+   * @param address The IP literal and port.
+   * @returns The channel.
    */
   channel(address: string): Channel {
     const known = this.#channels.get(address);
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Closes the connections to peers that are gone.
-   * @param kept The addresses of the peers that remain.
+   * Closes the connections to all peers but the given ones.
+   * @param kept The addresses of the remaining peers.
    */
   retain(kept: ReadonlySet<string>): void {
     for (const [address, channel] of this.#channels) {
--- a/packages/node/src/peers/peer_clients.ts
+++ b/packages/node/src/peers/peer_clients.ts
@@ -5,7 +5,7 @@
 import { HandOverLink } from "./hand_over_link.ts";
 import type { PeerChannels } from "./peer_channels.ts";
 
-/** Hands requests over to the other nodes. */
+/** Hands requests over to other nodes. */
 export class PeerClients {
   readonly #channels: PeerChannels;
   readonly #links = new Map<string, HandOverLink>();
@@ -18,20 +18,20 @@
   /**
    * Hands a request over to the node that controls its engine.
    * @param peer The node.
-   * @param handedOver The request and its engine.
+   * @param handOver The request and its engine.
    * @param sink Receives the answer.
    * @returns The handle of the generation.
    */
   generate(
     peer: Vm,
-    handedOver: HandOverRequest,
+    handOver: HandOverRequest,
     sink: GenerationSink,
   ): GenerationHandle {
     const link = this.#link(peer);
-    return link.generate(toGenerateRequest(handedOver), sink);
+    return link.generate(toGenerateRequest(handOver), sink);
   }
 
-  /** Ends all links; requests in progress on them fail. */
+  /** Closes all links; their requests in progress fail. */
   close(): void {
     for (const link of this.#links.values()) link.close();
     this.#links.clear();
--- a/packages/node/src/peers/peer_server.ts
+++ b/packages/node/src/peers/peer_server.ts
@@ -6,15 +6,15 @@
 } from "@grpc/grpc-js";
 import type { SocketAddress } from "../settings/settings.ts";
 
-/** One gRPC service that peers may call, with what answers it. */
+/** A gRPC service for peers and its implementation. */
 export interface PeerRegistration {
   readonly definition: ServiceDefinition;
   readonly implementation: UntypedServiceImplementation;
-  /** Ends calls that would stay open, once nothing is in progress on them. */
+  /** Ends long-lived calls once nothing is in progress on them. */
   readonly drain?: () => void;
 }
 
-/** Answers the other nodes. */
+/** Serves the gRPC services that other nodes call. */
 export class PeerServer {
   readonly #server = new Server();
   readonly #registrations: readonly PeerRegistration[];
@@ -27,9 +27,9 @@
   }
 
   /**
-   * Starts to listen.
-   * @param address Where; port 0 takes a free one.
-   * @returns The port taken.
+   * Starts listening.
+   * @param address The address; port 0 selects a free port.
+   * @returns The port.
    */
   listen(address: SocketAddress): Promise<number> {
     return new Promise((resolve, reject) => {
@@ -44,7 +44,7 @@
     });
   }
 
-  /** Stops at once and ends the calls in progress. */
+  /** Stops immediately and aborts the calls in progress. */
   cutConnections(): void {
     this.#server.forceShutdown();
   }
--- a/packages/node/tests/cluster/log_outage_test.ts
+++ b/packages/node/tests/cluster/log_outage_test.ts
@@ -2,11 +2,11 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { startTestCluster } from "../helpers/test_cluster.ts";
 
-/** Longer than the lease of the log's tail. */
+/** Longer than the lease that reads of the log's tail renew. */
 const OUTAGE_MILLISECONDS = 2_500;
 const ADAPTERS = ["a", "b", "c", "d", "e", "f"];
 
-test("adapters are loaded through an outage of the log, by promises", async (t) => {
+test("promises let nodes load adapters during a log outage", async (t) => {
   const cluster = await startTestCluster({ nodes: 3, engines: 2 });
   t.teardown(() => cluster.close());
   await cluster.publish([
--- a/packages/node/tests/configuration/spread_test.ts
+++ b/packages/node/tests/configuration/spread_test.ts
@@ -45,8 +45,8 @@
   });
 }
 
-/** How many records the stream of the configuration has had. */
-async function appended(node: InProcessNode): Promise<number> {
+/** Returns how many records were ever appended to the configuration stream. */
+async function countAppended(node: InProcessNode): Promise<number> {
   const page = await node.daemon.log.read(CONFIGURATION_STREAM, {
     from: logOffset(0),
     limit: 1,
@@ -67,10 +67,10 @@
     if (condition()) return;
     await new Promise((resolve) => setTimeout(resolve, 10));
   }
-  throw new Error(`Cannot go on: not so after ${MAXIMUM_POLLS} polls`);
+  throw new Error(`The condition was not met after ${MAXIMUM_POLLS} polls`);
 }
 
-function first(cluster: InProcessCluster): InProcessNode {
+function firstNode(cluster: InProcessCluster): InProcessNode {
   const [node] = cluster.nodes;
   if (node === undefined) throw new Error("The cluster has no node");
   return node;
@@ -78,21 +78,21 @@
 
 test("an accepted change is in force at every node", async (t) => {
   const cluster = await startCluster(t, { nodes: 5, domains: 2 });
-  t.is((await publish(first(cluster), 700)).status, 200);
+  t.is((await publish(firstNode(cluster), 700)).status, 200);
   await until(() => cluster.nodes.every((node) => targetAt(node) === 700));
   t.pass();
 });
 
-test("a change whose answer the log lost is accepted once", async (t) => {
+test("a change whose append answer is lost is accepted once", async (t) => {
   const cluster = await startCluster(t, { nodes: 1, domains: 1 });
-  const node = first(cluster);
+  const node = firstNode(cluster);
   cluster.log.setFaults({ loseAppendAnswerProbability: 1 });
   const lost = await publish(node, 700, { id: "lost", base: -1 });
   t.like(lost.body, { outcome: "unknown" });
   cluster.log.setFaults({ loseAppendAnswerProbability: 0 });
   const again = await publish(node, 700, { id: "lost", base: -1 });
   t.like(again.body, { id: "lost", offset: 0, repeated: true });
-  t.true(await appended(node) > 1);
+  t.true(await countAppended(node) > 1);
   const history = await call(node, "configuration/history");
   t.like(history.body, { changes: [{ id: "lost", verdict: "accepted" }] });
 });
@@ -107,40 +107,40 @@
   t.snapshot(lost);
 });
 
-test("a log outage keeps what was accepted and refuses new changes", async (t) => {
+test("during a log outage accepted changes stay and new ones are refused", async (t) => {
   const cluster = await startCluster(t, { nodes: 1, domains: 1 });
-  await publish(first(cluster), 700);
+  await publish(firstNode(cluster), 700);
   cluster.log.setFaults({ outage: "refuse" });
-  const refused = await publish(first(cluster), 900);
+  const refused = await publish(firstNode(cluster), 900);
   t.is(refused.status, 503);
   t.like(refused.body, { outcome: "not_run" });
-  t.is(targetAt(first(cluster)), 700);
+  t.is(targetAt(firstNode(cluster)), 700);
 });
 
-test("a node that starts in a log outage takes the state from a peer", async (t) => {
+test("a node that starts in a log outage gets the state from a peer", async (t) => {
   const cluster = await startCluster(t, { nodes: 2, domains: 2 });
-  await publish(first(cluster), 700);
+  await publish(firstNode(cluster), 700);
   cluster.log.setFaults({ outage: "drop" });
   const late = await cluster.startNode("node-late", "domain-3");
   await until(() => targetAt(late) === 700);
-  const { offset, digest } = first(cluster).daemon.follower.configuration;
+  const { offset, digest } = firstNode(cluster).daemon.follower.configuration;
   t.is(late.daemon.follower.configuration.offset, offset);
   t.is(late.daemon.follower.configuration.digest, digest);
 });
 
 test("a node that cannot reach the log gets changes from a peer", async (t) => {
   const cluster = await startCluster(t, { nodes: 2, domains: 2 });
-  const cut = await cluster.startNode("node-cut", "domain-3", {
+  const isolated = await cluster.startNode("node-cut", "domain-3", {
     log: "http://127.0.0.1:1",
   });
-  await publish(first(cluster), 700);
-  await until(() => targetAt(cut) === 700);
-  await publish(first(cluster), 900);
-  await until(() => targetAt(cut) === 900);
-  t.not(cut.daemon.follower.source, "log");
+  await publish(firstNode(cluster), 700);
+  await until(() => targetAt(isolated) === 700);
+  await publish(firstNode(cluster), 900);
+  await until(() => targetAt(isolated) === 900);
+  t.not(isolated.daemon.follower.source, "log");
 });
 
-test("a node that starts after retention passed reads a snapshot", async (t) => {
+test("a node reads a snapshot if the log dropped its first records", async (t) => {
   const cluster = await startCluster(t, {
     nodes: 1,
     domains: 1,
@@ -167,14 +167,14 @@
   await until(() => cluster.nodes.filter(isReader).length === 1);
   const reader = cluster.nodes.find(isReader);
   await cluster.stopNode(reader?.id ?? "");
-  await publish(first(cluster), 700);
+  await publish(firstNode(cluster), 700);
   await until(() => cluster.nodes.every((node) => targetAt(node) === 700));
   t.is(cluster.nodes.length, 3);
 });
 
 test("status names corrupt records, halted and unreachable nodes", async (t) => {
   const cluster = await startCluster(t, { nodes: 2, domains: 2 });
-  const node = first(cluster);
+  const node = firstNode(cluster);
   await node.daemon.log.append(CONFIGURATION_STREAM, ["{"]);
   await publish(node, 700);
   await node.daemon.log.append(CONFIGURATION_STREAM, [`{"format":2}`]);
@@ -185,7 +185,7 @@
     )
   );
   cluster.vmList.setVm({
-    ...listed(cluster, node),
+    ...listedVm(cluster, node),
     id: "node-gone",
     peerAddress: "127.0.0.1:1",
   });
@@ -195,12 +195,12 @@
   t.is(targetAt(node), 700);
 });
 
-test("a node that is halted follows no peer any more", async (t) => {
+test("a halted node no longer follows a peer", async (t) => {
   const cluster = await startCluster(t, { nodes: 2, domains: 1 });
   await until(() =>
     cluster.nodes.some(({ daemon }) => daemon.follower.source !== "log")
   );
-  await first(cluster).daemon.log.append(CONFIGURATION_STREAM, [
+  await firstNode(cluster).daemon.log.append(CONFIGURATION_STREAM, [
     `{"format":2}`,
   ]);
   await until(() =>
@@ -214,14 +214,14 @@
   t.pass();
 });
 
-test("a node that a late answer of the log halts while it follows a peer follows nobody any more", async (t) => {
+test("a node that a late log answer halts stops following its peer", async (t) => {
   const cluster = await startCluster(t, { nodes: 2, domains: 2 });
   cluster.log.setFaults({ outage: "hang" });
   await until(() =>
     cluster.nodes.every(({ daemon }) => daemon.follower.source !== "log")
   );
   cluster.log.setFaults({ outage: "none" });
-  await first(cluster).daemon.log.append(CONFIGURATION_STREAM, [
+  await firstNode(cluster).daemon.log.append(CONFIGURATION_STREAM, [
     `{"format":2}`,
   ]);
   await until(() =>
@@ -235,7 +235,7 @@
 
 test("what cannot be published is refused with the key and the remedy", async (t) => {
   const cluster = await startCluster(t, { nodes: 1, domains: 1 });
-  const node = first(cluster);
+  const node = firstNode(cluster);
   const bodies = [
     {},
     { changes: [] },
@@ -248,12 +248,12 @@
   for (const body of bodies) {
     t.snapshot(await call(node, "configuration", body));
   }
-  t.is(await appended(node), 0);
+  t.is(await countAppended(node), 0);
 });
 
 test("single items are set and removed by their own paths", async (t) => {
   const cluster = await startCluster(t, { nodes: 1, domains: 1 });
-  const node = first(cluster);
+  const node = firstNode(cluster);
   const url = `http://${node.addresses.http}/v1/operators`;
   const headers = { "content-type": "application/json" };
   const set = await request(`${url}/classes/drafting`, {
@@ -275,7 +275,7 @@
   t.is(unknown.statusCode, 404);
 });
 
-function listed(cluster: InProcessCluster, node: InProcessNode) {
+function listedVm(cluster: InProcessCluster, node: InProcessNode) {
   const vm = cluster.vmList.readShown(performance.now()).find(({ id }) =>
     id === node.id
   );
--- a/packages/node/tests/delivery/claim_route_test.ts
+++ b/packages/node/tests/delivery/claim_router_test.ts
@@ -6,21 +6,21 @@
 const DOMAIN = "domain-1";
 const REFUSED_PORT = 1;
 
-function idThatGathers(others: readonly string[]): string {
+function findGatheringNodeId(others: readonly string[]): string {
   for (let number = 0;; number += 1) {
     const id = `gone-${number}`;
     if (rendezvousChoice(DOMAIN, [...others, id]) === id) return id;
   }
 }
 
-test("a claim is made by the node itself where the gathering node is gone", async (t) => {
+test("a node claims a key itself if the gathering node is gone", async (t) => {
   const cluster = await startTestCluster({
     nodes: 2,
     engines: 0,
     services: ["booking"],
   });
   t.teardown(() => cluster.close());
-  const id = idThatGathers(cluster.nodes.map((node) => node.id));
+  const id = findGatheringNodeId(cluster.nodes.map((node) => node.id));
   for (const { standIn } of cluster.standIns) {
     if (!(standIn instanceof FakeVmList)) continue;
     standIn.setVm({
--- a/packages/node/tests/delivery/crashing_content_test.ts
+++ b/packages/node/tests/delivery/crashing_content_test.ts
@@ -1,21 +1,21 @@
 /**
- * The product's own interface, and a request that ends each engine that runs
- * it: it is known by its content, on all nodes.
+ * Tests the quarantine of requests that crash engines, through the product's own
+ * interface. All nodes identify such requests by content.
  */
 import test, { type ExecutionContext } from "ava";
 import { setTimeout as sleep } from "node:timers/promises";
 import { startTestCluster, type TestCluster } from "../helpers/test_cluster.ts";
 
 const ADAPTER = "stain-notes";
-const DEADLY = "A text that ends engines.";
-/** Engines that a content may end before it is refused. */
-const MOST_CRASHES = 3;
-/** From the last of these on, nodes have so long to learn of it. */
-const LEARNING_MILLISECONDS = 3_000;
-/** Engines that it may end after that. */
-const MOST_MORE = 3;
-const CALLERS_TRIES = 12;
-const PAUSE = 100;
+const CRASHING_TEXT = "A text that ends engines.";
+/** Engines that a content may crash before it is refused. */
+const CRASHES_BEFORE_REFUSAL = 3;
+/** How long nodes have after the last of these to learn of the content. */
+const PROPAGATION_MILLISECONDS = 3_000;
+/** Engines that the content may crash after that. */
+const MAXIMUM_LATER_CRASHES = 3;
+const CALLER_ATTEMPTS = 12;
+const PAUSE_MILLISECONDS = 100;
 
 async function startCluster(t: ExecutionContext): Promise<TestCluster> {
   const cluster = await startTestCluster({ nodes: 3, engines: 4 });
@@ -35,7 +35,7 @@
     },
   ]);
   for (const engine of cluster.engines) {
-    engine.setFaults({ crashOnText: DEADLY });
+    engine.setFaults({ crashOnText: CRASHING_TEXT });
   }
   return cluster;
 }
@@ -71,30 +71,40 @@
 }
 
 function countCrashes({ engines }: TestCluster): number {
-  return engines.reduce((sum, one) => sum + one.readCounters().restarts, 0);
+  return engines.reduce(
+    (sum, engine) => sum + engine.readCounters().restarts,
+    0,
+  );
 }
 
-// Guards against engines that end one after the other under one request, which
-// is tried again by its node, and comes again at others.
-test.serial("a content that ends engines is refused by all nodes", async (t) => {
+// Guards against one request crashing engine after engine, because its node
+// retries it and the caller sends it again to other nodes.
+test.serial("all nodes refuse a content that crashes engines", async (t) => {
   const cluster = await startCluster(t);
-  const askFor = async (time: number) => {
+  const askDuring = async (time: number) => {
     const until = performance.now() + time;
     for (let turn = 0; performance.now() < until; turn += 1) {
       const node = turn % cluster.nodes.length;
-      t.not((await ask(cluster, node, DEADLY)).status, 200);
-      await sleep(PAUSE);
+      t.not((await ask(cluster, node, CRASHING_TEXT)).status, 200);
+      await sleep(PAUSE_MILLISECONDS);
     }
   };
-  while (countCrashes(cluster) < MOST_CRASHES) await askFor(PAUSE);
-  await askFor(LEARNING_MILLISECONDS);
-  const learnt = countCrashes(cluster);
-  await askFor(LEARNING_MILLISECONDS);
+  while (countCrashes(cluster) < CRASHES_BEFORE_REFUSAL) {
+    await askDuring(PAUSE_MILLISECONDS);
+  }
+  await askDuring(PROPAGATION_MILLISECONDS);
+  const crashesAtRefusal = countCrashes(cluster);
+  await askDuring(PROPAGATION_MILLISECONDS);
   const crashes = countCrashes(cluster);
-  t.true(crashes - learnt <= MOST_MORE, `${crashes - learnt} more ended.`);
-  t.log(`${learnt} engines ended, ${crashes - learnt} later.`);
+  t.true(
+    crashes - crashesAtRefusal <= MAXIMUM_LATER_CRASHES,
+    `${crashes - crashesAtRefusal} more ended.`,
+  );
+  t.log(
+    `${crashesAtRefusal} engines ended, ${crashes - crashesAtRefusal} later.`,
+  );
   for (const node of cluster.nodes.keys()) {
-    const refused = await ask(cluster, node, DEADLY);
+    const refused = await ask(cluster, node, CRASHING_TEXT);
     t.is(refused.status, 503);
     t.regex(refused.text, /"outcome":"not_run"/);
     t.true(Number(refused.retryAfter) > 0);
@@ -103,19 +113,19 @@
   t.is(countCrashes(cluster), crashes);
 });
 
-// Guards against contents that are refused since engines ended for other
-// reasons, or since streams broke off at engines that live.
-test.serial("what runs beside crashes, or loses its stream, is not refused", async (t) => {
+// Guards against refusing contents because engines ended for other reasons, or
+// because streams broke off at engines that still run.
+test.serial("a content is not refused for unrelated crashes or lost streams", async (t) => {
   const cluster = await startCluster(t);
   for (const engine of cluster.engines) {
     engine.setFaults({ dropNextStreams: 2, dropStreamAfterTokens: 3 });
   }
-  for (let turn = 0; turn < CALLERS_TRIES; turn += 1) {
+  for (let turn = 0; turn < CALLER_ATTEMPTS; turn += 1) {
     const answered = ask(cluster, turn % cluster.nodes.length, "Good text.");
     const engine = cluster.engines[turn % cluster.engines.length];
     if (turn % 3 === 0) engine?.restart();
     await answered;
-    await sleep(PAUSE);
+    await sleep(PAUSE_MILLISECONDS);
   }
   await sleep(1_000);
   for (const node of cluster.nodes.keys()) {
--- a/packages/node/tests/delivery/generations_test.ts
+++ b/packages/node/tests/delivery/generations_test.ts
@@ -42,7 +42,7 @@
   await shared?.close();
 });
 
-function clusterOf(): TestCluster {
+function getCluster(): TestCluster {
   if (shared === undefined) throw new Error("No cluster runs");
   return shared;
 }
@@ -58,7 +58,7 @@
 async function complete(options: CallOptions): Promise<string> {
   const { node, stream, headers = {}, signal, content = "Hello." } = options;
   const answer = await fetch(
-    `${clusterOf().url(node)}/v1/chat/completions`,
+    `${getCluster().url(node)}/v1/chat/completions`,
     {
       dispatcher: agent,
       method: "POST",
@@ -107,46 +107,48 @@
   (_, sequence) => `${ADAPTER}@v1#${sequence} `,
 ).join("");
 
-function engine() {
-  const [found] = clusterOf().engines;
+function getEngine() {
+  const [found] = getCluster().engines;
   if (found === undefined) throw new Error("No engine runs");
   return found;
 }
 
 for (const node of [0, 1, 2]) {
-  test.serial(`a stream that breaks resumes whole through node ${node}`, async (t) => {
-    engine().setFaults({ dropNextStreams: 1, dropStreamAfterTokens: 7 });
-    const resumed = engine().readCounters().generationsResumed;
+  test.serial(`a broken stream resumes completely through node ${node}`, async (t) => {
+    getEngine().setFaults({ dropNextStreams: 1, dropStreamAfterTokens: 7 });
+    const resumed = getEngine().readCounters().generationsResumed;
     const headers = { "x-foxtailwind-not-repeatable": "true" };
     const answer = await complete({ node, stream: true, headers });
     t.is(streamedText(answer), EXPECTED);
     t.true(answer.includes("[DONE]"));
-    t.true(engine().readCounters().generationsResumed > resumed);
-    t.is(engine().readCounters().repeatedRequests, 0);
+    t.true(getEngine().readCounters().generationsResumed > resumed);
+    t.is(getEngine().readCounters().repeatedRequests, 0);
   });
 
-  test.serial(`repeated and misordered frames are mended, node ${node}`, async (t) => {
-    engine().setFaults({
+  test.serial(`repeated and misordered frames are corrected, node ${node}`, async (t) => {
+    getEngine().setFaults({
       duplicateFrameProbability: 0.1,
       misorderFrameProbability: 0.05,
     });
     const answer = await complete({ node, stream: true });
-    engine().setFaults({
+    getEngine().setFaults({
       duplicateFrameProbability: 0,
       misorderFrameProbability: 0,
     });
     t.is(streamedText(answer), EXPECTED);
-    t.is(engine().readCounters().repeatedRequests, 0);
+    t.is(getEngine().readCounters().repeatedRequests, 0);
   });
 }
 
 for (const kind of ["free", "bound"] as const) {
-  test.serial(`a generation with a ${kind} key runs once, for all callers`, async (t) => {
-    const scope = clusterOf().nodes[0]?.daemon.keyedExecution.scopeText(60_000);
+  test.serial(`a generation with a ${kind} key runs once for all callers`, async (t) => {
+    const scope = getCluster().nodes[0]?.daemon.keyedExecution.scopeText(
+      60_000,
+    );
     const key = `${kind === "bound" ? scope ?? "" : ""}draft-1`;
     const headers = { "idempotency-key": key };
     const content = `With a ${kind} key.`;
-    const started = engine().readCounters().generationsStarted;
+    const started = getEngine().readCounters().generationsStarted;
     const [first, joined] = await Promise.all([
       complete({ node: 0, stream: true, headers, content }),
       complete({ node: 1, stream: false, headers, content }),
@@ -155,18 +157,18 @@
     t.is(streamedText(first), EXPECTED);
     t.is(wholeText(joined), EXPECTED);
     t.is(streamedText(again), EXPECTED);
-    t.is(engine().readCounters().generationsStarted, started + 1);
+    t.is(getEngine().readCounters().generationsStarted, started + 1);
   });
 }
 
 for (const node of [0, 1, 2]) {
-  test.serial(`a caller who leaves node ${node} stops the engine`, async (t) => {
-    const cancelled = engine().readCounters().generationsCancelled;
-    engine().setFaults({ outage: "none" });
+  test.serial(`a caller's disconnect from node ${node} stops the engine`, async (t) => {
+    const cancelled = getEngine().readCounters().generationsCancelled;
+    getEngine().setFaults({ outage: "none" });
     const abort = new AbortController();
     const call = complete({ node, stream: true, signal: abort.signal });
     await until(async () => {
-      const state = await fetch(`${engine().address}/v1/state`, {
+      const state = await fetch(`${getEngine().address}/v1/state`, {
         dispatcher: agent,
       });
       const { running } = z.object({ running: z.array(z.unknown()) })
@@ -175,7 +177,9 @@
     });
     abort.abort(new Error("The caller left"));
     await t.throwsAsync(call);
-    await until(() => engine().readCounters().generationsCancelled > cancelled);
+    await until(() =>
+      getEngine().readCounters().generationsCancelled > cancelled
+    );
     t.pass();
   });
 }
--- a/packages/node/tests/delivery/keyed_calls_test.ts
+++ b/packages/node/tests/delivery/keyed_calls_test.ts
@@ -30,7 +30,7 @@
   await shared?.close();
 });
 
-function clusterOf(): TestCluster {
+function getCluster(): TestCluster {
   if (shared === undefined) throw new Error("No cluster runs");
   return shared;
 }
@@ -71,8 +71,8 @@
   const keyAt = async (url: string, own: string): Promise<string> =>
     kind === "free" ? own : `${await scopeOf(url)}${own}`;
 
-  test.serial(`a ${kind} key's retry elsewhere waits for the first run`, async (t) => {
-    const cluster = clusterOf();
+  test.serial(`a ${kind} key's retry at another node waits for the first run`, async (t) => {
+    const cluster = getCluster();
     const server = service(cluster);
     server.setFaults({ delayMilliseconds: SLOW_MILLISECONDS });
     const key = await keyAt(cluster.url(0), "booking-1");
@@ -91,8 +91,8 @@
     t.is(runsOf(cluster, key), 1);
   });
 
-  test.serial(`a ${kind} key's retry after the answer gets it again`, async (t) => {
-    const cluster = clusterOf();
+  test.serial(`a ${kind} key's retry after the answer gets the same answer`, async (t) => {
+    const cluster = getCluster();
     const key = await keyAt(cluster.url(0), "booking-2");
     const first = await book(cluster.url(0), key);
     const again = await book(cluster.url(2), key);
@@ -100,7 +100,7 @@
     t.is(runsOf(cluster, key), 1);
   });
 
-  test.serial(`a ${kind} key is unknown once its node is gone`, async (t) => {
+  test.serial(`a ${kind} key's outcome is unknown once its node is gone`, async (t) => {
     const cluster = await startTestCluster(SIZE);
     t.teardown(() => cluster.close());
     const key = await keyAt(cluster.url(0), "booking-3");
@@ -112,7 +112,7 @@
   });
 
   test.serial(`a ${kind} key with another body is refused as not run`, async (t) => {
-    const cluster = clusterOf();
+    const cluster = getCluster();
     const key = await keyAt(cluster.url(0), "booking-4");
     await book(cluster.url(0), key, '{"slot":1}');
     const other = await book(cluster.url(1), key, '{"slot":2}');
@@ -121,8 +121,8 @@
     t.is(runsOf(cluster, key), 1);
   });
 
-  test.serial(`a ${kind} key whose answer was lost stays unknown`, async (t) => {
-    const cluster = clusterOf();
+  test.serial(`a ${kind} key whose answer was lost keeps an unknown outcome`, async (t) => {
+    const cluster = getCluster();
     const server = service(cluster);
     server.setFaults({ loseNextAnswers: 1 });
     const key = await keyAt(cluster.url(0), "booking-5");
@@ -136,7 +136,7 @@
 }
 
 test.serial("a run that the service states as not run frees its key", async (t) => {
-  const cluster = clusterOf();
+  const cluster = getCluster();
   const server = service(cluster);
   const key = "booking-refused";
   server.setFaults({ refuseNextCalls: 1_000 });
@@ -149,7 +149,7 @@
 });
 
 test.serial("a claim whose append answer is lost is settled by reading", async (t) => {
-  const cluster = clusterOf();
+  const cluster = getCluster();
   const key = "booking-lost-append";
   cluster.log.setFaults({ loseNextAppendAnswers: 1 });
   t.is((await book(cluster.url(0), key)).status, 200);
@@ -158,8 +158,8 @@
   t.is(cluster.log.readCounters().answersLost, 1);
 });
 
-test.serial("in a log outage free keys are not run, bound ones are", async (t) => {
-  const cluster = clusterOf();
+test.serial("during a log outage bound keys run and free keys do not", async (t) => {
+  const cluster = getCluster();
   const key = "booking-outage";
   cluster.log.setFaults({ outage: "refuse" });
   const free = await book(cluster.url(0), key);
@@ -171,8 +171,8 @@
   t.deepEqual([runsOf(cluster, key), runsOf(cluster, bound)], [1, 1]);
 });
 
-test.serial("a claim whose append is lost is not run, and its key goes on", async (t) => {
-  const cluster = clusterOf();
+test.serial("a key is still usable after the append of its claim was lost", async (t) => {
+  const cluster = getCluster();
   const key = "booking-dropped-append";
   cluster.log.setFaults({ dropNextAppends: 1 });
   const first = book(cluster.url(0), key);
--- a/packages/node/tests/drain/leaving_engines_test.ts
+++ b/packages/node/tests/drain/leaving_engines_test.ts
@@ -41,8 +41,8 @@
   return engine?.readCounters().generationsStarted ?? 0;
 }
 
-for (const source of ["its own word", "the VM list"] as const) {
-  test(`an engine that leaves by ${source} gets no new work and finishes`, async (t) => {
+for (const source of ["its own state", "the VM list"] as const) {
+  test(`an engine leaving according to ${source} gets no new work and finishes`, async (t) => {
     const deployment = await startTwoEngines(t);
     const { engines, daemons, vmList } = deployment;
     const [url = ""] = deployment.urls;
--- a/packages/node/tests/drain/planned_stop_test.ts
+++ b/packages/node/tests/drain/planned_stop_test.ts
@@ -16,7 +16,7 @@
   prefillMillisecondsPerToken: 0,
 };
 
-test("a planned stop under streams cuts off none of them", async (t) => {
+test("a planned stop does not cut off open streams", async (t) => {
   const deployment = await startDeployment(t, { engine: ENGINE });
   await publishAdapter(deployment);
   const streams = Array.from(
@@ -33,7 +33,7 @@
   t.is(await stopped, 0);
 });
 
-test("a stop asked for twice still cuts off nothing", async (t) => {
+test("a stop requested twice cuts off nothing", async (t) => {
   const deployment = await startDeployment(t, { engine: ENGINE });
   await publishAdapter(deployment);
   const stream = streamCompletion(deployment.urls[0] ?? "", TOKENS);
@@ -44,7 +44,7 @@
   t.deepEqual(await stops, [0, 0]);
 });
 
-test("a leaving node says so at once and serves what still arrives", async (t) => {
+test("a leaving node reports it at once and serves requests that arrive", async (t) => {
   const { urls, daemons, servers } = await startDeployment(t, {
     servers: [{}],
     nodes: 2,
@@ -58,14 +58,14 @@
   const health = await fetch(`${url}/healthz`);
   t.is(health.status, 200);
   t.is(health.headers.get("connection"), "close");
-  t.deepEqual(await namedNodes(url), ["node-2"]);
+  t.deepEqual(await advertisedNodes(url), ["node-2"]);
   servers[0]?.setFaults({ outage: "none" });
   t.is((await held).status, 200);
   t.is(await stopped, 0);
   await t.throwsAsync(fetch(`${url}/healthz`));
 });
 
-test("a call in progress longer than the address lifetime is finished", async (t) => {
+test("a call that outlasts the address lifetime is finished", async (t) => {
   const { urls, daemons, servers } = await startDeployment(t, {
     servers: [{ latencyMilliseconds: 300 }],
   });
@@ -76,7 +76,7 @@
   t.is(await stopped, 0);
 });
 
-test("a bound set by the operator ends a stop with work in progress", async (t) => {
+test("the operator's time limit ends a stop with work in progress", async (t) => {
   const { urls, daemons, servers } = await startDeployment(t, {
     servers: [{}],
     longestStopSeconds: 0.2,
@@ -117,7 +117,7 @@
   t.is(await stopped, 0);
 });
 
-async function namedNodes(url: string): Promise<readonly string[]> {
+async function advertisedNodes(url: string): Promise<readonly string[]> {
   const answer = await fetch(`${url}/v1/addresses`);
   const body = await answer.json() as {
     readonly addresses: readonly { readonly node: string }[];
--- a/packages/node/tests/peers/hand_over_test.ts
+++ b/packages/node/tests/peers/hand_over_test.ts
@@ -50,7 +50,7 @@
   arrivedAt: instant(0),
 };
 
-class Collector extends GenerationSink {
+class CollectingSink extends GenerationSink {
   readonly frames: GenerationFrame[] = [];
   end: Result<GenerationEnd, Failure> | undefined;
 
@@ -63,9 +63,9 @@
   }
 }
 
-/** An engine's controller that does what the test tells it. */
-class Controller {
-  readonly taken: GenerationRequest[] = [];
+/** Records calls and gives the test access to the sink. */
+class RecordingController {
+  readonly accepted: GenerationRequest[] = [];
   readonly calls: string[] = [];
   sink: GenerationSink | undefined;
 
@@ -74,7 +74,7 @@
     generation: GenerationRequest,
     sink: GenerationSink,
   ): GenerationHandle {
-    this.taken.push(generation);
+    this.accepted.push(generation);
     this.sink = sink;
     const note = (call: string) => () => void this.calls.push(call);
     return {
@@ -86,7 +86,7 @@
 }
 
 async function start(t: ExecutionContext) {
-  const controller = new Controller();
+  const controller = new RecordingController();
   const clock = new ProcessClock();
   const work = new WorkInProgress();
   const server = new PeerServer([
@@ -101,8 +101,8 @@
     return server.close();
   });
   const peer = vmAt(`127.0.0.1:${port}`);
-  const sink = new Collector();
-  const handle = clients.generate(peer, handedOver(), sink);
+  const sink = new CollectingSink();
+  const handle = clients.generate(peer, handOverRequest(), sink);
   return { controller, clients, server, sink, handle, work };
 }
 
@@ -110,7 +110,7 @@
   return { id: "node-2", address: peerAddress, peerAddress } as Vm;
 }
 
-function handedOver() {
+function handOverRequest() {
   const engine = engineId("engine-1");
   return { engine, generation: GENERATION, now: instant(0) };
 }
@@ -120,10 +120,10 @@
   return { request, attempt, sequence, tokens: ["x"], adapter: ADAPTER };
 }
 
-test("attempt, sequence and a foreign request pass the hand-over", async (t) => {
+test("a hand-over preserves attempt, sequence and a foreign request id", async (t) => {
   const { controller, sink } = await start(t);
-  await until(() => controller.taken.length > 0);
-  t.like(controller.taken[0], { attempt: 2, fromSequence: 6 });
+  await until(() => controller.accepted.length > 0);
+  t.like(controller.accepted[0], { attempt: 2, fromSequence: 6 });
   controller.sink?.onFrame(frameOf(6));
   controller.sink?.onFrame(frameOf(7));
   controller.sink?.onFrame(frameOf(7, requestId("request-2")));
@@ -134,9 +134,9 @@
   ]);
 });
 
-test("a slow caller pauses, and one who leaves stops, the engine", async (t) => {
+test("pause, unpause and cancel are forwarded to the controller", async (t) => {
   const { controller, handle } = await start(t);
-  await until(() => controller.taken.length > 0);
+  await until(() => controller.accepted.length > 0);
   handle.pause();
   handle.unpause();
   handle.cancel();
@@ -144,9 +144,9 @@
   t.deepEqual(controller.calls, ["pause", "unpause", "cancel"]);
 });
 
-test("a link lost in mid-stream leaves its request unknown", async (t) => {
+test("a link lost in mid-stream gives an unknown outcome", async (t) => {
   const { controller, clients, sink } = await start(t);
-  await until(() => controller.taken.length > 0);
+  await until(() => controller.accepted.length > 0);
   clients.close();
   t.like(sink.end?._unsafeUnwrapErr(), {
     reason: "unavailable",
@@ -154,14 +154,14 @@
   });
 });
 
-test("a request to a peer that is not there is not run", async (t) => {
+test("a request to an unreachable peer is not run", async (t) => {
   const channels = new PeerChannels();
   const clients = new PeerClients(channels);
   t.teardown(() => {
     channels.close();
   });
-  const sink = new Collector();
-  clients.generate(vmAt("127.0.0.1:1"), handedOver(), sink);
+  const sink = new CollectingSink();
+  clients.generate(vmAt("127.0.0.1:1"), handOverRequest(), sink);
   await until(() => sink.end !== undefined);
   t.like(sink.end?._unsafeUnwrapErr(), {
     reason: "unavailable",
@@ -169,9 +169,9 @@
   });
 });
 
-test("a stopping controller finishes what it took on", async (t) => {
+test("a stopping controller finishes its requests in progress", async (t) => {
   const { controller, server, sink, work } = await start(t);
-  await until(() => controller.taken.length > 0);
+  await until(() => controller.accepted.length > 0);
   const closed = server.close();
   t.is(work.count, 1);
   controller.sink?.onFrame(frameOf(6));
@@ -182,14 +182,14 @@
   t.is(work.count, 0);
 });
 
-test("an outbox that is blocked holds frames back until it drains", (t) => {
+test("a blocked outbox holds frames until it is drained", (t) => {
   const written: ToEntry[] = [];
   const blocked: boolean[] = [];
-  let keepsUp = false;
+  let canWriteMore = false;
   const outbox = new HandOverOutbox({
     write: (batch) => {
       written.push(batch);
-      return keepsUp;
+      return canWriteMore;
     },
   }, (isBlocked) => blocked.push(isBlocked));
   const known = { request: REQUEST, adapter: ADAPTER };
@@ -198,7 +198,7 @@
   outbox.pushFrame(1, frameOf(1), known);
   outbox.pushFrame(1, frameOf(2), known);
   t.is(written.length, 1);
-  keepsUp = true;
+  canWriteMore = true;
   outbox.drained();
   t.deepEqual(blocked, [true, false]);
   t.is(written.length, 2);
