--- a/packages/node/src/cluster/cluster_node.ts
+++ b/packages/node/src/cluster/cluster_node.ts
@@ -51,6 +51,7 @@
   #joined: JoinedCluster | undefined;
   #lastDescription = "";
 
+  /** @param parts The dependencies. */
   constructor(parts: ClusterNodeParts) {
     super();
     this.#parts = parts;
--- a/packages/node/src/cluster/cluster_transport.ts
+++ b/packages/node/src/cluster/cluster_transport.ts
@@ -22,6 +22,7 @@
   readonly #channels: PeerChannels;
   readonly #clients = new Map<string, ClusterClient>();
 
+  /** @param channels The connections to the peers. */
   constructor(channels: PeerChannels) {
     this.#channels = channels;
   }
--- a/packages/node/src/cluster/membership_log_reader.ts
+++ b/packages/node/src/cluster/membership_log_reader.ts
@@ -30,6 +30,7 @@
   #stopped = false;
   #isLogAvailable = true;
 
+  /** @param parts The dependencies. */
   constructor(parts: MembershipLogReaderParts) {
     this.#parts = parts;
   }
--- a/packages/node/src/configuration/configuration_follower.ts
+++ b/packages/node/src/configuration/configuration_follower.ts
@@ -42,9 +42,9 @@
 }
 
 /**
- * Keeps the configuration of this node up to date. It follows its parent in the
- * distribution tree. It reads the log if it does so for its failure domain or no
- * peer has the latest records, and follows any peer while the log is down.
+ * Keeps the configuration of this node up to date: from its parent in the
+ * distribution tree; from the log if this node reads it for its failure domain
+ * or no peer has the latest records; from any peer while the log is down.
  */
 export class ConfigurationFollower {
   readonly store: ConfigurationStore;
@@ -112,7 +112,7 @@
   async run(): Promise<void> {
     while (!this.#stopped) {
       if (this.store.reader.halt !== undefined) {
-        // The record is in the log, whichever peer sent it. No peer is followed.
+        // No peer is followed: the log has the record, whoever sent it.
         this.#source = LOG_NAME;
         await sleep(HALTED_POLL_MILLISECONDS, undefined, { ref: false });
         continue;
--- a/packages/node/src/configuration/configuration_publisher.ts
+++ b/packages/node/src/configuration/configuration_publisher.ts
@@ -46,7 +46,7 @@
    * Publishes a record. Publishing the same id again at any time returns the
    * result of the first publication and changes nothing more.
    * @param record The record.
-   * @returns The offset at which it was accepted, or why it was refused, or that
+   * @returns The offset at which it was accepted, why it was refused, or that
    * its result is not known yet.
    */
   async publish(
--- a/packages/node/src/configuration/configuration_store.ts
+++ b/packages/node/src/configuration/configuration_store.ts
@@ -31,6 +31,10 @@
   readonly #logger: PartLogger;
   #confirmedAt: Instant | undefined;
 
+  /**
+   * @param clock The clock of this node.
+   * @param logger Reports records and snapshots that can't be used.
+   */
   constructor(clock: SteadyClock, logger: PartLogger) {
     this.#clock = clock;
     this.#logger = logger;
--- a/packages/node/src/configuration/log_source.ts
+++ b/packages/node/src/configuration/log_source.ts
@@ -24,6 +24,10 @@
   readonly #logger: PartLogger;
   #firstKept = logOffset(0);
 
+  /**
+   * @param log The log.
+   * @param parts The store to fill and the logger.
+   */
   constructor(log: LogClient, parts: {
     readonly store: ConfigurationStore;
     readonly logger: PartLogger;
@@ -39,8 +43,8 @@
   }
 
   /**
-   * Reads one page, or restores a snapshot if the log no longer retains the next
-   * records.
+   * Reads one page, or restores a snapshot if the log no longer retains the
+   * next records.
    * @param waitMilliseconds How long to wait at the tail.
    * @returns Whether the log answered and its answer was usable.
    */
--- a/packages/node/src/configuration/peer_source.ts
+++ b/packages/node/src/configuration/peer_source.ts
@@ -22,6 +22,10 @@
   readonly #clock: SteadyClock;
   #call: ClientReadableStream<FollowAnswer> | undefined;
 
+  /**
+   * @param channels The connections to the peers.
+   * @param parts The store to fill and the clock.
+   */
   constructor(channels: PeerChannels, parts: {
     readonly store: ConfigurationStore;
     readonly clock: SteadyClock;
--- a/packages/node/src/crashes/crash_memory.ts
+++ b/packages/node/src/crashes/crash_memory.ts
@@ -19,7 +19,7 @@
 const LONG_POLL_MILLISECONDS = 10_000;
 /** The delay between tries while the log fails. */
 const RETRY_MILLISECONDS = 500;
-/** The maximum number of unwritten records; beyond it the oldest are dropped. */
+/** The maximum number of unwritten records; the oldest are dropped first. */
 const MAXIMUM_UNWRITTEN_RECORDS = 500;
 
 /** The dependencies of {@link CrashMemory}. */
@@ -68,7 +68,7 @@
   /**
    * Returns how long a content stays quarantined.
    * @param content The content's digest.
-   * @returns The time until it may be tried again, or `undefined` if it may run.
+   * @returns The time until it may run again; `undefined` if it may run now.
    */
   refusedFor(content: ContentDigest): Duration | undefined {
     return this.#quarantine.remainingTime(this.#parts.clock.now(), content);
--- a/packages/node/src/crashes/engine_suspects.ts
+++ b/packages/node/src/crashes/engine_suspects.ts
@@ -10,7 +10,10 @@
 } from "@foxtailwind/core";
 import type { CrashMemory } from "./crash_memory.ts";
 
-/** A stream that broke longer before the detected crash is not a suspect. */
+/**
+ * The maximum time between a broken stream and the detection of the engine's
+ * end. If more time passes, the engine did not end with that stream.
+ */
 const MAXIMUM_DETECTION_DELAY = milliseconds(10_000);
 
 interface BrokenStream {
@@ -20,8 +23,8 @@
 }
 
 /**
- * Tracks requests whose streams from one run of an engine broke off. They become
- * suspects only if that run turns out to have ended.
+ * Tracks requests whose streams from one run of an engine broke off. They
+ * become suspects only if that run turns out to have ended.
  */
 export class EngineSuspects {
   readonly #engine: EngineId;
--- a/packages/node/src/delivery/generation_attempts.ts
+++ b/packages/node/src/delivery/generation_attempts.ts
@@ -38,7 +38,7 @@
   readonly maximumAttempts: number;
 }
 
-/** Executes the actions that {@link RequestDelivery} decides for one request. */
+/** Executes the decisions of {@link RequestDelivery} for one request. */
 export class GenerationAttempts implements GenerationHandle {
   readonly #parts: GenerationAttemptsParts;
   readonly #delivery: RequestDelivery;
@@ -145,7 +145,7 @@
     if (this.#paused) this.#handle.pause();
   }
 
-  /** Returns the failure of a request whose content is quarantined, if it is. */
+  /** Returns why the request does not run if its content is quarantined. */
   #quarantineFailure(): Failure | undefined {
     const { crashes, deliveryRequest } = this.#parts;
     if (crashes.isEmpty) return undefined;
--- a/packages/node/src/delivery/node_keyed_execution.ts
+++ b/packages/node/src/delivery/node_keyed_execution.ts
@@ -54,7 +54,7 @@
   readonly resolve: (result: KeyedResult) => void;
 }
 
-/** Executes the actions that the {@link KeyCoordinator} of this node decides. */
+/** Executes the decisions of this incarnation's {@link KeyCoordinator}. */
 export class NodeKeyedExecution extends KeyedExecution {
   readonly #parts: KeyedExecutionParts;
   readonly #coordinator: KeyCoordinator;
--- a/packages/node/src/peers/peer_server.ts
+++ b/packages/node/src/peers/peer_server.ts
@@ -19,6 +19,7 @@
   readonly #server = new Server();
   readonly #registrations: readonly PeerRegistration[];
 
+  /** @param registrations The services to serve. */
   constructor(registrations: readonly PeerRegistration[]) {
     this.#registrations = registrations;
     for (const { definition, implementation } of registrations) {
--- a/packages/node/tests/delivery/crashing_content_test.ts
+++ b/packages/node/tests/delivery/crashing_content_test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests the quarantine of requests that crash engines, through the product's own
- * interface. All nodes identify such requests by content.
+ * Tests, through the product's own interface, the quarantine of requests that
+ * crash engines. All nodes identify such requests by content.
  */
 import test, { type ExecutionContext } from "ava";
 import { setTimeout as sleep } from "node:timers/promises";
