--- a/packages/node/src/configuration/configuration_store.ts
+++ b/packages/node/src/configuration/configuration_store.ts
@@ -62,11 +62,11 @@
    * @param range The range.
    * @returns Whether the range is contiguous with the records read before.
    */
-  take(range: RecordRange): boolean {
+  addRange(range: RecordRange): boolean {
     if (!this.reader.isContiguous(range.from)) return false;
     const before = this.reader.nextOffset;
     for (const record of range.records) this.#readRecord(record);
-    this.confirm(range.age);
+    this.recordTailReached(range.age);
     if (this.reader.nextOffset > before) this.#notifyListeners();
     return true;
   }
@@ -89,7 +89,7 @@
    * Records that the records read here reached the log's tail.
    * @param age How long ago; `undefined` if they did not.
    */
-  confirm(age: Duration | undefined): void {
+  recordTailReached(age: Duration | undefined): void {
     if (age === undefined || this.reader.halt !== undefined) return;
     if (!Number.isFinite(age)) return;
     const at = instant(this.#clock.now() - age);
--- a/packages/node/src/configuration/log_source.ts
+++ b/packages/node/src/configuration/log_source.ts
@@ -55,7 +55,7 @@
     this.#firstKept = page.firstKept;
     const isContiguous = page.firstKept <= from;
     const reachesTail = lastOffset(page, from) + 1 >= page.tail;
-    const wasRead = isContiguous && this.#store.take({
+    const wasRead = isContiguous && this.#store.addRange({
       from,
       records: page.records,
       age: reachesTail ? milliseconds(0) : undefined,
--- a/packages/node/src/configuration/peer_source.ts
+++ b/packages/node/src/configuration/peer_source.ts
@@ -98,7 +98,7 @@
   receive({ part }: FollowAnswer): boolean {
     switch (part?.$case) {
       case "records":
-        return this.#store.take({
+        return this.#store.addRange({
           from: logOffset(part.value.from),
           records: part.value.records.map(({ offset, data }) => ({
             offset: logOffset(offset),
@@ -110,7 +110,9 @@
         return this.#receiveChunk(part.value.data);
       case "alive":
         if (part.value.next <= this.#store.reader.nextOffset) {
-          this.#store.confirm(milliseconds(part.value.ageMilliseconds));
+          this.#store.recordTailReached(
+            milliseconds(part.value.ageMilliseconds),
+          );
         }
         return true;
       case undefined:
--- a/packages/node/src/configuration/publish_failure.ts
+++ b/packages/node/src/configuration/publish_failure.ts
@@ -14,7 +14,7 @@
 }
 
 /** The earlier change that a conflicting change lost to. */
-export interface Winner {
+export interface ConflictWinner {
   readonly item: string;
   readonly offset: LogOffset;
   readonly author: string;
@@ -24,7 +24,7 @@
 /** Why a change was not accepted and what the operator can do about it. */
 export interface PublishFailure extends Failure {
   readonly remedy: string;
-  readonly winner?: Winner;
+  readonly winner?: ConflictWinner;
 }
 
 type RefusingVerdict = Exclude<FirstVerdict, { readonly kind: "accepted" }>;
--- a/packages/node/src/crashes/crash_memory.ts
+++ b/packages/node/src/crashes/crash_memory.ts
@@ -70,7 +70,7 @@
    * @param content The content's digest.
    * @returns The time until it may run again; `undefined` if it may run now.
    */
-  refusedFor(content: ContentDigest): Duration | undefined {
+  remainingQuarantine(content: ContentDigest): Duration | undefined {
     return this.#quarantine.remainingTime(this.#parts.clock.now(), content);
   }
 
@@ -78,7 +78,7 @@
    * Records that a content may have crashed an engine.
    * @param suspicion The content and the run of the engine.
    */
-  suspect(suspicion: CrashSuspicion): void {
+  recordSuspicion(suspicion: CrashSuspicion): void {
     this.#parts.logger.info("A request may have crashed an engine.", {
       engine: suspicion.server,
       content: suspicion.content,
@@ -91,7 +91,7 @@
    * Records that a request was served completely.
    * @param content The digest of its content.
    */
-  served(content: ContentDigest): void {
+  recordServed(content: ContentDigest): void {
     const retracted = this.#quarantine.recordServed(content);
     if (retracted.length > 0) this.#add({ kind: "served", content });
   }
--- a/packages/node/src/crashes/engine_suspects.ts
+++ b/packages/node/src/crashes/engine_suspects.ts
@@ -89,7 +89,7 @@
     const server = engineRun(this.#engine, bootId);
     for (const { brokeAt, content, runTime } of this.#broken) {
       if (elapsed(brokeAt, now) > MAXIMUM_DETECTION_DELAY) continue;
-      this.#memory.suspect({ server, content, ranFor: runTime });
+      this.#memory.recordSuspicion({ server, content, ranFor: runTime });
     }
     this.#broken = [];
   }
--- a/packages/node/src/delivery/delivery_parts.ts
+++ b/packages/node/src/delivery/delivery_parts.ts
@@ -18,7 +18,7 @@
 import { GenerationDelivery } from "./generation_delivery.ts";
 import { NodeKeyedExecution } from "./node_keyed_execution.ts";
 import { OutcomePeerClient } from "./outcome_peer_client.ts";
-import { outcomeService } from "./outcome_service.ts";
+import { createOutcomeService } from "./outcome_service.ts";
 
 /** The dependencies of {@link DeliveryParts}. */
 export interface DeliveryPartsOptions {
@@ -72,7 +72,7 @@
       crashes,
       execution: this.execution,
     });
-    this.registration = outcomeService({
+    this.registration = createOutcomeService({
       execution: this.execution,
       gatherer: this.gatherer,
       work: options.work,
--- a/packages/node/src/delivery/generation_attempts.ts
+++ b/packages/node/src/delivery/generation_attempts.ts
@@ -149,7 +149,9 @@
   #quarantineFailure(): Failure | undefined {
     const { crashes, deliveryRequest } = this.#parts;
     if (crashes.isEmpty) return undefined;
-    const wait = crashes.refusedFor(contentOf(deliveryRequest.generation));
+    const wait = crashes.remainingQuarantine(
+      contentOf(deliveryRequest.generation),
+    );
     if (wait === undefined) return undefined;
     return {
       reason: "refused",
@@ -178,7 +180,7 @@
     const { sink, observer, clock, deliveryRequest, counters, crashes } =
       this.#parts;
     if (result.isOk() && !crashes.isEmpty) {
-      crashes.served(contentOf(deliveryRequest.generation));
+      crashes.recordServed(contentOf(deliveryRequest.generation));
     }
     counters.addDropped(this.#delivery.droppedFrames);
     observer.record(clock.now(), {
--- a/packages/node/src/delivery/outcome_messages.ts
+++ b/packages/node/src/delivery/outcome_messages.ts
@@ -120,7 +120,7 @@
         failure: fromFailureMessage(message.result.value),
       };
     case undefined:
-      return unsettledVerdict(peer, "The answer holds no verdict.");
+      return createUnsettledVerdict(peer, "The answer holds no verdict.");
   }
 }
 
@@ -131,7 +131,10 @@
  * @param message What went wrong.
  * @returns The verdict.
  */
-export function unsettledVerdict(peer: string, message: string): ClaimVerdict {
+export function createUnsettledVerdict(
+  peer: string,
+  message: string,
+): ClaimVerdict {
   return {
     kind: "refused",
     failure: {
--- a/packages/node/src/delivery/outcome_peer_client.ts
+++ b/packages/node/src/delivery/outcome_peer_client.ts
@@ -11,10 +11,10 @@
 import type { PeerChannels } from "../peers/peer_channels.ts";
 import type { KeyedResult } from "./keyed_execution.ts";
 import {
+  createUnsettledVerdict,
   fromKeyedOutcome,
   fromVerdictMessage,
   toClaimMessage,
-  unsettledVerdict,
 } from "./outcome_messages.ts";
 
 const CLAIM_TIMEOUT_MILLISECONDS = 8_000;
@@ -67,7 +67,7 @@
     const client = this.#client(node);
     if (client === undefined) {
       return Promise.resolve(
-        unsettledVerdict(node, "The gathering node is gone."),
+        createUnsettledVerdict(node, "The gathering node is gone."),
       );
     }
     const deadline = Date.now() + CLAIM_TIMEOUT_MILLISECONDS;
@@ -77,7 +77,7 @@
         resolve(
           error === null
             ? fromVerdictMessage(answer.verdicts[0], node)
-            : unsettledVerdict(node, describeError(error)),
+            : createUnsettledVerdict(node, describeError(error)),
         );
       });
     });
--- a/packages/node/src/delivery/outcome_service.ts
+++ b/packages/node/src/delivery/outcome_service.ts
@@ -31,7 +31,9 @@
  * @param parts The dependencies.
  * @returns The gRPC service to register.
  */
-export function outcomeService(parts: OutcomeServiceParts): PeerRegistration {
+export function createOutcomeService(
+  parts: OutcomeServiceParts,
+): PeerRegistration {
   const { execution, gatherer, work } = parts;
   return {
     definition: OutcomesService,
