--- a/packages/node/src/cluster/cluster_node.ts
+++ b/packages/node/src/cluster/cluster_node.ts
@@ -34,7 +34,7 @@
 
 const TICK_MILLISECONDS = 50;
 
-/** What a cluster node works with. */
+/** The dependencies of {@link ClusterNode}. */
 export interface ClusterNodeParts {
   readonly node: Settings["node"];
   readonly clock: SteadyClock;
@@ -44,29 +44,30 @@
   readonly logger: PartLogger;
 }
 
-/** Runs this node's part in membership and ownership. */
+/** Runs the membership and ownership protocols of this node. */
 export class ClusterNode extends ClusterView {
   readonly #parts: ClusterNodeParts;
   readonly #listeners: (() => void)[] = [];
-  #running: Running | undefined;
-  #known = "";
+  #joined: JoinedCluster | undefined;
+  #lastDescription = "";
 
+  /** @param parts The dependencies. */
   constructor(parts: ClusterNodeParts) {
     super();
     this.#parts = parts;
   }
 
   override get live(): readonly Member[] {
-    return this.#running?.agent.live ?? [];
+    return this.#joined?.agent.live ?? [];
   }
 
-  /** The engines that this node controls, or is about to. */
+  /** The engines that this node controls or is about to control. */
   get controlled(): readonly EngineId[] {
-    return this.#running?.agent.controlled ?? [];
+    return this.#joined?.agent.controlled ?? [];
   }
 
   override controllerOf(engine: EngineId): NodeId | undefined {
-    const agent = this.#running?.agent;
+    const agent = this.#joined?.agent;
     const controller = agent?.tenureOf(engine)?.controller.node;
     if (agent === undefined || controller !== this.#parts.node.id) {
       return controller;
@@ -79,8 +80,8 @@
     engine: EngineId,
     now: Instant,
   ): Result<FencingNumber, Failure> {
-    if (this.#running === undefined) return err(notStarted(engine));
-    return this.#running.agent.authorizeOrder(engine, now);
+    if (this.#joined === undefined) return err(notJoined(engine));
+    return this.#joined.agent.authorizeOrder(engine, now);
   }
 
   override onChange(listener: () => void): void {
@@ -89,7 +90,7 @@
 
   /**
    * Joins the cluster.
-   * @param address Where this node's gRPC server listens.
+   * @param address The address at which this node's gRPC server listens.
    */
   start(address: string): void {
     const agent = this.#makeAgent(address);
@@ -98,7 +99,7 @@
       log,
       clock,
       logger,
-      next: () => agent.nextOffset,
+      nextOffset: () => agent.nextOffset,
       onPage: (page) => {
         this.#onPage(page);
       },
@@ -106,33 +107,33 @@
     const timer = setInterval(() => {
       void this.#tick();
     }, TICK_MILLISECONDS);
-    this.#running = { agent, reader, timer };
+    this.#joined = { agent, reader, timer };
     void reader.run();
   }
 
-  /** Takes no further part. */
+  /** Stops taking part in the cluster. */
   stop(): void {
-    clearInterval(this.#running?.timer);
-    this.#running?.reader.stop();
+    clearInterval(this.#joined?.timer);
+    this.#joined?.reader.stop();
   }
 
   /**
-   * Says that this node leaves, and lets it hand its engines over.
-   * @returns Whether all heartbeat peers were told at once.
+   * Announces that this node is leaving and starts handing its engines over.
+   * @returns Whether all heartbeat peers confirmed the first announcement.
    */
   async leave(): Promise<boolean> {
-    this.#running?.agent.leave();
-    const told = await Promise.all(this.#tick());
-    return told.every(Boolean);
+    this.#joined?.agent.leave();
+    const confirmations = await Promise.all(this.#tick());
+    return confirmations.every(Boolean);
   }
 
   /**
-   * Takes in another node's message.
+   * Handles a message of another node.
    * @param message The message.
    */
   receive(message: ClusterMessage): void {
     const { clock } = this.#parts;
-    const answers = this.#running?.agent.receive(clock.now(), message) ?? [];
+    const answers = this.#joined?.agent.receive(clock.now(), message) ?? [];
     void this.#send(answers);
   }
 
@@ -156,12 +157,12 @@
   }
 
   #onPage(page: ClusterLogPage): void {
-    this.#running?.agent.onLogPage(this.#parts.clock.now(), page);
+    this.#joined?.agent.onLogPage(this.#parts.clock.now(), page);
     this.#notifyChange();
   }
 
   #tick(): readonly Promise<boolean>[] {
-    const agent = this.#running?.agent;
+    const agent = this.#joined?.agent;
     if (agent === undefined) return [];
     agent.setContacts(this.#contacts());
     const actions = agent.tick(this.#parts.clock.now(), this.#engines());
@@ -180,7 +181,11 @@
     const result = await log.append(MEMBERSHIP_STREAM, [text]);
     if (result.isOk()) return;
     const { outcome, reason, peer, step } = result.error;
-    logger.warn("A record was not appended.", { peer, step, reason });
+    logger.warn("Appending a membership record failed.", {
+      peer,
+      step,
+      reason,
+    });
     if (outcome === "not_run") agent.appendRejected(record.id);
   }
 
@@ -201,13 +206,13 @@
   }
 
   #notifyChange(): void {
-    const known = this.#describe();
-    if (known === this.#known) return;
-    this.#known = known;
+    const description = this.#describeView();
+    if (description === this.#lastDescription) return;
+    this.#lastDescription = description;
     for (const listener of this.#listeners) listener();
   }
 
-  #describe(): string {
+  #describeView(): string {
     const nodes = this.live.map((member) => member.node).join();
     const controllers = this.#engines().map(({ engine }) =>
       `${engine}=${this.controllerOf(engine) ?? ""}`
@@ -216,13 +221,13 @@
   }
 }
 
-interface Running {
+interface JoinedCluster {
   readonly agent: ClusterAgent;
   readonly reader: MembershipLogReader;
   readonly timer: NodeJS.Timeout;
 }
 
-function notStarted(engine: EngineId): Failure {
+function notJoined(engine: EngineId): Failure {
   return {
     reason: "unavailable",
     step: "take_over",
--- a/packages/node/src/cluster/cluster_peer_views.ts
+++ b/packages/node/src/cluster/cluster_peer_views.ts
@@ -2,29 +2,29 @@
 import { PeerViews } from "../routing/mod.ts";
 import type { ClusterView } from "./cluster_view.ts";
 
-/** Leaves out nodes that are suspected or have said that they leave. */
+/** Treats nodes that are suspected or have announced a stop as leaving. */
 export class ClusterPeerViews extends PeerViews {
   readonly #cluster: ClusterView;
-  readonly #own: PeerViews;
+  readonly #ownViews: PeerViews;
 
   /**
-   * @param cluster Who lives.
-   * @param own What this node knows of itself.
+   * @param cluster The membership view.
+   * @param ownViews The view without membership, for loads and leaving nodes.
    */
-  constructor(cluster: ClusterView, own: PeerViews) {
+  constructor(cluster: ClusterView, ownViews: PeerViews) {
     super();
     this.#cluster = cluster;
-    this.#own = own;
+    this.#ownViews = ownViews;
   }
 
   override isLeaving(node: NodeId): boolean {
-    if (this.#own.isLeaving(node)) return true;
+    if (this.#ownViews.isLeaving(node)) return true;
     const { live } = this.#cluster;
     const isViewKnown = live.length > 0;
     return isViewKnown && !live.some((member) => member.node === node);
   }
 
   override loadOf(node: NodeId): number | undefined {
-    return this.#own.loadOf(node);
+    return this.#ownViews.loadOf(node);
   }
 }
--- a/packages/node/src/cluster/cluster_transport.ts
+++ b/packages/node/src/cluster/cluster_transport.ts
@@ -15,25 +15,26 @@
 import type { PeerRegistration } from "../peers/peer_server.ts";
 import { fromEnvelope, toEnvelope } from "./cluster_envelope.ts";
 
-const DEADLINE_MILLISECONDS = 500;
+const SEND_TIMEOUT_MILLISECONDS = 500;
 
-/** Delivers messages between nodes; a lost one is not sent again. */
+/** Sends messages between nodes; a lost message is not sent again. */
 export class ClusterTransport {
   readonly #channels: PeerChannels;
   readonly #clients = new Map<string, ClusterClient>();
 
+  /** @param channels The connections to the peers. */
   constructor(channels: PeerChannels) {
     this.#channels = channels;
   }
 
   /**
    * Sends a message.
-   * @param outgoing The message and where it goes.
-   * @returns Whether the peer has confirmed that it came.
+   * @param outgoing The message and its destination.
+   * @returns Whether the peer has confirmed that it received the message.
    */
   send(outgoing: OutgoingMessage): Promise<boolean> {
     const client = this.#client(outgoing.to.address);
-    const deadline = Date.now() + DEADLINE_MILLISECONDS;
+    const deadline = Date.now() + SEND_TIMEOUT_MILLISECONDS;
     return new Promise((resolve) => {
       if (this.#channels.isClosed) {
         resolve(false);
@@ -62,9 +63,9 @@
 }
 
 /**
- * Receives the messages of the other nodes.
+ * Creates the service that receives messages of other nodes.
  * @param receive Called with each message.
- * @returns The service, to register.
+ * @returns The gRPC service to register.
  */
 export function clusterService(
   receive: (message: ClusterMessage) => void,
@@ -74,11 +75,11 @@
     implementation: {
       deliver(
         call: ServerUnaryCall<ClusterEnvelope, Delivered>,
-        answer: sendUnaryData<Delivered>,
+        callback: sendUnaryData<Delivered>,
       ) {
         const message = fromEnvelope(call.request);
         if (message !== undefined) receive(message);
-        answer(null, {});
+        callback(null, {});
       },
     },
   };
--- a/packages/node/src/configuration/cluster_status.ts
+++ b/packages/node/src/configuration/cluster_status.ts
@@ -3,16 +3,16 @@
 import { credentials, Metadata } from "@grpc/grpc-js";
 import type { PeerChannels } from "../peers/peer_channels.ts";
 
-const DEADLINE_MILLISECONDS = 1_000;
-const AT_ONCE = 64;
+const STATUS_TIMEOUT_MILLISECONDS = 1_000;
+const MAXIMUM_CONCURRENT_REQUESTS = 64;
 
-/** What one node has in force, or that it did not answer. */
+/** The configuration status of one node, or that it did not answer. */
 export type NodeStatus =
   | { readonly kind: "answered"; readonly status: StatusAnswer }
   | { readonly kind: "unreachable"; readonly node: string };
 
 /**
- * Asks nodes what they have in force.
+ * Reads the configuration status of nodes.
  * @param nodes The nodes.
  * @param channels The connections to peers.
  * @returns One entry for each node, in the same order.
@@ -21,24 +21,24 @@
   nodes: readonly Vm[],
   channels: PeerChannels,
 ): Promise<readonly NodeStatus[]> {
-  const found: NodeStatus[] = [];
-  for (let from = 0; from < nodes.length; from += AT_ONCE) {
-    const some = nodes.slice(from, from + AT_ONCE);
-    found.push(
-      ...await Promise.all(some.map((node) => askNode(node, channels))),
+  const statuses: NodeStatus[] = [];
+  for (let from = 0; from < nodes.length; from += MAXIMUM_CONCURRENT_REQUESTS) {
+    const batch = nodes.slice(from, from + MAXIMUM_CONCURRENT_REQUESTS);
+    statuses.push(
+      ...await Promise.all(batch.map((node) => readNodeStatus(node, channels))),
     );
   }
-  return found;
+  return statuses;
 }
 
-function askNode(node: Vm, channels: PeerChannels): Promise<NodeStatus> {
+function readNodeStatus(node: Vm, channels: PeerChannels): Promise<NodeStatus> {
   const address = node.peerAddress ?? node.address;
   const client = new ConfigurationClient(
     address,
     credentials.createInsecure(),
     { channelOverride: channels.channel(address) },
   );
-  const deadline = Date.now() + DEADLINE_MILLISECONDS;
+  const deadline = Date.now() + STATUS_TIMEOUT_MILLISECONDS;
   return new Promise((resolve) => {
     client.status({}, new Metadata(), { deadline }, (error, status) => {
       resolve(
--- a/packages/node/src/configuration/configuration_follower.ts
+++ b/packages/node/src/configuration/configuration_follower.ts
@@ -23,15 +23,15 @@
 
 const LONG_POLL_MILLISECONDS = 500;
 const RETRY_MILLISECONDS = 100;
-const HALTED_MILLISECONDS = 500;
-const LOG_PATIENCE_MILLISECONDS = 1_000;
-const TRIAL = milliseconds(1_000);
-const PARENT_PAUSE = milliseconds(2_000);
-/** Beyond this, a peer's records are not trusted to be the latest. */
-const FRESH = milliseconds(3_000);
+const HALTED_POLL_MILLISECONDS = 500;
+const LOG_READ_GRACE_MILLISECONDS = 1_000;
+const MINIMUM_FOLLOW_DURATION = milliseconds(1_000);
+const PARENT_RETRY_DELAY = milliseconds(2_000);
+/** A peer's records that are older than this may not be the latest. */
+const MAXIMUM_PEER_DATA_AGE = milliseconds(3_000);
 const LOG_NAME = "log";
 
-/** What a follower works with. */
+/** The dependencies of {@link ConfigurationFollower}. */
 export interface FollowerParts {
   readonly self: DistributionNode;
   readonly log: LogClient;
@@ -42,28 +42,31 @@
 }
 
 /**
- * Keeps the configuration in force: from the peer that the spread tree names,
- * from the log where this node reads it for its failure domain or no peer has
- * the latest, and from any peer while the log does not answer.
+ * Keeps the configuration of this node up to date: from its parent in the
+ * distribution tree; from the log if this node reads it for its failure domain
+ * or no peer has the latest records; from any peer while the log is down.
  */
 export class ConfigurationFollower {
   readonly store: ConfigurationStore;
   readonly logSource: LogSource;
   readonly #parts: FollowerParts;
-  readonly #peers: PeerSource;
+  readonly #peerSource: PeerSource;
   #source = LOG_NAME;
   #parentPausedUntil = instant(0);
   #logFailures = 0;
   #logRead: Promise<boolean> | undefined;
   #stopped = false;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: FollowerParts) {
     const { clock, logger } = parts;
     this.#parts = parts;
     this.store = new ConfigurationStore(clock, logger);
     this.logSource = new LogSource(parts.log, { store: this.store, logger });
-    this.#peers = new PeerSource(parts.channels, { store: this.store, clock });
+    this.#peerSource = new PeerSource(parts.channels, {
+      store: this.store,
+      clock,
+    });
   }
 
   /** The configuration in force. */
@@ -71,22 +74,22 @@
     return this.store.reader.configuration;
   }
 
-  /** How many records could not be read. */
+  /** The number of records that could not be parsed. */
   get corruptRecords(): number {
     return this.store.reader.corruptRecords;
   }
 
-  /** Whether the log's tail was reached once, here or at a peer. */
+  /** Whether the log's tail was reached at least once, here or by a peer. */
   get caughtUp(): boolean {
     return this.store.caughtUp;
   }
 
-  /** Where records come from at present: `log`, or a peer's id. */
+  /** The current source of records: `log`, or a peer's id. */
   get source(): string {
     return this.#source;
   }
 
-  /** Tells peers and operators what is in force here. */
+  /** Returns the configuration status for peers and operators. */
   status(): StatusAnswer {
     const { reader } = this.store;
     const { halt } = reader;
@@ -105,24 +108,24 @@
     };
   }
 
-  /** Follows until {@link stop}. */
+  /** Follows the configuration until {@link stop}. */
   async run(): Promise<void> {
     while (!this.#stopped) {
       if (this.store.reader.halt !== undefined) {
-        // Whoever passed the record on, the log has it, and nobody is followed.
+        // No peer is followed: the log has the record, whoever sent it.
         this.#source = LOG_NAME;
-        await sleep(HALTED_MILLISECONDS, undefined, { ref: false });
+        await sleep(HALTED_POLL_MILLISECONDS, undefined, { ref: false });
         continue;
       }
-      const place = this.#place();
-      const peer = this.#choosePeer(place);
+      const position = this.#currentPosition();
+      const peer = this.#choosePeer(position);
       if (peer === undefined) await this.#readLog();
-      else await this.#followPeer(peer, place);
+      else await this.#followPeer(peer, position);
     }
   }
 
   /**
-   * Reads the log once, besides what {@link run} does.
+   * Reads the log once, independently of {@link run}.
    * @param waitMilliseconds How long to wait at the tail.
    * @returns Whether the log answered.
    */
@@ -130,13 +133,13 @@
     return this.logSource.readOnce(waitMilliseconds);
   }
 
-  /** Ends {@link run} after the read in progress. */
+  /** Stops {@link run} after the read in progress. */
   stop(): void {
     this.#stopped = true;
-    this.#peers.stop();
+    this.#peerSource.stop();
   }
 
-  #place(): DistributionPosition {
+  #currentPosition(): DistributionPosition {
     const nodes = this.#parts.directory.live("entry").map((
       vm,
     ): DistributionNode => ({
@@ -146,16 +149,16 @@
     return distributionPosition(this.#parts.self, nodes);
   }
 
-  #choosePeer(place: DistributionPosition): string | undefined {
-    if (this.#logFailures > 0) return this.#peerDuringOutage(place);
-    const paused = this.#parts.clock.now() < this.#parentPausedUntil;
-    return paused ? undefined : place.parent;
+  #choosePeer(position: DistributionPosition): string | undefined {
+    if (this.#logFailures > 0) return this.#peerDuringOutage(position);
+    const isParentPaused = this.#parts.clock.now() < this.#parentPausedUntil;
+    return isParentPaused ? undefined : position.parent;
   }
 
-  #peerDuringOutage(place: DistributionPosition): string | undefined {
-    const peers = place.parent === undefined
-      ? place.fallbackPeers
-      : [place.parent, ...place.fallbackPeers];
+  #peerDuringOutage(position: DistributionPosition): string | undefined {
+    const peers = position.parent === undefined
+      ? position.fallbackPeers
+      : [position.parent, ...position.fallbackPeers];
     return peers[(this.#logFailures - 1) % Math.max(1, peers.length)];
   }
 
@@ -164,7 +167,7 @@
     this.#logRead ??= this.#startLogRead();
     const answered = await Promise.race([
       this.#logRead,
-      sleep(LONG_POLL_MILLISECONDS + LOG_PATIENCE_MILLISECONDS, false, {
+      sleep(LONG_POLL_MILLISECONDS + LOG_READ_GRACE_MILLISECONDS, false, {
         ref: false,
       }),
     ]);
@@ -182,27 +185,39 @@
     return answered;
   }
 
-  async #followPeer(peer: string, place: DistributionPosition): Promise<void> {
+  async #followPeer(
+    peer: string,
+    position: DistributionPosition,
+  ): Promise<void> {
     const address = this.#parts.directory.live("entry")
       .find((vm) => vm.id === peer)?.peerAddress;
     if (address !== undefined) {
       this.#source = peer;
-      await this.#peers.follow(address, (since) => this.#stays(since, place));
+      await this.#peerSource.follow(
+        address,
+        (since) => this.#shouldKeepFollowing(since, position),
+      );
     }
-    await this.#afterPeer();
+    await this.#handleFollowEnd();
   }
 
-  #stays(since: Instant, place: DistributionPosition): boolean {
+  #shouldKeepFollowing(
+    since: Instant,
+    position: DistributionPosition,
+  ): boolean {
     const { clock } = this.#parts;
-    if (elapsed(since, clock.now()) < TRIAL) return true;
-    if (this.store.age() > FRESH) return false;
-    const current = this.#place();
-    return !current.readsLog && current.parent === place.parent;
-  }
-
-  /** The log is asked next; the parent again after a while. */
-  async #afterPeer(): Promise<void> {
-    this.#parentPausedUntil = later(this.#parts.clock.now(), PARENT_PAUSE);
+    if (elapsed(since, clock.now()) < MINIMUM_FOLLOW_DURATION) return true;
+    if (this.store.age() > MAXIMUM_PEER_DATA_AGE) return false;
+    const current = this.#currentPosition();
+    return !current.readsLog && current.parent === position.parent;
+  }
+
+  /** Lets the log be read next, and the parent be followed after a delay. */
+  async #handleFollowEnd(): Promise<void> {
+    this.#parentPausedUntil = later(
+      this.#parts.clock.now(),
+      PARENT_RETRY_DELAY,
+    );
     if (this.#logFailures === 0) return;
     this.#logFailures += 1;
     this.#logRead ??= this.#startLogRead();
--- a/packages/node/src/configuration/configuration_publisher.ts
+++ b/packages/node/src/configuration/configuration_publisher.ts
@@ -20,58 +20,58 @@
   type AcceptedChange,
   type PublishFailure,
   publishFailure,
-  refusedByReaders,
+  toPublishFailure,
 } from "./publish_failure.ts";
 
-const DEADLINE = milliseconds(4_000);
+const PUBLISH_TIMEOUT = milliseconds(4_000);
 const RETRY_MILLISECONDS = 100;
 
-/** What a publisher works with. */
+/** The dependencies of {@link ConfigurationPublisher}. */
 export interface PublisherParts {
   readonly log: LogClient;
   readonly follower: ConfigurationFollower;
   readonly clock: SteadyClock;
 }
 
-/** Appends operators' changes and reads back what became of them. */
+/** Appends operators' changes and reads their verdicts back. */
 export class ConfigurationPublisher {
   readonly #parts: PublisherParts;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: PublisherParts) {
     this.#parts = parts;
   }
 
   /**
-   * Publishes a record. The same id may be published again at any time: it
-   * gives what became of the first, and changes nothing more.
+   * Publishes a record. Publishing the same id again at any time returns the
+   * result of the first publication and changes nothing more.
    * @param record The record.
-   * @returns Where it was accepted, or why it was not, or that this is not
-   * known yet.
+   * @returns The offset at which it was accepted, why it was refused, or that
+   * its result is not known yet.
    */
   async publish(
     record: ConfigurationRecord,
   ): Promise<Result<AcceptedChange, PublishFailure>> {
     const known = this.#find(record);
-    if (known !== undefined) return settle(known, true);
-    const refusal = this.#refuseBeforehand(record);
-    if (refusal !== undefined) return err(refusal);
-    const until = later(this.#parts.clock.now(), DEADLINE);
+    if (known !== undefined) return toPublishResult(known, true);
+    const failure = this.#validate(record);
+    if (failure !== undefined) return err(failure);
+    const until = later(this.#parts.clock.now(), PUBLISH_TIMEOUT);
     const appended = await this.#append(record, until);
     if (appended.isErr()) return err(appended.error);
     const settled = await this.#readBack(record, {
       offset: appended.value,
       until,
     });
-    if (settled === undefined) return err(notReadBack(record.id));
-    return settle(settled, settled.offset !== appended.value);
+    if (settled === undefined) return err(readBackFailure(record.id));
+    return toPublishResult(settled, settled.offset !== appended.value);
   }
 
   #find(record: ConfigurationRecord): RecentChange | undefined {
     return this.#parts.follower.configuration.recent.find(record.id);
   }
 
-  #refuseBeforehand(record: ConfigurationRecord): PublishFailure | undefined {
+  #validate(record: ConfigurationRecord): PublishFailure | undefined {
     const { reader } = this.#parts.follower.store;
     if (reader.halt !== undefined) {
       return publishFailure("unavailable", {
@@ -100,11 +100,11 @@
   #isMissing(change: ConfigurationChange): boolean {
     if (!change.kind.startsWith("remove_")) return false;
     const { configuration } = this.#parts.follower;
-    const made = configuration.stateAsChange(itemKeyOf(change));
-    return made.kind.startsWith("remove_");
+    const current = configuration.stateAsChange(itemKeyOf(change));
+    return current.kind.startsWith("remove_");
   }
 
-  /** Appending the same id again is safe, so a lost answer is asked again. */
+  /** Retries if an answer is lost; appending the same id again is safe. */
   async #append(
     record: ConfigurationRecord,
     until: number,
@@ -117,7 +117,9 @@
       mayHaveRun ||= offset.error.outcome !== "not_run";
       const wait = offset.error.retryAfterMilliseconds ?? RETRY_MILLISECONDS;
       if (this.#parts.clock.now() + wait >= until) {
-        return err(notAppended(record.id, { cause: offset.error, mayHaveRun }));
+        return err(
+          appendFailure(record.id, { cause: offset.error, mayHaveRun }),
+        );
       }
       await sleep(wait);
     }
@@ -138,7 +140,7 @@
   }
 }
 
-function settle(
+function toPublishResult(
   change: RecentChange,
   repeated: boolean,
 ): Result<AcceptedChange, PublishFailure> {
@@ -147,10 +149,10 @@
   if (verdict.kind === "conflict" && verdict.change === id) {
     return ok({ id, offset: verdict.winner, repeated: true });
   }
-  return err(refusedByReaders(verdict));
+  return err(toPublishFailure(verdict));
 }
 
-function notAppended(
+function appendFailure(
   id: string,
   { cause, mayHaveRun }: {
     readonly cause: Failure;
@@ -167,7 +169,7 @@
   };
 }
 
-function notReadBack(id: string): PublishFailure {
+function readBackFailure(id: string): PublishFailure {
   return {
     ...publishFailure("timeout", {
       message: `Change ${id} was appended, but could not be read back.`,
--- a/packages/node/src/configuration/configuration_store.ts
+++ b/packages/node/src/configuration/configuration_store.ts
@@ -12,38 +12,43 @@
 } from "@foxtailwind/core";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { PartLogger } from "../logging/part_logger.ts";
-import { RecordRing } from "./record_ring.ts";
+import { RecordBuffer } from "./record_buffer.ts";
 
-/** All records of the log from one offset to another. */
+/** A contiguous range of log records. */
 export interface RecordRange {
   readonly from: LogOffset;
   readonly records: readonly StoredRecord[];
-  /** How long ago the range was known to reach the log's tail. */
+  /** How long ago the range reached the log's tail, if it is known to have. */
   readonly age: Duration | undefined;
 }
 
-/** The configuration of this node, and the latest records to pass on. */
+/** Keeps this node's configuration and the latest records for followers. */
 export class ConfigurationStore {
   readonly reader = new ConfigurationReader();
-  readonly #ring = new RecordRing();
+  readonly #recentRecords = new RecordBuffer();
   readonly #listeners = new Set<() => void>();
   readonly #clock: SteadyClock;
   readonly #logger: PartLogger;
   #confirmedAt: Instant | undefined;
 
+  /**
+   * @param clock The clock of this node.
+   * @param logger Reports records and snapshots that can't be used.
+   */
   constructor(clock: SteadyClock, logger: PartLogger) {
     this.#clock = clock;
     this.#logger = logger;
   }
 
-  /** Whether the log's tail was reached once, here or at a peer. */
+  /** Whether the log's tail was reached at least once, here or by a peer. */
   get caughtUp(): boolean {
     return this.#confirmedAt !== undefined;
   }
 
   /**
-   * Measures how long ago all accepted changes were known to be read.
-   * @returns The time, infinite where that was never so.
+   * Returns how long ago this node was last known to have read all accepted
+   * changes.
+   * @returns The time; infinite if that was never known.
    */
   age(): Duration {
     if (this.#confirmedAt === undefined) {
@@ -55,36 +60,36 @@
   /**
    * Reads a range of records.
    * @param range The range.
-   * @returns Whether it joins what was read before.
+   * @returns Whether the range is contiguous with the records read before.
    */
-  take(range: RecordRange): boolean {
+  addRange(range: RecordRange): boolean {
     if (!this.reader.isContiguous(range.from)) return false;
     const before = this.reader.nextOffset;
-    for (const record of range.records) this.#read(record);
-    this.confirm(range.age);
-    if (this.reader.nextOffset > before) this.#tell();
+    for (const record of range.records) this.#readRecord(record);
+    this.recordTailReached(range.age);
+    if (this.reader.nextOffset > before) this.#notifyListeners();
     return true;
   }
 
   /**
-   * Takes over a configuration that covers more than is read here.
+   * Adopts a configuration if it covers more than was read here.
    * @param configuration The configuration.
    */
   adopt(configuration: Configuration): void {
     if (configuration.offset <= this.reader.configuration.offset) return;
     this.reader.adopt(configuration);
-    this.#ring.restart(this.reader.nextOffset);
-    this.#logger.info("A snapshot was taken over.", {
+    this.#recentRecords.reset(this.reader.nextOffset);
+    this.#logger.info("A configuration snapshot was adopted.", {
       offset: configuration.offset,
     });
-    this.#tell();
+    this.#notifyListeners();
   }
 
   /**
-   * Notes that what is read here reached the log's tail.
-   * @param age How long ago; nothing where it did not.
+   * Records that the records read here reached the log's tail.
+   * @param age How long ago; `undefined` if they did not.
    */
-  confirm(age: Duration | undefined): void {
+  recordTailReached(age: Duration | undefined): void {
     if (age === undefined || this.reader.halt !== undefined) return;
     if (!Number.isFinite(age)) return;
     const at = instant(this.#clock.now() - age);
@@ -94,29 +99,29 @@
   }
 
   /**
-   * Reads records to pass on.
-   * @param from The lowest offset wanted.
-   * @returns The records, or nothing where only the whole state will do.
+   * Reads records for a follower.
+   * @param from The first offset to return.
+   * @returns The records, or `undefined` if the follower needs a snapshot.
    */
   recordsFrom(from: LogOffset): readonly StoredRecord[] | undefined {
-    return this.#ring.from(from);
+    return this.#recentRecords.readFrom(from);
   }
 
   /**
-   * Calls back after each advance.
-   * @param listener What to call.
-   * @returns Ends the calls.
+   * Registers a listener for advances of the configuration.
+   * @param listener Called after each advance.
+   * @returns Removes the listener.
    */
   onAdvance(listener: () => void): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
   }
 
-  #read(record: StoredRecord): void {
+  #readRecord(record: StoredRecord): void {
     const wasHalted = this.reader.halt !== undefined;
     const reading = this.reader.read(record);
     if (reading.kind !== "already_read" && reading.kind !== "halted") {
-      this.#ring.push(record);
+      this.#recentRecords.push(record);
     }
     this.#report(record, reading, wasHalted);
   }
@@ -128,21 +133,27 @@
   ): void {
     if (reading.kind === "corrupt") {
       const reason = reading.message;
-      this.#logger.error("A record was passed over.", { offset, reason });
+      this.#logger.error("A configuration record was skipped as corrupt.", {
+        offset,
+        reason,
+      });
     }
     if (reading.kind === "manifest" && reading.matches === false) {
-      this.#logger.error("A snapshot differs from what was read here.", {
+      this.#logger.error("A snapshot does not match the records read here.", {
         offset,
       });
     }
     if (reading.kind === "halted" && !wasHalted) {
-      this.#logger.error("A record needs a newer release of the daemon.", {
-        offset,
-      });
+      this.#logger.error(
+        "A configuration record needs a newer release of the daemon.",
+        {
+          offset,
+        },
+      );
     }
   }
 
-  #tell(): void {
+  #notifyListeners(): void {
     for (const listener of this.#listeners) listener();
   }
 }
--- a/packages/node/src/configuration/peer_source.ts
+++ b/packages/node/src/configuration/peer_source.ts
@@ -15,13 +15,17 @@
 const CHECK_MILLISECONDS = 250;
 const SILENCE_LIMIT = milliseconds(1_500);
 
-/** Takes records and, where they are gone, the state from other nodes. */
+/** Receives records, or a snapshot if those are gone, from other nodes. */
 export class PeerSource {
   readonly #channels: PeerChannels;
   readonly #store: ConfigurationStore;
   readonly #clock: SteadyClock;
   #call: ClientReadableStream<FollowAnswer> | undefined;
 
+  /**
+   * @param channels The connections to the peers.
+   * @param parts The store to fill and the clock.
+   */
   constructor(channels: PeerChannels, parts: {
     readonly store: ConfigurationStore;
     readonly clock: SteadyClock;
@@ -32,13 +36,14 @@
   }
 
   /**
-   * Follows a peer until it ends, falls silent, or is not to be followed on.
-   * @param address The peer's address for gRPC.
-   * @param stays Tells now and then whether to follow on.
+   * Follows a peer until the stream ends, nothing arrives for too long, or the
+   * peer shall no longer be followed.
+   * @param address The peer's gRPC address.
+   * @param shouldContinue Checked periodically: whether to keep following.
    */
   async follow(
     address: string,
-    stays: (since: Instant) => boolean,
+    shouldContinue: (since: Instant) => boolean,
   ): Promise<void> {
     const client = new ConfigurationClient(
       address,
@@ -48,27 +53,28 @@
     const call = client.follow({ from: this.#store.reader.nextOffset });
     this.#call = call;
     const since = this.#clock.now();
-    let heardAt = since;
+    let lastReceivedAt = since;
     const receiver = new AnswerReceiver(this.#store);
     call.on("data", (answer: FollowAnswer) => {
-      heardAt = this.#clock.now();
+      lastReceivedAt = this.#clock.now();
       if (!receiver.receive(answer)) call.cancel();
     });
     const check = setInterval(() => {
-      const silent = elapsed(heardAt, this.#clock.now()) > SILENCE_LIMIT;
-      if (silent || !stays(since)) call.cancel();
+      const isSilent =
+        elapsed(lastReceivedAt, this.#clock.now()) > SILENCE_LIMIT;
+      if (isSilent || !shouldContinue(since)) call.cancel();
     }, CHECK_MILLISECONDS);
-    await endOf(call);
+    await waitForEnd(call);
     clearInterval(check);
   }
 
-  /** Ends the following in progress. */
+  /** Stops following the current peer. */
   stop(): void {
     this.#call?.cancel();
   }
 }
 
-function endOf(call: ClientReadableStream<FollowAnswer>): Promise<void> {
+function waitForEnd(call: ClientReadableStream<FollowAnswer>): Promise<void> {
   return new Promise((resolve) => {
     call.on("error", () => {
       resolve();
@@ -79,6 +85,7 @@
   });
 }
 
+/** Applies the parts of a peer's answer to the store. */
 class AnswerReceiver {
   readonly #store: ConfigurationStore;
   #restorer: SnapshotRestorer | undefined;
@@ -87,11 +94,11 @@
     this.#store = store;
   }
 
-  /** Takes one part; answers whether the rest is wanted. */
+  /** Handles one part and returns whether to keep receiving. */
   receive({ part }: FollowAnswer): boolean {
     switch (part?.$case) {
       case "records":
-        return this.#store.take({
+        return this.#store.addRange({
           from: logOffset(part.value.from),
           records: part.value.records.map(({ offset, data }) => ({
             offset: logOffset(offset),
@@ -103,7 +110,9 @@
         return this.#receiveChunk(part.value.data);
       case "alive":
         if (part.value.next <= this.#store.reader.nextOffset) {
-          this.#store.confirm(milliseconds(part.value.ageMilliseconds));
+          this.#store.recordTailReached(
+            milliseconds(part.value.ageMilliseconds),
+          );
         }
         return true;
       case undefined:
--- a/packages/node/src/configuration/record_ring.ts
+++ b/packages/node/src/configuration/record_buffer.ts
@@ -7,15 +7,15 @@
 const MAXIMUM_RECORDS = 4_096;
 const MAXIMUM_CHARACTERS = 2 * 1_024 * 1_024;
 
-/** The latest records as they lie in the log, to be passed on; bounded. */
-export class RecordRing {
+/** A bounded buffer of the latest log records, to be sent to followers. */
+export class RecordBuffer {
   #records: StoredRecord[] = [];
-  #start = logOffset(0);
+  #startOffset = logOffset(0);
   #characters = 0;
 
   /**
-   * Keeps a record, in the place of the oldest where there are too many.
-   * @param record The record; its offset is above all before.
+   * Adds a record and drops the oldest ones beyond the limits.
+   * @param record The record, with a higher offset than all earlier ones.
    */
   push(record: StoredRecord): void {
     this.#records.push(record);
@@ -27,27 +27,27 @@
       const oldest = this.#records.shift();
       if (oldest === undefined) return;
       this.#characters -= oldest.data.length;
-      this.#start = logOffset(oldest.offset + 1);
+      this.#startOffset = logOffset(oldest.offset + 1);
     }
   }
 
   /**
-   * Forgets all records.
-   * @param start The lowest offset that may be asked for from now on.
+   * Removes all records.
+   * @param start The lowest offset that may be read from now on.
    */
-  restart(start: LogOffset): void {
+  reset(start: LogOffset): void {
     this.#records = [];
     this.#characters = 0;
-    this.#start = start;
+    this.#startOffset = start;
   }
 
   /**
    * Reads the records from an offset on.
    * @param from The offset.
-   * @returns The records, or nothing where some are no longer kept.
+   * @returns The records, or `undefined` if some are no longer buffered.
    */
-  from(from: LogOffset): readonly StoredRecord[] | undefined {
-    if (from < this.#start) return undefined;
+  readFrom(from: LogOffset): readonly StoredRecord[] | undefined {
+    if (from < this.#startOffset) return undefined;
     const index = this.#records.findLastIndex(({ offset }) => offset < from);
     return this.#records.slice(index + 1);
   }
--- a/packages/node/src/configuration/snapshot_writer.ts
+++ b/packages/node/src/configuration/snapshot_writer.ts
@@ -21,7 +21,7 @@
 
 const TICK_MILLISECONDS = 1_000;
 
-/** What a snapshot writer works with. */
+/** The dependencies of {@link SnapshotWriter}. */
 export interface SnapshotWriterParts {
   readonly self: string;
   readonly log: LogClient;
@@ -36,33 +36,33 @@
   };
 }
 
-/** Appends snapshots, where this node is the one to do so. */
+/** Appends snapshots to the log when it is this node's turn to do so. */
 export class SnapshotWriter {
   readonly #parts: SnapshotWriterParts;
   #timer: NodeJS.Timeout | undefined;
   #lastManifest: SnapshotManifest | undefined;
   #lastSeenAt: Instant;
-  #writing = false;
+  #isWriting = false;
 
-  /** @param parts What it works with. */
+  /** @param parts The dependencies. */
   constructor(parts: SnapshotWriterParts) {
     this.#parts = parts;
     this.#lastSeenAt = parts.clock.now();
   }
 
-  /** Looks now and then whether a snapshot is due. */
+  /** Starts checking periodically whether a snapshot is due. */
   start(): void {
     this.#timer = setInterval(() => void this.tick(), TICK_MILLISECONDS);
   }
 
-  /** Stops looking. */
+  /** Stops checking. */
   stop(): void {
     clearInterval(this.#timer);
   }
 
   /**
-   * Writes a snapshot where one is due here.
-   * @returns Whether one was written.
+   * Writes a snapshot if this node is due to write one.
+   * @returns Whether a snapshot was written.
    */
   async tick(): Promise<boolean> {
     const { follower, clock } = this.#parts;
@@ -71,12 +71,12 @@
       this.#lastManifest = reader.lastManifest;
       this.#lastSeenAt = clock.now();
     }
-    if (this.#writing || reader.halt !== undefined) return false;
+    if (this.#isWriting || reader.halt !== undefined) return false;
     if (!follower.caughtUp || reader.configuration.offset < 0) return false;
     if (!this.#isDue()) return false;
-    this.#writing = true;
+    this.#isWriting = true;
     const written = await this.#write();
-    this.#writing = false;
+    this.#isWriting = false;
     return written;
   }
 
@@ -109,7 +109,7 @@
     const offsets: LogOffset[] = [];
     for (const chunk of snapshotChunks(copy)) {
       const offset = await log.append(SNAPSHOT_STREAM, [packChunk(chunk)]);
-      if (offset.isErr()) return this.#giveUp(offset.error.message);
+      if (offset.isErr()) return this.#reportFailure(offset.error.message);
       offsets.push(offset.value);
     }
     const manifest = formatSnapshotManifest({
@@ -118,7 +118,7 @@
       chunks: offsets,
     });
     const appended = await log.append(CONFIGURATION_STREAM, [manifest]);
-    if (appended.isErr()) return this.#giveUp(appended.error.message);
+    if (appended.isErr()) return this.#reportFailure(appended.error.message);
     this.#lastSeenAt = clock.now();
     logger.info("A snapshot was written.", {
       covers,
@@ -127,9 +127,9 @@
     return true;
   }
 
-  /** What was appended does no harm; the next tick begins again. */
-  #giveUp(reason: string): boolean {
-    this.#parts.logger.warn("A snapshot was not written.", {
+  /** Chunks already appended do no harm; the next tick starts from scratch. */
+  #reportFailure(reason: string): boolean {
+    this.#parts.logger.warn("Writing a snapshot failed.", {
       peer: "log",
       reason,
     });
--- a/packages/node/src/configuration/spread_service.ts
+++ b/packages/node/src/configuration/spread_service.ts
@@ -22,44 +22,44 @@
 import type { ConfigurationStore } from "./configuration_store.ts";
 import { packChunk } from "./snapshot_packing.ts";
 
-const ALIVE_MILLISECONDS = 300;
-const MESSAGE_CHARACTERS = 262_144;
+const ALIVE_INTERVAL_MILLISECONDS = 300;
+const MAXIMUM_BATCH_CHARACTERS = 262_144;
 
 type FollowCall = ServerWritableStream<FollowRequest, FollowAnswer>;
 
-/** Passes records on to the peers that follow this node. */
+/** Sends configuration records to the peers that follow this node. */
 export class SpreadService {
   readonly #store: ConfigurationStore;
   readonly #status: () => StatusAnswer;
   readonly #streams = new Set<FollowerStream>();
 
   /**
-   * @param store What is passed on.
-   * @param status Tells what is in force here.
+   * @param store The configuration and the records to send.
+   * @param status Returns the configuration status of this node.
    */
   constructor(store: ConfigurationStore, status: () => StatusAnswer) {
     this.#store = store;
     this.#status = status;
   }
 
-  /** How many peers follow this node. */
+  /** The number of peers that follow this node. */
   get followers(): number {
     return this.#streams.size;
   }
 
-  /** The gRPC service, to register. */
+  /** The gRPC service to register. */
   get registration(): PeerRegistration {
     return {
       definition: ConfigurationService,
       implementation: {
         follow: (call: FollowCall) => {
-          this.#open(call);
+          this.#openStream(call);
         },
         status: (
           _call: ServerUnaryCall<StatusRequest, StatusAnswer>,
-          answer: sendUnaryData<StatusAnswer>,
+          callback: sendUnaryData<StatusAnswer>,
         ) => {
-          answer(null, this.#status());
+          callback(null, this.#status());
         },
       },
     };
@@ -70,29 +70,30 @@
     for (const stream of this.#streams) stream.end();
   }
 
-  #open(call: FollowCall): void {
+  #openStream(call: FollowCall): void {
     const stream = new FollowerStream(call, this.#store);
     this.#streams.add(stream);
-    const stopAdvances = this.#store.onAdvance(() => {
-      stream.send();
+    const removeListener = this.#store.onAdvance(() => {
+      stream.sendPending();
     });
-    const alive = setInterval(() => {
+    const aliveTimer = setInterval(() => {
       stream.sendAlive();
-    }, ALIVE_MILLISECONDS);
+    }, ALIVE_INTERVAL_MILLISECONDS);
     call.on("close", () => {
-      clearInterval(alive);
-      stopAdvances();
+      clearInterval(aliveTimer);
+      removeListener();
       this.#streams.delete(stream);
     });
     stream.sendAlive();
   }
 }
 
+/** Sends records, or a snapshot if those are gone, to one follower. */
 class FollowerStream {
   readonly #call: FollowCall;
   readonly #store: ConfigurationStore;
   #next: LogOffset;
-  #sendingState = false;
+  #isSendingSnapshot = false;
 
   constructor(call: FollowCall, store: ConfigurationStore) {
     this.#call = call;
@@ -100,23 +101,23 @@
     this.#next = logOffset(call.request.from);
   }
 
-  /** Sends what the follower does not have, unless it is slow to take it. */
-  send(): void {
+  /** Sends the records that the follower lacks, unless the stream is full. */
+  sendPending(): void {
     const { nextOffset: next } = this.#store.reader;
-    if (this.#sendingState || this.#call.writableNeedDrain) return;
+    if (this.#isSendingSnapshot || this.#call.writableNeedDrain) return;
     if (this.#next >= next) return;
     const records = this.#store.recordsFrom(this.#next);
     if (records === undefined) {
-      void this.#sendState();
+      void this.#sendSnapshot();
       return;
     }
     this.#sendRecords(records);
     this.#next = next;
   }
 
-  /** Sends a sign of life after all that is due. */
+  /** Sends pending records, then a message that the stream is alive. */
   sendAlive(): void {
-    this.send();
+    this.sendPending();
     const { nextOffset: next } = this.#store.reader;
     this.#write({
       $case: "alive",
@@ -132,7 +133,7 @@
   #sendRecords(records: readonly StoredRecord[]): void {
     const ageMilliseconds = this.#store.age();
     let from = this.#next;
-    for (const batch of batchesOf(records)) {
+    for (const batch of splitIntoBatches(records)) {
       const next = logOffset((batch.at(-1)?.offset ?? from) + 1);
       this.#write({
         $case: "records",
@@ -142,9 +143,9 @@
     }
   }
 
-  /** Sends a chunk a turn of the loop, so that nothing else waits long. */
-  async #sendState(): Promise<void> {
-    this.#sendingState = true;
+  /** Sends one chunk per event loop turn so that nothing else waits long. */
+  async #sendSnapshot(): Promise<void> {
+    this.#isSendingSnapshot = true;
     const copy = copyForSnapshot(this.#store.reader.configuration);
     for (const chunk of snapshotChunks(copy)) {
       if (this.#call.writableEnded || this.#call.destroyed) return;
@@ -152,8 +153,8 @@
       await nextTurn();
     }
     this.#next = logOffset(copy.covers + 1);
-    this.#sendingState = false;
-    this.send();
+    this.#isSendingSnapshot = false;
+    this.sendPending();
   }
 
   #write(part: NonNullable<FollowAnswer["part"]>): void {
@@ -161,13 +162,13 @@
   }
 }
 
-function batchesOf(
+function splitIntoBatches(
   records: readonly StoredRecord[],
 ): readonly (readonly StoredRecord[])[] {
   const batches: StoredRecord[][] = [];
-  let characters = MESSAGE_CHARACTERS;
+  let characters = MAXIMUM_BATCH_CHARACTERS;
   for (const record of records) {
-    if (characters + record.data.length > MESSAGE_CHARACTERS) {
+    if (characters + record.data.length > MAXIMUM_BATCH_CHARACTERS) {
       batches.push([]);
       characters = 0;
     }
--- a/packages/node/src/delivery/delivery_parts.ts
+++ b/packages/node/src/delivery/delivery_parts.ts
@@ -14,49 +14,49 @@
 import type { PeerRegistration } from "../peers/peer_server.ts";
 import type { GenerationRouter } from "../serving/generation_router.ts";
 import { ClaimGatherer } from "./claim_gatherer.ts";
-import { ClaimRoute } from "./claim_route.ts";
+import { ClaimRouter } from "./claim_router.ts";
 import { GenerationDelivery } from "./generation_delivery.ts";
 import { NodeKeyedExecution } from "./node_keyed_execution.ts";
-import { OutcomePeers } from "./outcome_peers.ts";
-import { outcomeService } from "./outcome_service.ts";
+import { OutcomePeerClient } from "./outcome_peer_client.ts";
+import { createOutcomeService } from "./outcome_service.ts";
 
-/** What the delivery of a node is made of. */
-export interface DeliverySources {
+/** The dependencies of {@link DeliveryParts}. */
+export interface DeliveryPartsOptions {
   readonly self: NodeId;
   readonly failureDomain: string;
-  /** This run of the process; a restart must give another one. */
+  /** Identifies this run of the process; each restart must use a new value. */
   readonly incarnation?: IncarnationId;
   readonly clock: SteadyClock;
   readonly log: LogClient;
   readonly channels: PeerChannels;
-  /** Lists the entry VMs known at present, the leaving ones included. */
+  /** Lists the currently known entry VMs, including leaving ones. */
   readonly nodes: () => readonly Vm[];
   readonly router: Pick<GenerationRouter, "route">;
   readonly observer: RequestObserver;
   readonly crashes: CrashMemory;
-  /** Counts what peers have in progress here. */
+  /** Counts the requests of peers that are in progress here. */
   readonly work: WorkInProgress;
 }
 
-/** The parts of a node that bring requests to their only outcome. */
+/** Creates the parts of a node that give each request exactly one outcome. */
 export class DeliveryParts {
   readonly execution: NodeKeyedExecution;
   readonly generations: GenerationDelivery;
   readonly gatherer: ClaimGatherer;
   readonly registration: PeerRegistration;
 
-  /** @param sources What the parts are made of. */
-  constructor(sources: DeliverySources) {
-    const { self, clock, nodes, failureDomain } = sources;
-    const { router, observer, crashes } = sources;
-    const peers = new OutcomePeers(sources.channels, nodes);
-    this.gatherer = new ClaimGatherer(sources.log, clock);
+  /** @param options The dependencies. */
+  constructor(options: DeliveryPartsOptions) {
+    const { self, clock, nodes, failureDomain } = options;
+    const { router, observer, crashes } = options;
+    const peers = new OutcomePeerClient(options.channels, nodes);
+    this.gatherer = new ClaimGatherer(options.log, clock);
     this.execution = new NodeKeyedExecution({
       self,
-      incarnation: sources.incarnation ?? incarnationId(randomUUID()),
+      incarnation: options.incarnation ?? incarnationId(randomUUID()),
       clock,
       peers,
-      claims: new ClaimRoute({
+      claims: new ClaimRouter({
         self,
         failureDomain,
         nodes,
@@ -72,10 +72,10 @@
       crashes,
       execution: this.execution,
     });
-    this.registration = outcomeService({
+    this.registration = createOutcomeService({
       execution: this.execution,
       gatherer: this.gatherer,
-      work: sources.work,
+      work: options.work,
     });
   }
 
--- a/packages/node/src/delivery/generation_attempts.ts
+++ b/packages/node/src/delivery/generation_attempts.ts
@@ -19,12 +19,12 @@
 import { contentOf, type CrashMemory } from "../crashes/mod.ts";
 import type { GenerationRouter } from "../serving/generation_router.ts";
 import type { DeliveryCounters } from "./delivery_counters.ts";
-import type { GenerationOrder } from "./generation_delivery.ts";
+import type { GenerationDeliveryRequest } from "./generation_delivery.ts";
 
-/** What the attempts at one request work with. */
+/** The dependencies of {@link GenerationAttempts}. */
 export interface GenerationAttemptsParts {
-  readonly order: Pick<
-    GenerationOrder,
+  readonly deliveryRequest: Pick<
+    GenerationDeliveryRequest,
     "generation" | "streamed" | "notRepeatable"
   >;
   readonly sink: GenerationSink;
@@ -38,7 +38,7 @@
   readonly maximumAttempts: number;
 }
 
-/** Carries out what the delivery of one request decides. */
+/** Executes the decisions of {@link RequestDelivery} for one request. */
 export class GenerationAttempts implements GenerationHandle {
   readonly #parts: GenerationAttemptsParts;
   readonly #delivery: RequestDelivery;
@@ -46,16 +46,16 @@
   #paused = false;
   #timer: NodeJS.Timeout | undefined;
 
-  /** @param parts What the attempts work with. */
+  /** @param parts The dependencies. */
   constructor(parts: GenerationAttemptsParts) {
-    const { order, budget, rules, maximumAttempts } = parts;
-    const { request, adapter } = order.generation;
+    const { deliveryRequest, budget, rules, maximumAttempts } = parts;
+    const { request, adapter } = deliveryRequest.generation;
     this.#parts = parts;
     this.#delivery = new RequestDelivery({
       request,
       adapter,
-      repeatable: order.notRepeatable !== true,
-      streamed: order.streamed,
+      repeatable: deliveryRequest.notRepeatable !== true,
+      streamed: deliveryRequest.streamed,
       maximumAttempts,
       budget,
       rules,
@@ -64,7 +64,7 @@
 
   /** Starts the first attempt. */
   start(): void {
-    this.#carryOut(this.#delivery.start());
+    this.#executeActions(this.#delivery.start());
   }
 
   pause(): void {
@@ -86,12 +86,12 @@
     if (event.kind === "failed" && !this.#delivery.ended) {
       this.#parts.observer.record(now, {
         kind: "attempt_failed",
-        request: this.#parts.order.generation.request,
+        request: this.#parts.deliveryRequest.generation.request,
         attempt: event.attempt,
         failure: event.failure,
       });
     }
-    this.#carryOut(this.#delivery.handle(now, event));
+    this.#executeActions(this.#delivery.handle(now, event));
     this.#scheduleWake();
   }
 
@@ -104,40 +104,40 @@
     }, Math.max(1, Math.ceil(wake - this.#parts.clock.now())));
   }
 
-  #carryOut(actions: readonly DeliveryAction[]): void {
+  #executeActions(actions: readonly DeliveryAction[]): void {
     for (const action of actions) {
       switch (action.kind) {
         case "attempt":
-          this.#attempt(action.attempt, action.fromSequence);
+          this.#startAttempt(action.attempt, action.fromSequence);
           break;
         case "cancel":
           if (action.atEngine) this.#handle?.cancel();
           break;
         case "pass":
-          this.#pass(action.sequence, action.tokens);
+          this.#forwardFrame(action.sequence, action.tokens);
           break;
         case "complete":
-          this.#end(ok(this.#toEnd(action.totals)));
+          this.#finish(ok(this.#createEnd(action.totals)));
           break;
         case "fail":
-          this.#end(err(action.failure));
+          this.#finish(err(action.failure));
           break;
       }
     }
   }
 
-  #attempt(attempt: AttemptNumber, fromSequence: number): void {
-    const { router, order, counters } = this.#parts;
+  #startAttempt(attempt: AttemptNumber, fromSequence: number): void {
+    const { router, deliveryRequest, counters } = this.#parts;
     if (attempt > 1) counters.retried += 1;
     if (fromSequence > 0) counters.resumed += 1;
-    const refusal = this.#refusalOfCrashing();
-    if (refusal !== undefined) {
+    const failure = this.#quarantineFailure();
+    if (failure !== undefined) {
       queueMicrotask(() => {
-        this.#handleEvent({ kind: "failed", attempt, failure: refusal });
+        this.#handleEvent({ kind: "failed", attempt, failure });
       });
       return;
     }
-    const generation = { ...order.generation, attempt, fromSequence };
+    const generation = { ...deliveryRequest.generation, attempt, fromSequence };
     const sink = new AttemptSink(attempt, (event) => {
       this.#handleEvent(event);
     });
@@ -145,11 +145,13 @@
     if (this.#paused) this.#handle.pause();
   }
 
-  /** Why the request does not run, where its content ends engines. */
-  #refusalOfCrashing(): Failure | undefined {
-    const { crashes, order } = this.#parts;
+  /** Returns why the request does not run if its content is quarantined. */
+  #quarantineFailure(): Failure | undefined {
+    const { crashes, deliveryRequest } = this.#parts;
     if (crashes.isEmpty) return undefined;
-    const wait = crashes.refusedFor(contentOf(order.generation));
+    const wait = crashes.remainingQuarantine(
+      contentOf(deliveryRequest.generation),
+    );
     if (wait === undefined) return undefined;
     return {
       reason: "refused",
@@ -161,28 +163,29 @@
     };
   }
 
-  #pass(sequence: number, tokens: readonly string[]): void {
-    const { request, adapter } = this.#parts.order.generation;
+  #forwardFrame(sequence: number, tokens: readonly string[]): void {
+    const { request, adapter } = this.#parts.deliveryRequest.generation;
     const { attempt } = this.#delivery;
     this.#parts.sink.onFrame({ request, attempt, sequence, tokens, adapter });
   }
 
-  #toEnd(
+  #createEnd(
     totals: Omit<GenerationEnd, "request" | "attempt">,
   ): GenerationEnd {
-    const { request } = this.#parts.order.generation;
+    const { request } = this.#parts.deliveryRequest.generation;
     return { ...totals, request, attempt: this.#delivery.attempt };
   }
 
-  #end(result: Result<GenerationEnd, Failure>): void {
-    const { sink, observer, clock, order, counters, crashes } = this.#parts;
+  #finish(result: Result<GenerationEnd, Failure>): void {
+    const { sink, observer, clock, deliveryRequest, counters, crashes } =
+      this.#parts;
     if (result.isOk() && !crashes.isEmpty) {
-      crashes.served(contentOf(order.generation));
+      crashes.recordServed(contentOf(deliveryRequest.generation));
     }
     counters.addDropped(this.#delivery.droppedFrames);
     observer.record(clock.now(), {
       kind: "ended",
-      request: order.generation.request,
+      request: deliveryRequest.generation.request,
       ...(result.isErr() && { failure: result.error }),
       completionTokens: result.isOk() ? result.value.completionTokens : 0,
     });
@@ -190,7 +193,7 @@
   }
 }
 
-/** Receives one attempt's answer. */
+/** Converts the frames and the end of one attempt to delivery events. */
 class AttemptSink extends GenerationSink {
   readonly #attempt: AttemptNumber;
   readonly #handle: (event: DeliveryEvent) => void;
--- a/packages/node/src/delivery/keyed_generations.ts
+++ b/packages/node/src/delivery/keyed_generations.ts
@@ -25,9 +25,9 @@
 } from "./keyed_generation_message.ts";
 import { LiveReader } from "./live_reader.ts";
 
-const WORK_NAME = "generation";
+const HANDLER_NAME = "generation";
 
-/** Starts the only run of a generation. */
+/** Starts the single run of a generation. */
 export type GenerationRun = (
   generation: GenerationRequest,
   sink: GenerationSink,
@@ -39,18 +39,18 @@
   readonly key: string;
 }
 
-/** Runs generations with keys at most once, and replays their answers. */
+/** Runs generations with keys at most once and replays their answers. */
 export class KeyedGenerations {
   readonly #execution: KeyedExecution;
   readonly #clock: SteadyClock;
   readonly #observer: RequestObserver;
-  readonly #run: GenerationRun;
-  /** Callers here that wait for a key, and may see its tokens as they come. */
+  readonly #startRun: GenerationRun;
+  /** Callers of this node that wait for a key and may get its tokens live. */
   readonly #readers = new Map<string, Set<LiveReader>>();
 
   /**
-   * @param parts Runs keys at most once; the clock; who learns of ends.
-   * @param run Starts the only run.
+   * @param parts The keyed execution, the clock and the observer of ends.
+   * @param run Starts the single run of a generation.
    */
   constructor(
     parts: {
@@ -63,10 +63,10 @@
     this.#execution = parts.execution;
     this.#clock = parts.clock;
     this.#observer = parts.observer;
-    this.#run = run;
+    this.#startRun = run;
     this.#execution.register(
-      WORK_NAME,
-      (payload, key) => this.#work(payload, key),
+      HANDLER_NAME,
+      (payload, key) => this.#handle(payload, key),
     );
   }
 
@@ -74,19 +74,20 @@
    * Delivers a generation with a key.
    * @param keyed The request.
    * @param sink Receives the answer of the key's only run.
-   * @returns The handle; a cancel leaves the run going for the caller's retry.
+   * @returns The handle. Cancelling it does not stop the run, so that a retry
+   * of the caller can still get the answer.
    */
   deliver(keyed: KeyedGeneration, sink: GenerationSink): GenerationHandle {
     const { generation, key } = keyed;
     const reader = new LiveReader(
       generation,
-      new EndedSink(sink, (result) => {
+      new EndObserverSink(sink, (result) => {
         this.#recordEnd(generation, result);
       }),
     );
     this.#addReader(key, reader);
     void this.#execution.execute({
-      work: WORK_NAME,
+      work: HANDLER_NAME,
       key,
       payload: encodeGeneration(generation),
     }).then((result) => {
@@ -96,7 +97,7 @@
     return reader;
   }
 
-  /** The run has a request id of its own; each caller's request ends too. */
+  /** Records the end of a caller's request; the run has its own request id. */
   #recordEnd(
     generation: GenerationRequest,
     result: Result<GenerationEnd, Failure>,
@@ -109,7 +110,7 @@
     });
   }
 
-  #work(payload: Uint8Array, key: string): Promise<KeyedResult> {
+  #handle(payload: Uint8Array, key: string): Promise<KeyedResult> {
     const generation = decodeGeneration(payload, {
       request: requestId(randomUUID()),
       arrivedAt: this.#clock.now(),
@@ -119,11 +120,13 @@
     }
     return new Promise((resolve) => {
       const sink = new CollectingSink((frame) => {
-        for (const reader of this.#readers.get(key) ?? []) reader.pass(frame);
+        for (const reader of this.#readers.get(key) ?? []) {
+          reader.forward(frame);
+        }
       }, (result) => {
         resolve(result.map(encodeAnswer));
       });
-      this.#run(generation, sink);
+      this.#startRun(generation, sink);
     });
   }
 
@@ -140,24 +143,24 @@
   }
 }
 
-/** Gathers the whole answer, and shows each frame as it comes. */
+/** Collects the whole answer and passes on each frame as it arrives. */
 class CollectingSink extends GenerationSink {
-  readonly #onToken: (frame: GenerationFrame) => void;
+  readonly #onFrame: (frame: GenerationFrame) => void;
   readonly #onAnswer: (result: Result<GenerationAnswer, Failure>) => void;
   readonly #tokens: string[] = [];
 
   constructor(
-    onToken: (frame: GenerationFrame) => void,
+    onFrame: (frame: GenerationFrame) => void,
     onAnswer: (result: Result<GenerationAnswer, Failure>) => void,
   ) {
     super();
-    this.#onToken = onToken;
+    this.#onFrame = onFrame;
     this.#onAnswer = onAnswer;
   }
 
   override onFrame(frame: GenerationFrame): void {
     this.#tokens.push(...frame.tokens);
-    this.#onToken(frame);
+    this.#onFrame(frame);
   }
 
   override onEnd(result: Result<GenerationEnd, Failure>): void {
@@ -170,18 +173,18 @@
   }
 }
 
-/** Tells of the end, and passes all on. */
-class EndedSink extends GenerationSink {
+/** Passes frames and the end on, and reports the end to a callback. */
+class EndObserverSink extends GenerationSink {
   readonly #sink: GenerationSink;
-  readonly #ended: (result: Result<GenerationEnd, Failure>) => void;
+  readonly #onEnded: (result: Result<GenerationEnd, Failure>) => void;
 
   constructor(
     sink: GenerationSink,
-    ended: (result: Result<GenerationEnd, Failure>) => void,
+    onEnded: (result: Result<GenerationEnd, Failure>) => void,
   ) {
     super();
     this.#sink = sink;
-    this.#ended = ended;
+    this.#onEnded = onEnded;
   }
 
   override onFrame(frame: GenerationFrame): void {
@@ -189,7 +192,7 @@
   }
 
   override onEnd(result: Result<GenerationEnd, Failure>): void {
-    this.#ended(result);
+    this.#onEnded(result);
     this.#sink.onEnd(result);
   }
 }
--- a/packages/node/src/delivery/live_reader.ts
+++ b/packages/node/src/delivery/live_reader.ts
@@ -12,13 +12,13 @@
 import type { GenerationRequest } from "../serving/generation_request.ts";
 import type { GenerationAnswer } from "./keyed_generation_message.ts";
 
-const ATTEMPT = attemptNumber(1);
+const FIRST_ATTEMPT = attemptNumber(1);
 
-/** A caller that reads the answer of a key's only run, from its start. */
+/** Forwards the answer of a key's only run to one caller, from the start. */
 export class LiveReader implements GenerationHandle {
   readonly #generation: GenerationRequest;
   readonly #sink: GenerationSink;
-  #passed = 0;
+  #forwardedTokens = 0;
   #paused = false;
   #ended = false;
 
@@ -31,7 +31,7 @@
     this.#sink = sink;
   }
 
-  /** Shows no more tokens as they come; the end brings the rest. */
+  /** Stops forwarding live tokens; the end delivers the rest. */
   pause(): void {
     this.#paused = true;
   }
@@ -40,7 +40,7 @@
     this.#paused = false;
   }
 
-  /** The caller left: it gets its end at once, and the run goes on. */
+  /** Ends the caller's request at once after it left; the run continues. */
   cancel(): void {
     this.end(err({
       reason: "cancelled",
@@ -52,41 +52,46 @@
   }
 
   /**
-   * Shows a frame, where it is the next one.
+   * Forwards a frame if it is the next one.
    * @param frame The frame.
    */
-  pass(frame: GenerationFrame): void {
-    if (this.#ended || this.#paused || frame.sequence !== this.#passed) return;
-    this.#show(frame.tokens);
+  forward(frame: GenerationFrame): void {
+    if (
+      this.#ended || this.#paused || frame.sequence !== this.#forwardedTokens
+    ) return;
+    this.#emit(frame.tokens);
   }
 
   /**
-   * Ends the answer, with the tokens that were not shown yet.
+   * Forwards the remaining tokens and ends the answer.
    * @param result The answer.
    */
   end(result: Result<GenerationAnswer, Failure>): void {
     if (this.#ended) return;
-    const rest = result.isOk() ? result.value.tokens.slice(this.#passed) : [];
-    if (rest.length > 0) this.#show(rest);
+    const rest = result.isOk()
+      ? result.value.tokens.slice(this.#forwardedTokens)
+      : [];
+    if (rest.length > 0) this.#emit(rest);
     this.#ended = true;
     const { request } = this.#generation;
     this.#sink.onEnd(result.andThen(({ end }) => {
       assertInvariant(
-        this.#passed === end.completionTokens,
+        this.#forwardedTokens === end.completionTokens,
         "answer_is_whole",
-        () => `${this.#passed} of ${end.completionTokens} tokens are shown.`,
+        () =>
+          `${this.#forwardedTokens} of ${end.completionTokens} tokens are shown.`,
       );
       return ok({ ...end, request });
     }));
   }
 
-  #show(tokens: readonly string[]): void {
+  #emit(tokens: readonly string[]): void {
     const { request, adapter } = this.#generation;
-    const sequence = this.#passed;
-    this.#passed += tokens.length;
+    const sequence = this.#forwardedTokens;
+    this.#forwardedTokens += tokens.length;
     this.#sink.onFrame({
       request,
-      attempt: ATTEMPT,
+      attempt: FIRST_ATTEMPT,
       sequence,
       tokens,
       adapter,
--- a/packages/node/src/delivery/outcome_peers.ts
+++ b/packages/node/src/delivery/outcome_peer_client.ts
@@ -11,23 +11,23 @@
 import type { PeerChannels } from "../peers/peer_channels.ts";
 import type { KeyedResult } from "./keyed_execution.ts";
 import {
+  createUnsettledVerdict,
   fromKeyedOutcome,
   fromVerdictMessage,
   toClaimMessage,
-  unsettled,
 } from "./outcome_messages.ts";
 
 const CLAIM_TIMEOUT_MILLISECONDS = 8_000;
 const RUN_TIMEOUT_MILLISECONDS = 600_000;
 
-/** Asks other nodes about keys. */
-export class OutcomePeers {
+/** Sends keyed requests and key claims to other nodes. */
+export class OutcomePeerClient {
   readonly #channels: PeerChannels;
   readonly #nodes: () => readonly Vm[];
 
   /**
    * @param channels The connections to the peers.
-   * @param nodes Lists the nodes as known at present, the leaving included.
+   * @param nodes Lists the currently known nodes, including leaving ones.
    */
   constructor(channels: PeerChannels, nodes: () => readonly Vm[]) {
     this.#channels = channels;
@@ -35,15 +35,15 @@
   }
 
   /**
-   * Has a request run by the node that alone may run its key.
+   * Forwards a request to the only node that may run its key.
    * @param node The node.
-   * @param run The request, and the incarnation that may run it.
-   * @returns The outcome; unknown where the node is gone or silent.
+   * @param run The request and the incarnation that may run it.
+   * @returns The outcome; unknown if the node is gone or does not answer.
    */
   run(node: NodeId, run: KeyedRun): Promise<KeyedResult> {
     const client = this.#client(node);
     if (client === undefined) {
-      return Promise.resolve(err(gone(node, "The node is gone.")));
+      return Promise.resolve(err(unknownOutcome(node, "The node is gone.")));
     }
     const deadline = Date.now() + RUN_TIMEOUT_MILLISECONDS;
     return new Promise((resolve) => {
@@ -51,22 +51,24 @@
         resolve(
           error === null
             ? fromKeyedOutcome(answer, node)
-            : err(gone(node, messageOf(error))),
+            : err(unknownOutcome(node, describeError(error))),
         );
       });
     });
   }
 
   /**
-   * Claims a key through a gathering node.
+   * Claims a key through the node that gathers claims.
    * @param node The gathering node.
    * @param claim The claim.
-   * @returns The verdict; refused where the node is gone or silent.
+   * @returns The verdict; refused if the node is gone or does not answer.
    */
   claim(node: NodeId, claim: KeyClaim): Promise<ClaimVerdict> {
     const client = this.#client(node);
     if (client === undefined) {
-      return Promise.resolve(unsettled(node, "The gathering node is gone."));
+      return Promise.resolve(
+        createUnsettledVerdict(node, "The gathering node is gone."),
+      );
     }
     const deadline = Date.now() + CLAIM_TIMEOUT_MILLISECONDS;
     const batch = { claims: [toClaimMessage(claim)] };
@@ -75,14 +77,14 @@
         resolve(
           error === null
             ? fromVerdictMessage(answer.verdicts[0], node)
-            : unsettled(node, messageOf(error)),
+            : createUnsettledVerdict(node, describeError(error)),
         );
       });
     });
   }
 
   #client(node: NodeId): OutcomesClient | undefined {
-    const vm = this.#nodes().find((one) => one.id === node);
+    const vm = this.#nodes().find((candidate) => candidate.id === node);
     if (vm === undefined) return undefined;
     const address = vm.peerAddress ?? vm.address;
     return new OutcomesClient(address, credentials.createInsecure(), {
@@ -91,12 +93,12 @@
   }
 }
 
-function messageOf(error: ServiceError): string {
+function describeError(error: ServiceError): string {
   return `The node did not answer: ${error.details}.`;
 }
 
-/** Nothing is known of the key, and no other node will ever run it. */
-function gone(node: NodeId, message: string): Failure {
+/** The key's outcome is unknown, and no other node will ever run the key. */
+function unknownOutcome(node: NodeId, message: string): Failure {
   return {
     reason: "unavailable",
     step: "forward",
--- a/packages/node/src/delivery/service_delivery.ts
+++ b/packages/node/src/delivery/service_delivery.ts
@@ -4,11 +4,11 @@
 import * as z from "zod";
 import type { KeyedExecution } from "./keyed_execution.ts";
 
-/** A caller's call to a plain service, before a server is chosen. */
+/** A caller's call to a plain service for which no server is chosen yet. */
 export interface ServiceRequest {
   readonly service: string;
   readonly method: string;
-  /** Path and query. */
+  /** The path and the query. */
   readonly path: string;
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
@@ -17,17 +17,18 @@
 /** Sends a call to one server of its service, at most once. */
 export abstract class ServiceCallRunner {
   /**
-   * Sends a call once. Another server may be tried only where the first is
-   * proven not to have run it.
+   * Sends a call once. Another server may be tried only if the first is proven
+   * not to have run the call.
    * @param request The call.
-   * @returns The answer, or a failure that tells truthfully whether it ran.
+   * @returns The answer, or a failure whose outcome states truthfully whether
+   * the call ran.
    */
   abstract runOnce(
     request: ServiceRequest,
   ): Promise<Result<ServiceAnswer, Failure>>;
 }
 
-const WORK_NAME = "service_call";
+const HANDLER_NAME = "service_call";
 const KEY_HEADER = "idempotency-key";
 
 const requestSchema = z.object({
@@ -45,7 +46,7 @@
   leaving: z.boolean(),
 });
 
-/** Brings calls that must not run twice to plain services. */
+/** Delivers calls that must not run twice to plain services. */
 export class ServiceDelivery {
   readonly #execution: KeyedExecution;
   readonly #runner: ServiceCallRunner;
@@ -57,19 +58,19 @@
   constructor(execution: KeyedExecution, runner: ServiceCallRunner) {
     this.#execution = execution;
     this.#runner = runner;
-    execution.register(WORK_NAME, async (payload) => {
+    execution.register(HANDLER_NAME, async (payload) => {
       const request = decodeRequest(payload);
-      if (request === undefined) return err(unreadable("not_run"));
+      if (request === undefined) return err(unreadableMessage("not_run"));
       const answer = await runner.runOnce(request);
-      return answer.andThen((found) => keepIfRun(request, found));
+      return answer.andThen((received) => toKeyedResult(request, received));
     });
   }
 
   /**
    * Runs a call that must not run twice.
    * @param request The call.
-   * @param key The `Idempotency-Key`; without one it is sent once.
-   * @returns The answer of the only run, or what is known of it.
+   * @param key The `Idempotency-Key`; without one the call is sent once.
+   * @returns The answer of the only run, or a failure with its known outcome.
    */
   async deliver(
     request: ServiceRequest,
@@ -77,17 +78,17 @@
   ): Promise<Result<ServiceAnswer, Failure>> {
     if (key === undefined) return await this.#runner.runOnce(request);
     const answer = await this.#execution.execute({
-      work: WORK_NAME,
+      work: HANDLER_NAME,
       key,
-      payload: encodeRequest(withKey(request, key)),
-      identity: identityOf(request),
+      payload: encodeRequest(withKeyHeader(request, key)),
+      identity: encodeIdentity(request),
     });
     return answer.andThen(decodeAnswer);
   }
 }
 
-/** The service sees the key too: its own check is a further safeguard. */
-function withKey(request: ServiceRequest, key: string): ServiceRequest {
+/** Adds the key for the service, whose own check is a further safeguard. */
+function withKeyHeader(request: ServiceRequest, key: string): ServiceRequest {
   const others = request.headers.filter((header) =>
     header.name.toLowerCase() !== KEY_HEADER
   );
@@ -97,8 +98,8 @@
   };
 }
 
-/** A call that its server states as not run frees its key. */
-function keepIfRun(
+/** Fails if the server states that the call did not run, to free its key. */
+function toKeyedResult(
   request: ServiceRequest,
   answer: ServiceAnswer,
 ): Result<Uint8Array, Failure> {
@@ -112,8 +113,8 @@
   });
 }
 
-/** Headers may differ between a request and its retry. */
-function identityOf(request: ServiceRequest): Uint8Array {
+/** Leaves out the headers, which may differ between a call and its retry. */
+function encodeIdentity(request: ServiceRequest): Uint8Array {
   const { service, method, path, body } = request;
   return encode([service, method, path, toBase64(body)]);
 }
@@ -135,7 +136,7 @@
 
 function decodeAnswer(payload: Uint8Array): Result<ServiceAnswer, Failure> {
   const parsed = answerSchema.safeParse(decode(payload));
-  if (!parsed.success) return err(unreadable("ran"));
+  if (!parsed.success) return err(unreadableMessage("ran"));
   return ok({ ...parsed.data, body: Buffer.from(parsed.data.body, "base64") });
 }
 
@@ -155,7 +156,7 @@
   }
 }
 
-function unreadable(outcome: Failure["outcome"]): Failure {
+function unreadableMessage(outcome: Failure["outcome"]): Failure {
   return {
     reason: "corrupt",
     step: "call_service",
--- a/packages/node/src/drain/leaving_engines.ts
+++ b/packages/node/src/drain/leaving_engines.ts
@@ -6,15 +6,15 @@
 
 const POLL_MILLISECONDS = 500;
 
-/** Where the engines that this node controls stand. */
+/** The engines that this node controls. */
 export interface ControlledEngines {
-  /** The controllers that run here. */
+  /** The controllers that run on this node. */
   readonly controllers: Iterable<{ readonly engine: EngineId }>;
-  /** Brings waiting requests elsewhere; those in progress go on. */
+  /** Moves waiting requests elsewhere; those in progress continue. */
   stopControlling(engine: EngineId): void;
 }
 
-/** What the watch works with. */
+/** The dependencies of {@link LeavingEngines}. */
 export interface LeavingEnginesParts {
   readonly directory: VmDirectory;
   readonly engines: ControlledEngines;
@@ -23,57 +23,59 @@
 }
 
 /**
- * Takes new work away from engines that leave, whether the VM list or the
- * engine itself says so first.
+ * Stops new work on leaving engines, whether the VM list or the engine itself
+ * reports first that it leaves.
  */
 export class LeavingEngines {
   readonly #parts: LeavingEnginesParts;
   #isStopped = false;
 
-  /** @param parts What the watch works with. */
+  /** @param parts The dependencies. */
   constructor(parts: LeavingEnginesParts) {
     this.#parts = parts;
     parts.directory.onChange(() => {
-      this.#release();
+      this.#releaseLeaving();
     });
   }
 
-  /** Asks the engines controlled here, now and then until {@link stop}. */
+  /** Polls the engines controlled here until {@link stop}. */
   async run(): Promise<void> {
     while (!this.#isStopped) {
-      await Promise.all(this.#controlled().map((vm) => this.#ask(vm)));
+      await Promise.all(
+        this.#controlledVms().map((vm) => this.#pollEngine(vm)),
+      );
       await sleep(POLL_MILLISECONDS);
     }
   }
 
-  /** Stops asking. */
+  /** Stops polling. */
   stop(): void {
     this.#isStopped = true;
   }
 
-  async #ask(vm: VmOfRole<"engine">): Promise<void> {
+  async #pollEngine(vm: VmOfRole<"engine">): Promise<void> {
     const state = await this.#parts.engineClient(vm).readState();
     if (this.#isStopped || state.isErr() || !state.value.leaving) return;
     this.#parts.directory.markLeaving(vm.id);
   }
 
-  #controlled(): readonly VmOfRole<"engine">[] {
-    const held = this.#held();
+  #controlledVms(): readonly VmOfRole<"engine">[] {
+    const controlled = this.#controlledIds();
     return this.#parts.directory.live("engine")
-      .filter((vm) => held.has(engineId(vm.id)));
+      .filter((vm) => controlled.has(engineId(vm.id)));
   }
 
-  #release(): void {
-    const held = this.#held();
+  #releaseLeaving(): void {
+    const controlled = this.#controlledIds();
     for (const vm of this.#parts.directory.vms) {
       const engine = engineId(vm.id);
-      if (vm.state !== "leaving" || !held.has(engine)) continue;
+      if (vm.state !== "leaving" || !controlled.has(engine)) continue;
       this.#parts.logger.info("An engine is leaving.", { engine });
       this.#parts.engines.stopControlling(engine);
     }
   }
 
-  #held(): ReadonlySet<EngineId> {
+  #controlledIds(): ReadonlySet<EngineId> {
     const engines = [...this.#parts.engines.controllers];
     return new Set(engines.map(({ engine }) => engine));
   }
--- a/packages/node/src/peers/hand_over_outbox.ts
+++ b/packages/node/src/peers/hand_over_outbox.ts
@@ -2,61 +2,61 @@
 import { type RequestId, sameAdapter } from "@foxtailwind/core";
 import type { Answer, Frame, ToEntry } from "@foxtailwind/protocol";
 
-/** What an outbox writes to. */
+/** The destination of an outbox. */
 export interface BatchWriter {
   /**
    * Writes a batch.
-   * @returns Whether the peer keeps up; if not, {@link HandOverOutbox.drained}
-   * follows.
+   * @returns Whether more may be written at once; if not,
+   * {@link HandOverOutbox.drained} must be called once it may.
    */
   write(batch: ToEntry): boolean;
 }
 
-/** What the entry node knows of a lane without being told again. */
+/** The state of a lane that the entry node already knows. */
 export interface LaneState {
   readonly request: RequestId;
-  /** The adapter that the frame before named. */
+  /** The adapter of the previous frame. */
   readonly adapter: AdapterReference | undefined;
 }
 
-/** Gathers the answers of one turn of the loop into one message. */
+/** Batches the answers of one event loop turn into one message. */
 export class HandOverOutbox {
   readonly #writer: BatchWriter;
   readonly #onBlocked: (blocked: boolean) => void;
-  readonly #open = new Map<number, Frame>();
+  readonly #extendableFrames = new Map<number, Frame>();
   #answers: Answer[] = [];
   #scheduled = false;
   #blocked = false;
 
   /**
-   * @param writer Takes the batches.
-   * @param onBlocked Learns when the peer stops or goes on keeping up.
+   * @param writer Receives the batches.
+   * @param onBlocked Called when the writer becomes blocked or unblocked.
    */
   constructor(writer: BatchWriter, onBlocked: (blocked: boolean) => void) {
     this.#writer = writer;
     this.#onBlocked = onBlocked;
   }
 
-  /** Whether the peer does not keep up at present. */
+  /** Whether the writer currently waits for the peer to drain it. */
   get blocked(): boolean {
     return this.#blocked;
   }
 
   /**
-   * Adds a frame; one that goes on where the last one of its lane ended is
-   * joined to it.
+   * Adds a frame, merged into the last frame of its lane if it continues that
+   * frame.
    * @param lane The lane.
    * @param frame The frame.
-   * @param known What the entry node knows of the lane.
+   * @param known The state of the lane that the entry node already knows.
    */
   pushFrame(lane: number, frame: GenerationFrame, known: LaneState): void {
     const { adapter, request } = known;
     const isOwn = frame.request === request;
     const changed = adapter === undefined ||
       !sameAdapter(adapter, frame.adapter);
-    const last = this.#open.get(lane);
-    const joins = last !== undefined && isOwn && !changed;
-    if (joins && continues(last, frame)) {
+    const last = this.#extendableFrames.get(lane);
+    const canMerge = last !== undefined && isOwn && !changed;
+    if (canMerge && isContinuation(last, frame)) {
       last.tokens.push(...frame.tokens);
       return;
     }
@@ -67,8 +67,8 @@
       adapter: changed ? frame.adapter : undefined,
       request: isOwn ? "" : frame.request,
     };
-    if (isOwn) this.#open.set(lane, message);
-    else this.#open.delete(lane);
+    if (isOwn) this.#extendableFrames.set(lane, message);
+    else this.#extendableFrames.delete(lane);
     this.push({ lane, part: { $case: "frame", value: message } });
   }
 
@@ -86,7 +86,7 @@
     });
   }
 
-  /** The peer keeps up again. */
+  /** Resumes writing after the peer has drained the writer. */
   drained(): void {
     if (!this.#blocked) return;
     this.#blocked = false;
@@ -94,14 +94,14 @@
   }
 
   /**
-   * Writes what is gathered.
-   * @returns Whether the peer keeps up.
+   * Writes the pending answers.
+   * @returns Whether more may be written at once.
    */
   flush(): boolean {
     if (this.#answers.length === 0) return true;
     const answers = this.#answers;
     this.#answers = [];
-    this.#open.clear();
+    this.#extendableFrames.clear();
     if (this.#writer.write({ ready: false, closing: false, answers })) {
       return true;
     }
@@ -111,7 +111,7 @@
   }
 }
 
-function continues(last: Frame, frame: GenerationFrame): boolean {
+function isContinuation(last: Frame, frame: GenerationFrame): boolean {
   return last.attempt === frame.attempt &&
     last.sequence + last.tokens.length === frame.sequence;
 }
--- a/packages/node/src/peers/peer_channels.ts
+++ b/packages/node/src/peers/peer_channels.ts
@@ -1,7 +1,7 @@
 import { Channel, credentials } from "@grpc/grpc-js";
 
-/** A restarted peer is reached again within a second. */
-const RECONNECTION = {
+/** Backoff limits that reconnect to a restarted peer within a second. */
+const CHANNEL_OPTIONS = {
   "grpc.initial_reconnect_backoff_ms": 100,
   "grpc.min_reconnect_backoff_ms": 100,
   "grpc.max_reconnect_backoff_ms": 1_000,
@@ -9,20 +9,20 @@
   "grpc.keepalive_timeout_ms": 1_000,
 } as const;
 
-/** Keeps one gRPC connection to each peer, which all services share. */
+/** Keeps one gRPC connection to each peer, shared by all services. */
 export class PeerChannels {
   readonly #channels = new Map<string, Channel>();
   #isClosed = false;
 
-  /** Whether the node has stopped, and calls no peer any more. */
+  /** Whether the node has stopped and no longer calls peers. */
   get isClosed(): boolean {
     return this.#isClosed;
   }
 
   /**
-   * Gives the connection to a peer.
-   * @param address IP literal and port.
-   * @returns The channel; made where there is none yet.
+   * Returns the connection to a peer, creating it if needed.
+   * @param address The IP literal and port.
+   * @returns The channel.
    */
   channel(address: string): Channel {
     const known = this.#channels.get(address);
@@ -30,15 +30,15 @@
     const channel = new Channel(
       address,
       credentials.createInsecure(),
-      RECONNECTION,
+      CHANNEL_OPTIONS,
     );
     this.#channels.set(address, channel);
     return channel;
   }
 
   /**
-   * Closes the connections to peers that are gone.
-   * @param kept The addresses of the peers that remain.
+   * Closes the connections to all peers but the given ones.
+   * @param kept The addresses of the remaining peers.
    */
   retain(kept: ReadonlySet<string>): void {
     for (const [address, channel] of this.#channels) {
