--- a/packages/node/src/operators/configuration_controller.ts
+++ b/packages/node/src/operators/configuration_controller.ts
@@ -18,13 +18,13 @@
 import { DaemonParts } from "../daemon_parts.ts";
 import { sendOperatorProblem } from "./operator_problem.ts";
 import { readPublishBody } from "./publish_body.ts";
-import { wholeNumber } from "./query.ts";
+import { parseWholeNumber } from "./query.ts";
 
-const DEFAULT_HISTORY = 20;
-const MAXIMUM_HISTORY = 1_000;
+const DEFAULT_HISTORY_LENGTH = 20;
+const MAXIMUM_HISTORY_LENGTH = 1_000;
 const OK = 200;
 
-/** Publishes configuration for operators and tells what is in force. */
+/** Publishes configuration changes and reports the one in force. */
 @Controller("v1/operators/configuration")
 export class ConfigurationController {
   readonly #parts: DaemonParts;
@@ -33,9 +33,9 @@
     this.#parts = parts;
   }
 
-  /** Tells the configuration in force here. */
+  /** Returns the configuration in force on this node. */
   @Get()
-  inForce() {
+  current() {
     const { configuration, corruptRecords } = this.#parts.follower;
     return {
       offset: configuration.offset,
@@ -48,7 +48,7 @@
     };
   }
 
-  /** Appends a record of changes and answers what became of it. */
+  /** Appends a record of changes and returns its result. */
   @Post()
   async publish(
     @Body() body: unknown,
@@ -65,7 +65,7 @@
     else await reply.status(OK).send(published.value);
   }
 
-  /** Compares changes with what is in force here; publishes nothing. */
+  /** Compares changes with the configuration in force, without publishing. */
   @Post("diff")
   async compare(
     @Body() body: unknown,
@@ -83,13 +83,13 @@
     });
   }
 
-  /** Tells the latest changes and what became of them. */
+  /** Lists the latest changes with their verdicts. */
   @Get("history")
   history(@Query("limit") limit: string | undefined) {
     const { recent } = this.#parts.follower.configuration;
-    const count = wholeNumber(limit, {
-      otherwise: DEFAULT_HISTORY,
-      maximum: MAXIMUM_HISTORY,
+    const count = parseWholeNumber(limit, {
+      otherwise: DEFAULT_HISTORY_LENGTH,
+      maximum: MAXIMUM_HISTORY_LENGTH,
     });
     return {
       changes: recent.latest(count).map((change) => ({
@@ -104,7 +104,7 @@
     };
   }
 
-  /** Tells what became of one change. */
+  /** Returns one change with its verdict. */
   @Get("changes/:id")
   async change(
     @Param("id") id: string,
--- a/packages/node/src/operators/drain_controller.ts
+++ b/packages/node/src/operators/drain_controller.ts
@@ -2,40 +2,40 @@
 import { DaemonParts } from "../daemon_parts.ts";
 
 const ACCEPTED = 202;
-/** The question itself is a request in progress too. */
+/** The status request itself counts as a request in progress. */
 const THIS_REQUEST = 1;
 
-/** How far the drain of this node is. */
+/** The drain state of this node. */
 interface DrainProgress {
   readonly node: string;
   readonly state: "serving" | "draining" | "drained";
   readonly in_progress: number;
 }
 
-/** Drains this node for operators. */
+/** Starts the drain of this node and reports its progress. */
 @Controller("v1/operators/drain")
 export class DrainController {
   readonly #parts: DaemonParts;
   #isDrained = false;
-  #isFollowed = false;
+  #isStarted = false;
 
   constructor(@Inject(DaemonParts) parts: DaemonParts) {
     this.#parts = parts;
   }
 
-  /** Starts the drain; a second call changes nothing. */
+  /** Starts the drain; idempotent. */
   @Post()
   @HttpCode(ACCEPTED)
   start(): DrainProgress {
-    this.#follow();
+    this.#startDrain();
     return this.progress();
   }
 
-  /** Tells how far the drain is. */
+  /** Returns the drain's progress. */
   @Get()
   progress(): DrainProgress {
     const { drain, work, settings } = this.#parts;
-    if (drain.isLeaving) this.#follow();
+    if (drain.isLeaving) this.#startDrain();
     const state = drain.isLeaving ? "draining" : "serving";
     return {
       node: settings.node.id,
@@ -44,9 +44,9 @@
     };
   }
 
-  #follow(): void {
-    if (this.#isFollowed) return;
-    this.#isFollowed = true;
+  #startDrain(): void {
+    if (this.#isStarted) return;
+    this.#isStarted = true;
     void this.#parts.drain.run().then(() => {
       this.#isDrained = true;
     });
--- a/packages/node/src/operators/item_changes_controller.ts
+++ b/packages/node/src/operators/item_changes_controller.ts
@@ -14,14 +14,14 @@
 import { readPublishBody } from "./publish_body.ts";
 
 const OK = 200;
-const KIND_OF_COLLECTION = {
+const ITEM_KIND_BY_COLLECTION = {
   classes: "class",
   services: "service",
   tenants: "tenant",
   adapters: "adapter",
 } as const;
 
-type Collection = keyof typeof KIND_OF_COLLECTION;
+type Collection = keyof typeof ITEM_KIND_BY_COLLECTION;
 
 /** Sets and removes single items of the configuration. */
 @Controller("v1/operators/:collection/:item")
@@ -32,7 +32,7 @@
     this.#parts = parts;
   }
 
-  /** Makes an item, or changes it; the body holds its keys. */
+  /** Creates or updates an item from the fields of the body. */
   @Put()
   async set(
     @Param("collection") collection: string,
@@ -41,16 +41,16 @@
     @Res() reply: FastifyReply,
   ): Promise<void> {
     if (!isCollection(collection)) {
-      await refuse(reply, collection);
+      await sendUnknownCollection(reply, collection);
       return;
     }
-    const kind = KIND_OF_COLLECTION[collection];
+    const kind = ITEM_KIND_BY_COLLECTION[collection];
     const { record, values } = splitBody(body);
     const change = { ...values, kind: `set_${kind}`, [kind]: item };
     await this.#publish({ ...record, changes: [change] }, reply);
   }
 
-  /** Removes an item; requests in progress are finished. */
+  /** Removes an item; requests in progress still complete. */
   @Delete()
   async remove(
     @Param("collection") collection: string,
@@ -58,10 +58,10 @@
     @Res() reply: FastifyReply,
   ): Promise<void> {
     if (!isCollection(collection)) {
-      await refuse(reply, collection);
+      await sendUnknownCollection(reply, collection);
       return;
     }
-    const kind = KIND_OF_COLLECTION[collection];
+    const kind = ITEM_KIND_BY_COLLECTION[collection];
     const change = { kind: `remove_${kind}`, [kind]: item };
     await this.#publish({ changes: [change] }, reply);
   }
@@ -80,11 +80,14 @@
 }
 
 function isCollection(text: string): text is Collection {
-  return Object.hasOwn(KIND_OF_COLLECTION, text);
+  return Object.hasOwn(ITEM_KIND_BY_COLLECTION, text);
 }
 
-async function refuse(reply: FastifyReply, seen: string): Promise<void> {
-  const known = Object.keys(KIND_OF_COLLECTION).join(", ");
+async function sendUnknownCollection(
+  reply: FastifyReply,
+  seen: string,
+): Promise<void> {
+  const known = Object.keys(ITEM_KIND_BY_COLLECTION).join(", ");
   await sendOperatorProblem(
     reply,
     publishFailure("not_found", {
@@ -94,17 +97,17 @@
   );
 }
 
-/** The keys of the record and those of the item stand in one body. */
+/** Separates the record's keys from the item's, which share one body. */
 function splitBody(body: unknown): {
   readonly record: object;
   readonly values: object;
 } {
-  const given = Object.entries(
+  const entries = Object.entries(
     typeof body === "object" && body !== null ? body : {},
   );
-  const ofRecord = (key: string) => ["id", "author", "base"].includes(key);
+  const isRecordKey = (key: string) => ["id", "author", "base"].includes(key);
   return {
-    record: Object.fromEntries(given.filter(([key]) => ofRecord(key))),
-    values: Object.fromEntries(given.filter(([key]) => !ofRecord(key))),
+    record: Object.fromEntries(entries.filter(([key]) => isRecordKey(key))),
+    values: Object.fromEntries(entries.filter(([key]) => !isRecordKey(key))),
   };
 }
--- a/packages/node/src/operators/items_controller.ts
+++ b/packages/node/src/operators/items_controller.ts
@@ -7,12 +7,12 @@
 } from "@foxtailwind/core";
 import { Controller, Get, Inject, Query } from "@nestjs/common";
 import { DaemonParts } from "../daemon_parts.ts";
-import { wholeNumber } from "./query.ts";
+import { parseWholeNumber } from "./query.ts";
 
-const DEFAULT_PAGE = 100;
-const MAXIMUM_PAGE = 10_000;
+const DEFAULT_PAGE_SIZE = 100;
+const MAXIMUM_PAGE_SIZE = 10_000;
 
-/** Lists the items of the configuration in force here. */
+/** Lists the items of the configuration in force on this node. */
 @Controller("v1/operators")
 export class ItemsController {
   readonly #parts: DaemonParts;
@@ -52,7 +52,7 @@
     return { offset: configuration.offset, tenants };
   }
 
-  /** Lists the adapters and their versions, a page at a time. */
+  /** Lists one page of the adapters and their versions. */
   @Get("adapters")
   adapters(
     @Query("after") after: string | undefined,
@@ -60,11 +60,11 @@
     @Query("model") model: string | undefined,
   ) {
     const { configuration } = this.#parts.follower;
-    const count = wholeNumber(limit, {
-      otherwise: DEFAULT_PAGE,
-      maximum: MAXIMUM_PAGE,
+    const count = parseWholeNumber(limit, {
+      otherwise: DEFAULT_PAGE_SIZE,
+      maximum: MAXIMUM_PAGE_SIZE,
     });
-    const ids = adaptersOf(configuration, model);
+    const ids = listAdapterIds(configuration, model);
     const page = ids.filter((id) => id > (after ?? "")).slice(0, count);
     return {
       offset: configuration.offset,
@@ -74,13 +74,13 @@
   }
 }
 
-function adaptersOf(
+function listAdapterIds(
   configuration: Configuration,
   model: string | undefined,
 ): readonly AdapterId[] {
-  const wanted = (adapter: ConfiguredAdapter) =>
+  const matchesModel = (adapter: ConfiguredAdapter) =>
     model === undefined || adapter.model === model;
-  return [...configuration.adapters.values()].filter(wanted)
+  return [...configuration.adapters.values()].filter(matchesModel)
     .map(({ adapter }) => adapter).sort();
 }
 
--- a/packages/node/src/operators/machines_controller.ts
+++ b/packages/node/src/operators/machines_controller.ts
@@ -2,16 +2,16 @@
 import { Controller, Get, Inject } from "@nestjs/common";
 import { DaemonParts } from "../daemon_parts.ts";
 
-/** Lists the nodes and the engines that this node knows of. */
+/** Lists the nodes and engines in this node's VM list. */
 @Controller("v1/operators")
-export class MachinesController {
+export class VmsController {
   readonly #parts: DaemonParts;
 
   constructor(@Inject(DaemonParts) parts: DaemonParts) {
     this.#parts = parts;
   }
 
-  /** Lists the nodes. */
+  /** Lists the nodes, sorted by id. */
   @Get("nodes")
   nodes() {
     const nodes = this.#sorted().filter((vm) => vm.role.kind === "entry");
@@ -26,10 +26,10 @@
     };
   }
 
-  /** Lists the model engines. */
+  /** Lists the model engines, sorted by id. */
   @Get("engines")
   engines() {
-    return { engines: this.#sorted().flatMap(engineRows) };
+    return { engines: this.#sorted().flatMap(toEngineRows) };
   }
 
   #sorted(): readonly Vm[] {
@@ -39,7 +39,7 @@
   }
 }
 
-function engineRows(vm: Vm) {
+function toEngineRows(vm: Vm) {
   if (vm.role.kind !== "engine") return [];
   return [{
     engine: vm.id,
--- a/packages/node/src/operators/mod.ts
+++ b/packages/node/src/operators/mod.ts
@@ -3,15 +3,15 @@
 import { DrainController } from "./drain_controller.ts";
 import { ItemChangesController } from "./item_changes_controller.ts";
 import { ItemsController } from "./items_controller.ts";
-import { MachinesController } from "./machines_controller.ts";
+import { VmsController } from "./machines_controller.ts";
 import { ConfigurationStatusController } from "./status_controller.ts";
 
-/** What operators are served by. */
+/** The controllers of the operator API. */
 export const OPERATOR_CONTROLLERS: readonly Type[] = [
   ConfigurationStatusController,
   ConfigurationController,
   ItemsController,
   ItemChangesController,
-  MachinesController,
+  VmsController,
   DrainController,
 ];
--- a/packages/node/src/operators/operator_problem.ts
+++ b/packages/node/src/operators/operator_problem.ts
@@ -5,9 +5,9 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
- * Answers an operator with problem details (RFC 9457): what failed, what to
- * do about it and, in a conflict, who won.
- * @param reply The answer to write.
+ * Sends problem details (RFC 9457) to an operator: the failure, its remedy and,
+ * for a conflict, the winning change.
+ * @param reply The reply to write.
  * @param failure The failure.
  */
 export async function sendOperatorProblem(
--- a/packages/node/src/operators/publish_body.ts
+++ b/packages/node/src/operators/publish_body.ts
@@ -13,29 +13,29 @@
 
 const DEFAULT_AUTHOR = "operator";
 
-/** What an operator may leave out of a record. */
+/** Defaults for fields that an operator may omit from a record. */
 export interface RecordDefaults {
-  /** The offset that is taken as the base where none is given. */
+  /** The base offset when the request gives none. */
   readonly offset: LogOffset;
 }
 
 /**
- * Reads a record from an operator's request.
+ * Parses a configuration record from an operator's request.
  * @param body The request's body.
- * @param defaults What is taken where the body says nothing.
- * @returns The record, or every problem at once.
+ * @param defaults Values for omitted fields.
+ * @returns The record, or a failure that lists all validation errors.
  */
 export function readPublishBody(
   body: unknown,
   defaults: RecordDefaults,
 ): Result<ConfigurationRecord, PublishFailure> {
-  const given = typeof body === "object" && body !== null ? body : {};
-  if ("id" in given && !("base" in given)) return err(ID_WITHOUT_BASE);
+  const fields = typeof body === "object" && body !== null ? body : {};
+  if ("id" in fields && !("base" in fields)) return err(ID_WITHOUT_BASE);
   const record = publishSchema.safeParse({
     id: randomUUID(),
     author: DEFAULT_AUTHOR,
     base: defaults.offset,
-    ...given,
+    ...fields,
   });
   if (record.success) return ok(record.data);
   return err(publishFailure("invalid", {
@@ -44,7 +44,7 @@
   }));
 }
 
-/** Else a repeat that comes long after would take a new base, and run again. */
+/** Without a base, a late retry would get a new base and be applied again. */
 const ID_WITHOUT_BASE = publishFailure("invalid", {
   message: "base: must be given together with an id.",
   remedy: "Give the offset of the configuration that the change was made from.",
--- a/packages/node/src/operators/query.ts
+++ b/packages/node/src/operators/query.ts
@@ -1,15 +1,15 @@
 /**
- * Reads a whole number from a query.
- * @param text The query's value.
- * @param limits What is taken where it is missing or no whole number, and the
- * most that is allowed.
+ * Parses a non-negative integer query parameter.
+ * @param text The parameter's value.
+ * @param bounds The value for a missing or invalid parameter, and the
+ * upper limit, to which larger values are reduced.
  * @returns The number.
  */
-export function wholeNumber(
+export function parseWholeNumber(
   text: string | undefined,
-  limits: { readonly otherwise: number; readonly maximum: number },
+  bounds: { readonly otherwise: number; readonly maximum: number },
 ): number {
-  const value = Number(text ?? limits.otherwise);
-  if (!Number.isInteger(value) || value < 0) return limits.otherwise;
-  return Math.min(value, limits.maximum);
+  const value = Number(text ?? bounds.otherwise);
+  if (!Number.isInteger(value) || value < 0) return bounds.otherwise;
+  return Math.min(value, bounds.maximum);
 }
--- a/packages/node/src/operators/status_controller.ts
+++ b/packages/node/src/operators/status_controller.ts
@@ -13,7 +13,7 @@
   readonly note?: string;
 }
 
-/** Tells for each node which configuration is in force there. */
+/** Reports which configuration is in force on each node. */
 @Controller("v1/operators/configuration/status")
 export class ConfigurationStatusController {
   readonly #parts: DaemonParts;
@@ -22,7 +22,7 @@
     this.#parts = parts;
   }
 
-  /** Asks all nodes of the VM list. */
+  /** Queries all nodes in the VM list. */
   @Get()
   async status() {
     const { directory, settings, follower, peerStatuses } = this.#parts;
@@ -34,7 +34,7 @@
       ...await peerStatuses(others),
     ];
     const latest = Math.max(...answers.map(offsetOf));
-    const nodes = answers.map((answer) => rowOf(answer, latest));
+    const nodes = answers.map((answer) => toNodeRow(answer, latest));
     nodes.sort((left, right) => left.node < right.node ? -1 : 1);
     return { offset: latest, nodes };
   }
@@ -44,7 +44,7 @@
   return answer.kind === "answered" ? answer.status.offset : -1;
 }
 
-function rowOf(answer: NodeStatus, latest: number): NodeRow {
+function toNodeRow(answer: NodeStatus, latest: number): NodeRow {
   if (answer.kind === "unreachable") {
     return { node: answer.node, state: "unreachable" };
   }
--- a/packages/node/src/telemetry/controlled_engines.ts
+++ b/packages/node/src/telemetry/controlled_engines.ts
@@ -4,22 +4,22 @@
   EngineActivitySource,
 } from "./engine_activity.ts";
 
-/** Tells the activity of engines from their controllers. */
+/** Reads the activity of engines from their controllers. */
 export class ControlledEngines extends EngineActivitySource {
   readonly #controllers: () => Iterable<EngineController>;
 
-  /** @param controllers Gives the controllers that this node has now. */
+  /** @param controllers Returns this node's current controllers. */
   constructor(controllers: () => Iterable<EngineController>) {
     super();
     this.#controllers = controllers;
   }
 
   override engines(): readonly EngineActivity[] {
-    return Array.from(this.#controllers(), activityOf);
+    return Array.from(this.#controllers(), toEngineActivity);
   }
 }
 
-function activityOf(controller: EngineController): EngineActivity {
+function toEngineActivity(controller: EngineController): EngineActivity {
   const { residency, waiting, running, engine, batchCapacity } = controller;
   const residences = [...residency.all];
   const inState = (state: "resident" | "loading") =>
--- a/packages/node/src/telemetry/deployment_telemetry.ts
+++ b/packages/node/src/telemetry/deployment_telemetry.ts
@@ -12,22 +12,22 @@
 import type { LocalTelemetry } from "./local_telemetry.ts";
 import type { NodeAnswer, PeerCollector } from "./peer_collector.ts";
 
-/** Whether a node answered, and if not, why. */
-export interface NodeReach {
+/** Whether a node answered, and the reason if it did not. */
+export interface NodeReachability {
   readonly node: string;
   readonly answered: boolean;
   readonly reason?: string;
 }
 
-/** Histograms of all nodes that answered. */
+/** Merged histograms of all nodes that answered. */
 export interface CollectedHistograms {
-  readonly nodes: readonly NodeReach[];
+  readonly nodes: readonly NodeReachability[];
   readonly merged: MergedHistograms;
 }
 
-/** What the nodes saw of one request. */
+/** The nodes' explanations of one request. */
 export interface CollectedExplanation {
-  readonly nodes: readonly NodeReach[];
+  readonly nodes: readonly NodeReachability[];
   readonly found: readonly {
     readonly node: string;
     readonly explanation: telemetry.Explanation;
@@ -36,11 +36,11 @@
 
 /** Statuses of all nodes that answered. */
 export interface CollectedStatus {
-  readonly nodes: readonly NodeReach[];
+  readonly nodes: readonly NodeReachability[];
   readonly statuses: readonly telemetry.StatusAnswer[];
 }
 
-/** What all nodes observe, collected from the one that is asked. */
+/** Collects telemetry from all nodes. */
 export class DeploymentTelemetry {
   readonly #self: string;
   readonly #local: LocalTelemetry;
@@ -57,9 +57,9 @@
   }
 
   /**
-   * Adds the histograms of all nodes up.
-   * @param window Which window.
-   * @returns The sums, and which nodes are in them.
+   * Merges the histograms of all nodes.
+   * @param window The histogram window.
+   * @returns The merged histograms, and which nodes answered.
    */
   async histograms(
     window: HistogramWindow,
@@ -69,19 +69,18 @@
         client.readHistograms({ window }, metadata, options, callback),
     );
     const merged = new MergedHistograms();
-    await addGently(merged, await this.#local.report(window));
+    await addReport(merged, await this.#local.report(window));
     for (const answer of answers) {
       if (!answer.answered) continue;
-      await addGently(merged, fromHistogramsAnswer(answer.answer));
+      await addReport(merged, fromHistogramsAnswer(answer.answer));
     }
-    return { nodes: this.#reach(answers), merged };
+    return { nodes: this.#reachability(answers), merged };
   }
 
   /**
-   * Collects what the nodes saw of a request.
+   * Collects the nodes' explanations of a request.
    * @param request The request.
-   * @returns The explanations, the asked node's own first, then in the order
-   * of the nodes' ids.
+   * @returns The explanations, this node's first, then sorted by node id.
    */
   async explain(request: RequestId): Promise<CollectedExplanation> {
     const answers = await this.#peers.collect<telemetry.ExplainAnswer>(
@@ -98,12 +97,12 @@
       { node: this.#self, explanation: toExplanationMessage(own) },
       ...explanations,
     ];
-    return { nodes: this.#reach(answers), found };
+    return { nodes: this.#reachability(answers), found };
   }
 
   /**
    * Collects the statuses of all nodes.
-   * @returns The statuses, the asked node's own first.
+   * @returns The statuses, this node's first.
    */
   async status(): Promise<CollectedStatus> {
     const answers = await this.#peers.collect<telemetry.StatusAnswer>(
@@ -114,12 +113,14 @@
       answer.answered ? [answer.answer] : []
     );
     return {
-      nodes: this.#reach(answers),
+      nodes: this.#reachability(answers),
       statuses: [this.#local.status(), ...others],
     };
   }
 
-  #reach(answers: readonly NodeAnswer<unknown>[]): readonly NodeReach[] {
+  #reachability(
+    answers: readonly NodeAnswer<unknown>[],
+  ): readonly NodeReachability[] {
     const others = answers.map((answer) =>
       answer.answered
         ? { node: answer.node, answered: true }
@@ -129,7 +130,7 @@
   }
 }
 
-async function addGently(
+async function addReport(
   merged: MergedHistograms,
   report: HistogramReport,
 ): Promise<void> {
--- a/packages/node/src/telemetry/engine_activity.ts
+++ b/packages/node/src/telemetry/engine_activity.ts
@@ -1,19 +1,19 @@
 import type { EngineId } from "@foxtailwind/core";
 
-/** What an engine does, as its controller knows it. */
+/** An engine's state as tracked by its controller. */
 export interface EngineActivity {
   readonly engine: EngineId;
   readonly adapterSlots: number;
   readonly batchCapacity: number;
-  /** The adapters resident, as `adapter@version`. */
+  /** The resident adapters, as `adapter@version`. */
   readonly resident: readonly string[];
   readonly loading: readonly string[];
   readonly waiting: number;
   readonly running: number;
 }
 
-/** Knows the engines that this node controls. */
+/** Provides the activity of the engines that this node controls. */
 export abstract class EngineActivitySource {
-  /** @returns The engines' activity now. */
+  /** @returns The current activity of each engine. */
   abstract engines(): readonly EngineActivity[];
 }
--- a/packages/node/src/telemetry/explanation_messages.ts
+++ b/packages/node/src/telemetry/explanation_messages.ts
@@ -2,7 +2,7 @@
 import type { telemetry } from "@foxtailwind/protocol";
 
 /**
- * Puts an explanation into a message.
+ * Converts an explanation to its gRPC message.
  * @param explanation The explanation.
  * @returns The message.
  */
--- a/packages/node/src/telemetry/histogram_messages.ts
+++ b/packages/node/src/telemetry/histogram_messages.ts
@@ -12,16 +12,16 @@
 import type { telemetry } from "@foxtailwind/protocol";
 
 /**
- * Reads the name of a window.
+ * Parses a histogram window name.
  * @param text The name.
- * @returns The window, or nothing where there is none of this name.
+ * @returns The window, or undefined if the name is unknown.
  */
 export function parseWindow(text: string): HistogramWindow | undefined {
   return HISTOGRAM_WINDOWS.find((window) => window === text);
 }
 
 /**
- * Puts a report into a message.
+ * Converts a report to its gRPC message.
  * @param report The report.
  * @returns The message.
  */
@@ -40,9 +40,9 @@
 }
 
 /**
- * Reads a report from a message.
+ * Converts a gRPC message to a report.
  * @param message The message.
- * @returns The report; measures that are not known here are left out.
+ * @returns The report, without measures unknown to this version.
  */
 export function fromHistogramsAnswer(
   message: telemetry.HistogramsAnswer,
--- a/packages/node/src/telemetry/histogram_view.ts
+++ b/packages/node/src/telemetry/histogram_view.ts
@@ -7,12 +7,15 @@
   summariseHistogram,
   TICKS_PER_MILLISECOND,
 } from "@foxtailwind/core";
-import type { CollectedHistograms, NodeReach } from "./deployment_telemetry.ts";
+import type {
+  CollectedHistograms,
+  NodeReachability,
+} from "./deployment_telemetry.ts";
 
-/** Stands for the sum over all tenants. */
+/** The tenant label of the sum over all tenants. */
 const ALL_TENANTS = "(all)";
 
-/** One class and tenant, as operators get it; times in milliseconds. */
+/** The row of one class and tenant in the operator API, in milliseconds. */
 export interface HistogramRowView {
   readonly class: string;
   readonly tenant: string;
@@ -20,11 +23,11 @@
   readonly measures: Readonly<Record<string, HistogramSummary>>;
 }
 
-/** Merged histograms, as operators get them. */
+/** Merged histograms in the operator API. */
 export interface HistogramsView {
   readonly window: HistogramWindow;
-  readonly nodes: readonly NodeReach[];
-  /** Histograms that could not be read. */
+  readonly nodes: readonly NodeReachability[];
+  /** The number of histograms that could not be decoded. */
   readonly damaged: number;
   readonly rows: readonly HistogramRowView[];
   readonly batch_fill: readonly {
@@ -34,23 +37,23 @@
 }
 
 /**
- * Sums histograms up for operators.
+ * Summarises histograms for the operator API.
  * @param collected The histograms of all nodes that answered.
  * @param window Their window.
- * @returns The view; each class begins with the sum over its tenants.
+ * @returns The view; the sum over a class's tenants precedes their rows.
  */
-export function viewHistograms(
+export function buildHistogramsView(
   collected: CollectedHistograms,
   window: HistogramWindow,
 ): HistogramsView {
   const { nodes, merged } = collected;
   const { rows } = merged;
   const sums = [...sumByClass(rows).values()]
-    .map((row) => viewRow(row, ALL_TENANTS));
+    .map((row) => buildRowView(row, ALL_TENANTS));
   const views = sums.flatMap((sum) => [
     sum,
     ...rows.filter((row) => row.class === sum.class)
-      .map((row) => viewRow(row, row.tenant)),
+      .map((row) => buildRowView(row, row.tenant)),
   ]);
   const fills = [...merged.engines].map(([engine, histogram]) => ({
     engine,
@@ -65,7 +68,7 @@
   };
 }
 
-function viewRow(row: MergedRow, tenant: string): HistogramRowView {
+function buildRowView(row: MergedRow, tenant: string): HistogramRowView {
   const measures = MEASURES.flatMap((measure) => {
     const histogram = row.histograms.get(measure);
     if (histogram === undefined) return [];
--- a/packages/node/src/telemetry/local_telemetry.ts
+++ b/packages/node/src/telemetry/local_telemetry.ts
@@ -14,14 +14,14 @@
 import type { EngineActivitySource } from "./engine_activity.ts";
 import { nodeStatus } from "./node_status.ts";
 
-const CONFIGURE_MILLISECONDS = 1_000;
+const CONFIGURE_INTERVAL_MILLISECONDS = 1_000;
 
-/** What this node observes, with its clock and its configuration. */
+/** Telemetry of this node, read at the time of its own clock. */
 export class LocalTelemetry {
   readonly #parts: DaemonParts;
   readonly #requests: RequestTelemetry;
   readonly #activity: EngineActivitySource;
-  #configuredAt: LogOffset | undefined;
+  #configuredOffset: LogOffset | undefined;
   #timer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -36,23 +36,23 @@
     this.#activity = activity;
   }
 
-  /** Follows the configured classes and tenants until {@link stop}. */
+  /** Polls the configured classes and tenants until {@link stop}. */
   start(): void {
     this.#timer = setInterval(() => {
       this.configure();
-    }, CONFIGURE_MILLISECONDS);
+    }, CONFIGURE_INTERVAL_MILLISECONDS);
   }
 
-  /** Stops following. */
+  /** Stops polling. */
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  /** Gives the configured classes and tenants to the histograms. */
+  /** Passes the configured classes and tenants to the histograms. */
   configure(): void {
     const { configuration } = this.#parts.follower;
-    if (configuration.offset === this.#configuredAt) return;
-    this.#configuredAt = configuration.offset;
+    if (configuration.offset === this.#configuredOffset) return;
+    this.#configuredOffset = configuration.offset;
     this.#requests.configure({
       classes: configuration.classes.keys(),
       tenants: configuration.tenants.keys(),
@@ -61,7 +61,7 @@
 
   /**
    * Reports the histograms of a window.
-   * @param window Which.
+   * @param window The histogram window.
    * @returns The report.
    */
   async report(window: HistogramWindow): Promise<HistogramReport> {
@@ -77,14 +77,14 @@
   /**
    * Explains a request.
    * @param request The request.
-   * @returns What this node saw of it, or nothing.
+   * @returns This node's explanation, or undefined if it has none.
    */
   explain(request: RequestId): Explanation | undefined {
     return this.#requests.explain(this.#parts.clock.now(), request);
   }
 
   /**
-   * Tells the state of this node.
+   * Returns the state of this node.
    * @returns The status.
    */
   status(): telemetry.StatusAnswer {
--- a/packages/node/src/telemetry/node_status.ts
+++ b/packages/node/src/telemetry/node_status.ts
@@ -6,19 +6,19 @@
   EngineActivitySource,
 } from "./engine_activity.ts";
 
-/** Most engines that a node's status lists. */
+/** Maximum number of engines listed in a node's status. */
 export const STATUS_ENGINE_LIMIT = 64;
 
-/** Most adapters that an engine's status names. */
+/** Maximum number of adapters listed in an engine's status. */
 export const STATUS_ADAPTER_LIMIT = 12;
 
 const BYTES_PER_MEBIBYTE = 1_048_576;
 
 /**
- * Tells the state of this node.
+ * Builds the status of this node.
  * @param parts The daemon's parts.
- * @param activity Knows the engines controlled here.
- * @returns The status, of bounded size.
+ * @param activity Provides the engines that this node controls.
+ * @returns The status, bounded in size.
  */
 export function nodeStatus(
   parts: DaemonParts,
--- a/packages/node/src/telemetry/node_telemetry.ts
+++ b/packages/node/src/telemetry/node_telemetry.ts
@@ -9,11 +9,11 @@
 import { TelemetryMetrics } from "./telemetry_metrics.ts";
 import { telemetryService } from "./telemetry_service.ts";
 
-/** The telemetry of a daemon: what it observes and what it collects. */
+/** A daemon's telemetry: local observations and cluster-wide collection. */
 export class NodeTelemetry {
-  /** What all nodes observe. */
+  /** Collects telemetry from all nodes. */
   readonly deployment: DeploymentTelemetry;
-  /** Answers peers, to register. */
+  /** The gRPC service that answers peers, to register. */
   readonly registration: PeerRegistration;
   readonly #local: LocalTelemetry;
   readonly #metrics: TelemetryMetrics;
@@ -39,18 +39,18 @@
     });
   }
 
-  /** Follows the configured classes and tenants until {@link stop}. */
+  /** Tracks the configured classes and tenants until {@link stop}. */
   start(): void {
     this.#local.start();
     this.#metrics.start();
   }
 
-  /** Learns at once of the classes and tenants that are configured now. */
+  /** Applies the currently configured classes and tenants immediately. */
   configure(): void {
     this.#local.configure();
   }
 
-  /** Stops following. */
+  /** Stops tracking the configuration and publishing metrics. */
   stop(): void {
     this.#local.stop();
     this.#metrics.stop();
--- a/packages/node/src/telemetry/peer_collector.ts
+++ b/packages/node/src/telemetry/peer_collector.ts
@@ -3,10 +3,10 @@
 import type { PeerChannels } from "../peers/peer_channels.ts";
 import type { VmDirectory, VmOfRole } from "../platform/vm_directory.ts";
 
-/** How long a peer may take to answer. */
+/** Deadline of a call to a peer. */
 const PEER_TIMEOUT_MILLISECONDS = 1_500;
 
-/** What a node answered, or why it did not. */
+/** A node's answer, or the reason that there is none. */
 export type NodeAnswer<Answer> =
   | {
     readonly node: string;
@@ -19,20 +19,20 @@
     readonly reason: string;
   };
 
-/** What a call to a peer takes besides its message. */
+/** The gRPC call arguments other than the request message. */
 export interface PeerExchange<Answer> {
   readonly metadata: Metadata;
   readonly options: { readonly deadline: number };
   readonly callback: (error: ServiceError | null, answer: Answer) => void;
 }
 
-/** Calls one peer. */
+/** Issues one RPC to a peer. */
 export type PeerCall<Answer> = (
   client: telemetry.TelemetryClient,
   exchange: PeerExchange<Answer>,
 ) => void;
 
-/** Asks all other nodes at once, each with a time limit of its own. */
+/** Queries all other nodes concurrently, each with its own deadline. */
 export class PeerCollector {
   readonly #self: string;
   readonly #directory: VmDirectory;
@@ -49,9 +49,9 @@
   }
 
   /**
-   * Asks all other nodes.
-   * @param call The call to each.
-   * @returns For each peer, its answer or why there is none.
+   * Queries all other nodes.
+   * @param call Issues the RPC to one peer.
+   * @returns For each peer, its answer or the reason that there is none.
    */
   async collect<Answer>(
     call: PeerCall<Answer>,
--- a/packages/node/src/telemetry/status_view.ts
+++ b/packages/node/src/telemetry/status_view.ts
@@ -12,21 +12,21 @@
   CollectedStatus,
 } from "./deployment_telemetry.ts";
 
-/** Most nodes that the status page lists; the rest are counted. */
+/** Maximum number of nodes listed; the rest are only counted. */
 export const STATUS_NODE_LIMIT = 48;
 
-/** Most classes that the status page lists. */
+/** Maximum number of classes listed. */
 export const STATUS_CLASS_LIMIT = 24;
 
 const TARGET_PERCENTILE = 95;
 
-/** A class against its target. */
+/** A class's latency compared with its target. */
 export interface ClassStatus {
   readonly class: string;
   readonly target_milliseconds: number;
-  /** The 95th percentile of the time to first token; absent without any. */
+  /** The 95th percentile of the time to first token; absent without data. */
   readonly p95_milliseconds?: number;
-  /** The share of first tokens within the target, 0 to 1. */
+  /** The fraction of first tokens within the target, 0 to 1. */
   readonly within: number;
   readonly first_tokens: number;
   readonly answered: number;
@@ -34,7 +34,7 @@
   readonly refused: number;
 }
 
-/** The whole status, of bounded size. */
+/** The deployment's status, bounded in size. */
 export interface StatusView {
   readonly asked: string;
   readonly configuration: {
@@ -53,7 +53,7 @@
   }[];
 }
 
-/** What a status is made from. */
+/** The inputs of a status view. */
 export interface StatusSources {
   readonly asked: string;
   readonly configuration: Configuration;
@@ -62,11 +62,11 @@
 }
 
 /**
- * Puts the status of the deployment together.
- * @param sources What was collected.
+ * Builds the status of the deployment.
+ * @param sources The collected data.
  * @returns The status.
  */
-export function viewStatus(sources: StatusSources): StatusView {
+export function buildStatusView(sources: StatusSources): StatusView {
   const { asked, configuration, status, histograms } = sources;
   const { statuses } = status;
   return {
@@ -78,7 +78,7 @@
       adapters: configuration.adapters.size,
       services: configuration.services.size,
     },
-    classes: viewClasses(configuration, histograms),
+    classes: buildClassStatuses(configuration, histograms),
     nodes: statuses.slice(0, STATUS_NODE_LIMIT),
     nodes_left_out: Math.max(statuses.length - STATUS_NODE_LIMIT, 0),
     silent: status.nodes.filter((node) => !node.answered)
@@ -87,7 +87,7 @@
   };
 }
 
-function viewClasses(
+function buildClassStatuses(
   configuration: Configuration,
   { merged }: CollectedHistograms,
 ): readonly ClassStatus[] {
@@ -95,10 +95,10 @@
   return [...configuration.classes]
     .sort(([left], [right]) => left < right ? -1 : 1)
     .slice(0, STATUS_CLASS_LIMIT)
-    .map(([name, target]) => viewClass(name, target, sums.get(name)));
+    .map(([name, target]) => buildClassStatus(name, target, sums.get(name)));
 }
 
-function viewClass(
+function buildClassStatus(
   name: string,
   target: LatencyTarget,
   row: MergedRow | undefined,
--- a/packages/node/src/telemetry/telemetry_controller.ts
+++ b/packages/node/src/telemetry/telemetry_controller.ts
@@ -4,11 +4,11 @@
 import { sendProblem } from "../callers/problem.ts";
 import { DaemonParts } from "../daemon_parts.ts";
 import { parseWindow } from "./histogram_messages.ts";
-import { viewHistograms } from "./histogram_view.ts";
+import { buildHistogramsView } from "./histogram_view.ts";
 
 const DEFAULT_WINDOW = "recent";
 
-/** Tells operators what all nodes observe. */
+/** Serves telemetry collected from all nodes to operators. */
 @Controller("v1/operators")
 export class TelemetryController {
   readonly #parts: DaemonParts;
@@ -17,7 +17,7 @@
     this.#parts = parts;
   }
 
-  /** Gives the histograms of all nodes that answer. */
+  /** Returns the histograms of all nodes that answer. */
   @Get("histograms")
   async histograms(
     @Query("window") name: string | undefined,
@@ -25,14 +25,14 @@
   ): Promise<void> {
     const window = parseWindow(name ?? DEFAULT_WINDOW);
     if (window === undefined) {
-      sendProblem(reply, unknownWindow());
+      sendProblem(reply, unknownWindowFailure());
       return;
     }
     const collected = await this.#parts.telemetry.deployment.histograms(window);
-    await reply.send(viewHistograms(collected, window));
+    await reply.send(buildHistogramsView(collected, window));
   }
 
-  /** Explains what happened to a recent request, at all nodes it touched. */
+  /** Explains a recent request from the traces of all nodes. */
   @Get("explanations/:request")
   async explain(
     @Param("request") request: string,
@@ -44,14 +44,14 @@
     if (collected.found.length === 0) {
       const silent = collected.nodes.filter((node) => !node.answered)
         .map((node) => node.node);
-      sendProblem(reply, noTrace(silent), request);
+      sendProblem(reply, traceNotFoundFailure(silent), request);
       return;
     }
     await reply.send(collected);
   }
 }
 
-function unknownWindow(): Failure {
+function unknownWindowFailure(): Failure {
   return {
     reason: "invalid",
     step: "parse_request",
@@ -61,7 +61,7 @@
   };
 }
 
-function noTrace(silent: readonly string[]): Failure {
+function traceNotFoundFailure(silent: readonly string[]): Failure {
   const missing = silent.length === 0
     ? "All nodes answered."
     : `No answer came from: ${silent.join(", ")}.`;
--- a/packages/node/src/telemetry/telemetry_metrics.ts
+++ b/packages/node/src/telemetry/telemetry_metrics.ts
@@ -11,7 +11,7 @@
 
 const PERCENTILES = [50, 95, 99] as const;
 
-/** What telling metrics needs. */
+/** Dependencies of {@link TelemetryMetrics}. */
 export interface TelemetryMetricsParts {
   readonly requests: RequestTelemetry;
   readonly clock: SteadyClock;
@@ -19,8 +19,8 @@
 }
 
 /**
- * Tells this node's own times by class to the metrics, once for each period of
- * the recent window. Tenants stay out, so that dashboards stay small.
+ * Publishes this node's latency percentiles by class as metrics, once per
+ * period of the recent window. Tenants are left out to keep dashboards small.
  */
 export class TelemetryMetrics {
   readonly #parts: TelemetryMetricsParts;
@@ -30,17 +30,17 @@
     this.#parts = parts;
   }
 
-  /** Tells them now and then until {@link stop}. */
+  /** Publishes periodically until {@link stop}. */
   start(): void {
     this.#timer = setInterval(() => void this.publish(), RECENT_PERIOD);
   }
 
-  /** Stops telling. */
+  /** Stops publishing. */
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  /** Tells them once. */
+  /** Publishes the current percentiles once. */
   async publish(): Promise<void> {
     const { requests, clock } = this.#parts;
     const rows: MergedRow[] = [];
--- a/packages/node/src/telemetry/telemetry_service.ts
+++ b/packages/node/src/telemetry/telemetry_service.ts
@@ -11,8 +11,8 @@
 import type { LocalTelemetry } from "./local_telemetry.ts";
 
 /**
- * Answers peers that collect what all nodes observe.
- * @param local What this node observes.
+ * Creates the gRPC service that returns this node's telemetry to peers.
+ * @param local Telemetry of this node.
  * @returns The service, to register.
  */
 export function telemetryService(local: LocalTelemetry): PeerRegistration {
--- a/packages/node/tests/telemetry/collected_telemetry_test.ts
+++ b/packages/node/tests/telemetry/collected_telemetry_test.ts
@@ -97,7 +97,7 @@
   }[];
 }
 
-/** A busy machine may let a peer miss the time limit: asks until all answer. */
+/** Retries until all peers answer: under load a peer may miss the deadline. */
 async function readExplanations(
   cluster: TestCluster,
   request: string,
@@ -113,17 +113,17 @@
     return body.nodes.every((node) => node.answered);
   });
   const last = bodies.at(-1);
-  if (last === undefined) throw new Error("No node explained the request");
+  if (last === undefined) throw new Error("no node explained the request");
   return last;
 }
 
-function nodeAt(cluster: TestCluster, index: number): TestNode {
+function requireNode(cluster: TestCluster, index: number): TestNode {
   const node = cluster.nodes[index];
-  if (node === undefined) throw new Error(`No node ${index} runs`);
+  if (node === undefined) throw new Error(`node ${index} is not running`);
   return node;
 }
 
-test("histograms of all nodes are added up for whichever is asked", async (t) => {
+test("any node returns the merged histograms of all nodes", async (t) => {
   const cluster = await startCluster(3);
   t.teardown(() => cluster.close());
   for (const node of cluster.nodes) observeArrival(node, `r-${node.id}`);
@@ -136,11 +136,11 @@
   t.is(sum?.ended.answered, 3);
 });
 
-test("a node that is gone is named and the others are still added up", async (t) => {
+test("an unreachable node is reported and the others are still merged", async (t) => {
   const cluster = await startCluster(2);
   t.teardown(() => cluster.close());
-  observeArrival(nodeAt(cluster, 0), "r-1");
-  const gone = nodeAt(cluster, 1);
+  observeArrival(requireNode(cluster, 0), "r-1");
+  const gone = requireNode(cluster, 1);
   await gone.daemon.stop();
   const { nodes, rows } = await readHistograms(cluster);
   const silent = nodes.filter((node) => !node.answered);
@@ -149,11 +149,11 @@
   t.true(rows.some((row) => row.ended.answered === 1));
 });
 
-test("a request is explained from every node that it touched", async (t) => {
+test("an explanation includes every node that handled the request", async (t) => {
   const cluster = await startCluster(3);
   t.teardown(() => cluster.close());
-  observeArrival(nodeAt(cluster, 1), "r-1");
-  observeDispatch(nodeAt(cluster, 2), "r-1");
+  observeArrival(requireNode(cluster, 1), "r-1");
+  observeDispatch(requireNode(cluster, 2), "r-1");
   const body = await readExplanations(cluster, "r-1");
   t.deepEqual(
     body.found.map(({ node, explanation }) => [
@@ -161,13 +161,13 @@
       explanation.steps.map((step) => step.kind),
     ]),
     [
-      [nodeAt(cluster, 1).id, ["arrived", "ended"]],
-      [nodeAt(cluster, 2).id, ["dispatched"]],
+      [requireNode(cluster, 1).id, ["arrived", "ended"]],
+      [requireNode(cluster, 2).id, ["dispatched"]],
     ],
   );
 });
 
-test("a request that no node knows is not found", async (t) => {
+test("an unknown request returns 404", async (t) => {
   const cluster = await startCluster(1);
   t.teardown(() => cluster.close());
   const answer = await fetch(
@@ -176,7 +176,7 @@
   t.is(answer.status, 404);
 });
 
-test("the status page is whole and its figures name every node", async (t) => {
+test("the status page is self-contained and its data lists every node", async (t) => {
   const cluster = await startCluster(2);
   t.teardown(() => cluster.close());
   const page = await fetch(`${cluster.url()}/status`);
@@ -194,7 +194,7 @@
   t.true(body.classes.some((row) => row.class === "drafting"));
 });
 
-test("a served request is counted, explained and shown with its engine", async (t) => {
+test("a served request appears in histograms, explanations and status", async (t) => {
   const cluster = await startTestCluster({
     nodes: 2,
     engines: 1,
--- a/packages/node/tests/telemetry/telemetry_metrics_test.ts
+++ b/packages/node/tests/telemetry/telemetry_metrics_test.ts
@@ -27,7 +27,7 @@
   readonly gauges: (readonly [string, number, MetricTags])[] = [];
 
   override count(): void {
-    // Only values are looked at.
+    // This test checks gauges only.
   }
 
   override gauge(name: string, value: number, tags: MetricTags): void {
@@ -39,7 +39,7 @@
   }
 }
 
-test("metrics tell a class's times over its tenants, and no tenant", async (t) => {
+test("metrics aggregate a class over its tenants and have no tenant tag", async (t) => {
   const requests = new RequestTelemetry(CLOCK_START);
   const drafting = classId("drafting");
   const tenants = ["acme", "bengal"].map(tenantId);
