--- a/packages/node/src/assembly/make_addresses.ts
+++ b/packages/node/src/assembly/make_addresses.ts
@@ -10,7 +10,7 @@
 import type { GenerationRouter } from "../serving/generation_router.ts";
 import type { Settings } from "../settings/settings.ts";
 
-/** What a daemon's address answers are worked out from. */
+/** Dependencies of a daemon's address directory. */
 export interface AddressSources {
   readonly settings: Settings;
   readonly directory: VmDirectory;
@@ -22,9 +22,9 @@
 }
 
 /**
- * Makes the part that tells callers which nodes to use.
- * @param sources What the answers are worked out from.
- * @returns The part.
+ * Creates the directory that selects the nodes callers should use.
+ * @param sources Its dependencies.
+ * @returns The directory.
  */
 export function makeAddresses(sources: AddressSources): AddressDirectory {
   const { settings, directory, drain, work } = sources;
--- a/packages/node/src/assembly/make_cluster.ts
+++ b/packages/node/src/assembly/make_cluster.ts
@@ -7,7 +7,7 @@
 import type { VmDirectory } from "../platform/vm_directory.ts";
 import type { Settings } from "../settings/settings.ts";
 
-/** What the cluster's part of a daemon is made of. */
+/** Dependencies of a daemon's cluster node. */
 export interface ClusterSources {
   readonly settings: Settings;
   readonly clock: SteadyClock;
@@ -17,13 +17,13 @@
   readonly loggers: LoggerFactory;
 }
 
-/** Reads that take longer renew no lease. */
-const MEMBERSHIP_LOG_TIMEOUT = 1_000;
+/** A log read that takes longer renews no lease. */
+const MEMBERSHIP_LOG_TIMEOUT_MILLISECONDS = 1_000;
 
 /**
- * Makes the part that takes part in membership and ownership.
- * @param sources What it is made of.
- * @returns The part, not yet started.
+ * Creates the node's participant in membership and ownership.
+ * @param sources Its dependencies.
+ * @returns The cluster node, not yet started.
  */
 export function makeCluster(sources: ClusterSources): ClusterNode {
   const { settings, clock, directory, dispatcher } = sources;
@@ -35,7 +35,7 @@
       baseAddress: settings.platform.log,
       dispatcher,
       peer: "log",
-      timeoutMilliseconds: MEMBERSHIP_LOG_TIMEOUT,
+      timeoutMilliseconds: MEMBERSHIP_LOG_TIMEOUT_MILLISECONDS,
     }),
     transport: new ClusterTransport(sources.channels),
     logger: sources.loggers.forPart("ownership"),
--- a/packages/node/src/assembly/make_drain.ts
+++ b/packages/node/src/assembly/make_drain.ts
@@ -5,7 +5,7 @@
 import type { LoggerFactory } from "../logging/part_logger.ts";
 import type { Settings } from "../settings/settings.ts";
 
-/** What the planned stop of a daemon works with. */
+/** Dependencies of a daemon's drain. */
 export interface DrainSources {
   readonly settings: Settings;
   readonly work: WorkInProgress;
@@ -15,9 +15,9 @@
 }
 
 /**
- * Makes the part that carries out a planned stop.
- * @param sources What it works with.
- * @returns The part.
+ * Creates the drain, which carries out a planned stop.
+ * @param sources Its dependencies.
+ * @returns The drain.
  */
 export function makeDrain(sources: DrainSources): Drain {
   const { addresses, stop } = sources.settings;
--- a/packages/node/src/assembly/make_metrics.ts
+++ b/packages/node/src/assembly/make_metrics.ts
@@ -7,10 +7,10 @@
 import type { Settings } from "../settings/settings.ts";
 
 /**
- * Makes the sink for metrics that the settings ask for.
+ * Creates the metrics sink selected by the settings.
  * @param settings The daemon's settings.
- * @param loggers Where lost metrics are told.
- * @returns The sink; one that drops all where no server is set.
+ * @param loggers Log metrics that could not be sent.
+ * @returns The sink; it discards all metrics if no server is set.
  */
 export function makeMetrics(
   settings: Settings,
--- a/packages/node/src/assembly/make_platform_clients.ts
+++ b/packages/node/src/assembly/make_platform_clients.ts
@@ -6,7 +6,7 @@
 import type { Dispatcher } from "undici";
 import type { Settings } from "../settings/settings.ts";
 
-/** Clients of what the platform offers a node. */
+/** Clients of the platform's services. */
 export interface PlatformClients {
   readonly log: HttpLogClient;
   readonly vmList: HttpVmListClient;
@@ -14,9 +14,9 @@
 }
 
 /**
- * Makes the clients of the platform.
- * @param settings Where its parts are.
- * @param dispatcher The connections.
+ * Creates the clients of the platform's services.
+ * @param settings The settings, which hold the services' addresses.
+ * @param dispatcher The HTTP connection pool.
  * @returns The clients.
  */
 export function makePlatformClients(
--- a/packages/node/src/callers/addresses_controller.ts
+++ b/packages/node/src/callers/addresses_controller.ts
@@ -3,14 +3,14 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What a caller may say of itself in the query. */
+/** Query parameters with which a caller describes itself. */
 interface AddressesQuery {
   readonly region?: string;
   readonly failure_domain?: string;
   readonly adapter?: string;
 }
 
-/** Tells callers which addresses to use. */
+/** Serves the node addresses that callers should use. */
 @Controller("v1/addresses")
 export class AddressesController {
   readonly #parts: DaemonParts;
@@ -19,7 +19,7 @@
     this.#parts = parts;
   }
 
-  /** Names the nodes to use, best first, and for how long. */
+  /** Lists the nodes to use, best first, and the list's lifetime. */
   @Get()
   addresses(
     @Query() query: AddressesQuery,
--- a/packages/node/src/callers/completions/caller_connection.ts
+++ b/packages/node/src/callers/completions/caller_connection.ts
@@ -1,20 +1,20 @@
 import type { GenerationHandle } from "@foxtailwind/edges";
 import type { ServerResponse } from "node:http";
 
-/** What is done about a caller that does not read, or is gone. */
+/** Limits on output that a caller has not read. */
 export interface CallerLimits {
-  /** How long a caller may read nothing while output waits for it. */
+  /** How long buffered output may stay unread. */
   readonly unreadMilliseconds: number;
-  /** Waiting output beyond this cuts the caller at once. */
+  /** Disconnects the caller at once when exceeded. */
   readonly unreadBytes: number;
 }
 
-/** Tells an answer that its caller is gone or was cut. */
+/** Called when the caller has left or was disconnected. */
 export type OnCallerLost = (why: "left" | "cut") => void;
 
 /**
- * The connection over which one answer goes. Passes back-pressure on to the
- * engine, and cuts a caller that stops reading.
+ * The connection of one response. Propagates backpressure to the engine and
+ * disconnects a caller that stops reading.
  */
 export class CallerConnection {
   readonly #response: ServerResponse;
@@ -22,7 +22,7 @@
   readonly #onLost: OnCallerLost;
   #handle: GenerationHandle | undefined;
   #unreadTimer: NodeJS.Timeout | undefined;
-  #waiting = false;
+  #paused = false;
   #finished = false;
 
   constructor(
@@ -33,39 +33,39 @@
     this.#limits = options.limits;
     this.#onLost = options.onLost;
     response.on("close", () => {
-      this.#lose("left");
+      this.#endAsLost("left");
     });
   }
 
-  /** Whether the caller is gone, so that nothing can be written. */
+  /** Whether the connection is closed, so that nothing can be written. */
   get closed(): boolean {
     return this.#response.destroyed;
   }
 
-  /** Gives the connection the generation that it holds back. */
+  /** Attaches the generation that backpressure pauses. */
   attach(handle: GenerationHandle): void {
     this.#handle = handle;
-    if (this.#waiting) handle.pause();
+    if (this.#paused) handle.pause();
     if (this.#response.destroyed && !this.#finished) handle.cancel();
   }
 
   /**
-   * Writes a part of the answer.
+   * Writes a part of the response.
    * @param text The part.
    */
   write(text: string): void {
     if (this.#response.write(text) || this.#finished) return;
     if (this.#response.writableLength > this.#limits.unreadBytes) {
-      this.#cut();
+      this.#disconnect();
       return;
     }
-    this.#waitForCaller();
+    this.#pauseUntilDrained();
   }
 
-  /** Takes note that the answer is complete: nothing is cancelled any more. */
+  /** Marks the response as complete; from then on nothing is cancelled. */
   finish(): void {
     this.#finished = true;
-    this.#stopWaiting();
+    this.#clearPause();
   }
 
   /** Cancels the generation at the engine. */
@@ -73,30 +73,30 @@
     this.#handle?.cancel();
   }
 
-  #waitForCaller(): void {
-    if (this.#waiting) return;
-    this.#waiting = true;
+  #pauseUntilDrained(): void {
+    if (this.#paused) return;
+    this.#paused = true;
     this.#handle?.pause();
     this.#unreadTimer = setTimeout(() => {
-      this.#cut();
+      this.#disconnect();
     }, this.#limits.unreadMilliseconds);
     this.#response.once("drain", () => {
-      this.#stopWaiting();
+      this.#clearPause();
       this.#handle?.unpause();
     });
   }
 
-  #stopWaiting(): void {
-    this.#waiting = false;
+  #clearPause(): void {
+    this.#paused = false;
     clearTimeout(this.#unreadTimer);
   }
 
-  #cut(): void {
-    this.#lose("cut");
+  #disconnect(): void {
+    this.#endAsLost("cut");
     this.#response.destroy();
   }
 
-  #lose(why: "left" | "cut"): void {
+  #endAsLost(why: "left" | "cut"): void {
     if (this.#finished) return;
     this.finish();
     this.#onLost(why);
--- a/packages/node/src/callers/completions/chunk_text.ts
+++ b/packages/node/src/callers/completions/chunk_text.ts
@@ -1,51 +1,51 @@
 import { type AdapterReference, type RequestId } from "@foxtailwind/core";
 import type { GenerationEnd } from "@foxtailwind/edges";
 
-/** What the chunks of one streamed answer have in common. */
-export interface ChunkCommon {
+/** The fields shared by all chunks of one streamed answer. */
+export interface ChunkMetadata {
   readonly request: RequestId;
   readonly adapter: AdapterReference;
-  /** Seconds since 1970, as the chat API has it. */
+  /** Unix time in seconds, as in the chat-completions API. */
   readonly created: number;
   readonly includeUsage: boolean;
 }
 
-/** The end of a stream that is whole. */
+/** The event that ends a complete stream. */
 export const DONE_EVENT = "data: [DONE]\n\n";
 
 /**
- * Writes the events of one streamed answer. All but the text is the same in
- * each chunk and is put together once.
+ * Encodes the events of one streamed answer. Everything but the text is the
+ * same in each chunk and is encoded once.
  */
-export class ChunkText {
-  readonly #start: string;
+export class ChunkEncoder {
+  readonly #chunkStart: string;
   readonly #contentStart: string;
   readonly #contentEnd: string;
   readonly #includeUsage: boolean;
 
-  /** @param common What the chunks have in common. */
-  constructor(common: ChunkCommon) {
+  /** @param common The fields shared by all chunks. */
+  constructor(common: ChunkMetadata) {
     const head = JSON.stringify({
       id: common.request,
       object: "chat.completion.chunk",
       created: common.created,
       model: nameOf(common.adapter),
     });
-    this.#start = `data: ${head.slice(0, -1)},"choices":[`;
+    this.#chunkStart = `data: ${head.slice(0, -1)},"choices":[`;
     this.#includeUsage = common.includeUsage;
-    this.#contentStart = `${this.#start}{"index":0,"delta":{"content":`;
-    this.#contentEnd = `},"finish_reason":null}]${this.#tail()}`;
+    this.#contentStart = `${this.#chunkStart}{"index":0,"delta":{"content":`;
+    this.#contentEnd = `},"finish_reason":null}]${this.#chunkEnd()}`;
   }
 
-  /** The first event, which names the role. */
+  /** @returns The first event, which carries the role. */
   role(): string {
-    return `${this.#start}{"index":0,"delta":{"role":"assistant",` +
-      `"content":""},"finish_reason":null}]${this.#tail()}`;
+    return `${this.#chunkStart}{"index":0,"delta":{"role":"assistant",` +
+      `"content":""},"finish_reason":null}]${this.#chunkEnd()}`;
   }
 
   /**
-   * Writes an event with a piece of the answer.
-   * @param text The piece.
+   * Encodes an event with a part of the answer's text.
+   * @param text The text.
    * @returns The event.
    */
   content(text: string): string {
@@ -53,25 +53,25 @@
   }
 
   /**
-   * Writes the last events of a whole answer.
-   * @param end How it ended.
+   * Encodes the final events of a complete answer.
+   * @param end How the generation ended.
    * @returns The events.
    */
   end(end: GenerationEnd): string {
-    const finish = `${this.#start}{"index":0,"delta":{},` +
-      `"finish_reason":"${end.finishReason}"}]${this.#tail()}`;
+    const finish = `${this.#chunkStart}{"index":0,"delta":{},` +
+      `"finish_reason":"${end.finishReason}"}]${this.#chunkEnd()}`;
     if (!this.#includeUsage) return finish + DONE_EVENT;
     const usage = JSON.stringify(usageOf(end));
-    return `${finish}${this.#start}],"usage":${usage}}\n\n${DONE_EVENT}`;
+    return `${finish}${this.#chunkStart}],"usage":${usage}}\n\n${DONE_EVENT}`;
   }
 
-  #tail(): string {
+  #chunkEnd(): string {
     return this.#includeUsage ? ',"usage":null}\n\n' : "}\n\n";
   }
 }
 
 /**
- * Gives an answer's token counts in the chat API's form.
+ * Converts token counts to the `usage` object of the chat-completions API.
  * @param end How the generation ended.
  * @returns The counts.
  */
@@ -85,7 +85,7 @@
 }
 
 /**
- * Names an adapter at a version as callers do.
+ * Formats an adapter version as callers name it.
  * @param adapter The adapter.
  * @returns `adapter@version`.
  */
--- a/packages/node/src/callers/completions/completion_request.ts
+++ b/packages/node/src/callers/completions/completion_request.ts
@@ -5,7 +5,7 @@
 const MAXIMUM_MESSAGES = 1_024;
 const MAXIMUM_NAME_LENGTH = 257;
 
-/** The longest text of one message, in characters. */
+/** The maximum length of one text part of a message, in characters. */
 export const MAXIMUM_MESSAGE_CHARACTERS = 1_048_576;
 
 const text = z.string().max(MAXIMUM_MESSAGE_CHARACTERS);
@@ -24,7 +24,7 @@
 
 const tokenLimit = z.number().int().positive().max(MAXIMUM_TOKENS).nullish();
 
-/** The fields of a completion request that are acted on. */
+/** The supported fields of a completion request. */
 export const completionRequestSchema = z.object({
   model: z.string().min(1).max(MAXIMUM_NAME_LENGTH)
     .describe("adapter, or adapter@version; alone it is the current version"),
@@ -35,11 +35,11 @@
   max_completion_tokens: tokenLimit,
 });
 
-/** A completion request, checked. */
+/** A validated completion request. */
 export type CompletionRequest = z.output<typeof completionRequestSchema>;
 
 /**
- * Tells how many tokens a request may generate.
+ * Returns the maximum number of tokens that a request may generate.
  * @param body The request.
  * @returns The limit in tokens.
  */
--- a/packages/node/src/callers/completions/completion_sink.ts
+++ b/packages/node/src/callers/completions/completion_sink.ts
@@ -11,26 +11,29 @@
 import { CallerConnection, type CallerLimits } from "./caller_connection.ts";
 import { nameOf } from "./chunk_text.ts";
 
-/** What became of an answer, for counts. */
+/** How a response ended, for the request metric. */
 export type AnswerOutcome = "whole" | "left" | "cut" | Failure["outcome"];
 
-/** What a completion's answer is written with. */
+/** Options of a {@link CompletionSink}. */
 export interface CompletionSinkOptions {
   readonly generation: GenerationRequest;
   readonly reply: FastifyReply;
   readonly includeUsage: boolean;
   readonly limits: CallerLimits;
-  /** The longest answer, in characters. */
+  /** The maximum length of the answer, in characters. */
   readonly maximumCharacters: number;
-  /** Called for each part that goes to the caller. */
+  /** Called for each part written to the caller. */
   readonly onTokens: (tokens: number) => void;
-  /** Called once, when nothing more will be written. */
+  /** Called once, when the response has ended. */
   readonly onOutcome: (outcome: AnswerOutcome) => void;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Passes on only the frames of its own request, in order, and whole. */
+/**
+ * Forwards only frames of its own request and adapter, in sequence, and checks
+ * that the answer is complete.
+ */
 export abstract class CompletionSink extends GenerationSink {
   protected readonly options: CompletionSinkOptions;
   protected readonly connection: CallerConnection;
@@ -52,7 +55,7 @@
     });
   }
 
-  /** Gives the sink the handle of its generation. */
+  /** Attaches the handle of the sink's generation. */
   attach(handle: GenerationHandle): void {
     this.connection.attach(handle);
   }
@@ -62,7 +65,7 @@
     if (this.#ended || frame.request !== generation.request) return;
     if (frame.sequence !== this.#sequence) return;
     if (!sameAdapter(frame.adapter, generation.adapter)) {
-      this.#giveUp("mismatch", `The engine ran ${nameOf(frame.adapter)}.`);
+      this.#fail("mismatch", `The engine ran ${nameOf(frame.adapter)}.`);
       return;
     }
     const { tokens } = frame;
@@ -70,7 +73,7 @@
     this.#sequence += tokens.length;
     this.#characters += text.length;
     if (this.#characters > maximumCharacters) {
-      this.#giveUp("refused", `The answer passes ${maximumCharacters} bytes.`);
+      this.#fail("refused", `The answer passes ${maximumCharacters} bytes.`);
       return;
     }
     this.writeTokens(text, tokens.length);
@@ -80,7 +83,7 @@
     if (this.#ended) return;
     this.#ended = true;
     this.connection.finish();
-    const whole = result.andThen((end) => this.#checkWhole(end));
+    const whole = result.andThen((end) => this.#checkComplete(end));
     this.options.onOutcome(
       whole.match(() => "whole", (failure) => failure.outcome),
     );
@@ -92,24 +95,31 @@
   protected abstract writeEnd(end: GenerationEnd): void;
   protected abstract writeFailure(failure: Failure): void;
 
-  /** Answers at once, without waiting for the engine's own end. */
-  #giveUp(reason: Failure["reason"], message: string): void {
-    this.onEnd(err(failureOf(reason, message)));
+  /** Ends the response without waiting for the engine to end. */
+  #fail(reason: Failure["reason"], message: string): void {
+    this.onEnd(err(generationFailure(reason, message)));
     this.connection.cancel();
   }
 
-  #checkWhole(end: GenerationEnd): Result<GenerationEnd, Failure> {
+  #checkComplete(end: GenerationEnd): Result<GenerationEnd, Failure> {
     if (end.finishReason === "cancelled") {
-      return err(failureOf("cancelled", "The generation was cancelled."));
+      return err(
+        generationFailure("cancelled", "The generation was cancelled."),
+      );
     }
     if (end.completionTokens !== this.#sequence) {
       const counts = `${this.#sequence} of ${end.completionTokens} tokens`;
-      return err(failureOf("corrupt", `Only ${counts} arrived in order.`));
+      return err(
+        generationFailure("corrupt", `Only ${counts} arrived in order.`),
+      );
     }
     return ok(end);
   }
 }
 
-function failureOf(reason: Failure["reason"], message: string): Failure {
+function generationFailure(
+  reason: Failure["reason"],
+  message: string,
+): Failure {
   return { reason, step: "generate", peer: "engine", message, outcome: "ran" };
 }
--- a/packages/node/src/callers/completions/completions_controller.ts
+++ b/packages/node/src/callers/completions/completions_controller.ts
@@ -19,11 +19,11 @@
 import { resolveGeneration } from "./resolve_generation.ts";
 import { StreamFlusher } from "./stream_flusher.ts";
 import { StreamingCompletionSink } from "./streaming_sink.ts";
-import { WholeCompletionSink } from "./whole_sink.ts";
+import { BufferedCompletionSink } from "./whole_sink.ts";
 
 const ROUTE = "completions";
 
-interface CompletionOrder {
+interface CompletionCall {
   readonly body: CompletionRequest;
   readonly reply: FastifyReply;
   /** The caller's `Idempotency-Key`. */
@@ -41,7 +41,7 @@
     this.#parts = parts;
   }
 
-  /** Runs one completion, streamed or whole. */
+  /** Runs one completion, streamed or buffered. */
   @Post()
   complete(
     @Body() body: unknown,
@@ -80,7 +80,7 @@
 
   #run(
     generation: GenerationRequest,
-    { body, reply, key, notRepeatable }: CompletionOrder,
+    { body, reply, key, notRepeatable }: CompletionCall,
   ): void {
     const { adapter, request, tenant } = generation;
     this.#parts.observer.record(generation.arrivedAt, {
@@ -90,11 +90,11 @@
       tenant,
       class: generation.class,
     });
-    const sink = this.#sink(body.stream === true, {
+    const sink = this.#createSink(body.stream === true, {
       generation,
       reply,
       includeUsage: body.stream_options?.include_usage === true,
-      limits: this.#limits(),
+      limits: this.#callerLimits(),
       maximumCharacters: this.#parts.settings.limits.answer_bytes,
       onTokens: (tokens) => {
         const now = this.#parts.clock.now();
@@ -112,13 +112,16 @@
     }, sink));
   }
 
-  #sink(streams: boolean, options: CompletionSinkOptions): CompletionSink {
+  #createSink(
+    streams: boolean,
+    options: CompletionSinkOptions,
+  ): CompletionSink {
     return streams
       ? new StreamingCompletionSink(options, this.#flusher)
-      : new WholeCompletionSink(options);
+      : new BufferedCompletionSink(options);
   }
 
-  #limits() {
+  #callerLimits() {
     const { limits } = this.#parts.settings;
     return {
       unreadMilliseconds: limits.unread_milliseconds,
--- a/packages/node/src/callers/completions/event_stream_body.ts
+++ b/packages/node/src/callers/completions/event_stream_body.ts
@@ -6,26 +6,26 @@
 const LAST_CHUNK = "0\r\n\r\n";
 
 /**
- * The body of a streamed answer. It puts each part into the chunk form of RFC
- * 9112, section 7.1 itself, since the server would hand the kernel four
- * buffers for each part where one is enough.
+ * The body of a streamed response. It applies the chunked transfer coding (RFC
+ * 9112, section 7.1) itself, because Node's HTTP server would pass the kernel
+ * four buffers per part where one is enough.
  */
 export class EventStreamBody {
   readonly #response: ServerResponse;
   #chunked = false;
 
-  /** @param response The answer, whose header is not sent yet. */
+  /** @param response The response, before its header is sent. */
   constructor(response: ServerResponse) {
     this.#response = response;
   }
 
   /**
-   * Prepares the header; it goes out with the first part.
-   * @param headers The fields, but for those of the body's form.
+   * Prepares the header, which is sent with the first part.
+   * @param headers The header fields, except for the transfer coding.
    */
   start(headers: OutgoingHttpHeaders): void {
     const response = this.#response;
-    // An HTTP/1.0 caller gets the parts bare, up to the connection's end.
+    // HTTP/1.0 has no chunked coding; the connection's end ends the body.
     this.#chunked = response.useChunkedEncodingByDefault;
     if (!this.#chunked) {
       response.writeHead(OK, headers);
@@ -36,9 +36,9 @@
   }
 
   /**
-   * Puts a part into the body's form.
+   * Encodes a part of the body.
    * @param text The part, not empty.
-   * @returns What to write.
+   * @returns The encoded part, ready to write.
    */
   part(text: string): string {
     if (!this.#chunked) return text;
@@ -47,7 +47,7 @@
   }
 
   /**
-   * Writes the last part and ends the answer.
+   * Writes the last part and ends the response.
    * @param text The part, not empty.
    */
   end(text: string): void {
--- a/packages/node/src/callers/completions/parse_completion.ts
+++ b/packages/node/src/callers/completions/parse_completion.ts
@@ -7,27 +7,27 @@
 } from "./completion_request.ts";
 import { checkFields } from "./unsupported_fields.ts";
 
-/** A completion request, and which of its fields have no effect. */
+/** A valid completion request and its ignored fields. */
 export interface ParsedCompletion {
   readonly body: CompletionRequest;
   readonly ignored: readonly string[];
 }
 
 /**
- * Checks the body of a completion request.
+ * Validates the body of a completion request.
  * @param body The parsed JSON.
- * @returns The request, or why it will not run.
+ * @returns The request, or the failure that rejects it.
  */
 export function parseCompletion(
   body: unknown,
 ): Result<ParsedCompletion, Failure> {
   if (typeof body !== "object" || body === null || Array.isArray(body)) {
-    return err(invalid("The body must be a JSON object."));
+    return err(invalidRequest("The body must be a JSON object."));
   }
   const fields = checkFields(body);
-  if (fields.isErr()) return err(invalid(fields.error));
+  if (fields.isErr()) return err(invalidRequest(fields.error));
   const parsed = completionRequestSchema.safeParse(body);
-  if (!parsed.success) return err(invalid(describeIssues(parsed.error)));
+  if (!parsed.success) return err(invalidRequest(describeIssues(parsed.error)));
   return ok({ body: parsed.data, ignored: fields.value });
 }
 
@@ -39,7 +39,7 @@
   return `The body does not fit at ${all.join("; ")}.`;
 }
 
-function invalid(message: string): Failure {
+function invalidRequest(message: string): Failure {
   return {
     reason: "invalid",
     step: "parse_request",
--- a/packages/node/src/callers/completions/resolve_generation.ts
+++ b/packages/node/src/callers/completions/resolve_generation.ts
@@ -21,7 +21,7 @@
 
 const DEFAULT_TENANT = "default";
 
-/** What else is known of a completion request. */
+/** Headers, id and arrival time of a completion request. */
 export interface CompletionContext {
   readonly request: RequestId;
   readonly now: Instant;
@@ -30,12 +30,12 @@
 }
 
 /**
- * Resolves a caller's request against the configuration in force: its class,
- * and its adapter at exactly one version.
+ * Resolves a caller's request against the configuration in force: its class
+ * and one exact version of its adapter.
  * @param configuration The configuration in force.
  * @param body The request.
- * @param context What the headers say, and the time of arrival.
- * @returns The request to run, or why it will not run.
+ * @param context The request's id, headers and arrival time.
+ * @returns The request to run, or the failure that rejects it.
  */
 export function resolveGeneration(
   configuration: Configuration,
@@ -43,14 +43,14 @@
   context: CompletionContext,
 ): Result<GenerationRequest, Failure> {
   if (context.class === undefined) {
-    return err(refusal("parse_request", {
+    return err(refusalFailure("parse_request", {
       reason: "invalid",
       message: "Header x-foxtailwind-class is missing: name a class.",
     }));
   }
   const target = configuration.classes.get(classId(context.class));
   if (target === undefined) {
-    return err(refusal("parse_request", {
+    return err(refusalFailure("parse_request", {
       reason: "not_found",
       message: `Class "${context.class}" is not configured.`,
     }));
@@ -81,14 +81,14 @@
   const id = adapterId(at < 0 ? name : name.slice(0, at));
   const adapter = configuration.adapters.get(id);
   if (adapter === undefined) {
-    return err(refusal("resolve_adapter", {
+    return err(refusalFailure("resolve_adapter", {
       reason: "not_found",
       message: `Adapter "${id}" is not configured.`,
     }));
   }
   const version = at < 0 ? adapter.current : adapterVersion(name.slice(at + 1));
   if (!adapter.versions.includes(version)) {
-    return err(refusal("resolve_adapter", {
+    return err(refusalFailure("resolve_adapter", {
       reason: "not_found",
       message: `Adapter "${id}" has no version "${version}".`,
     }));
@@ -96,7 +96,7 @@
   return ok({ model: adapter.model, reference: { adapter: id, version } });
 }
 
-function refusal(
+function refusalFailure(
   step: FailureStep,
   why: { readonly reason: FailureReason; readonly message: string },
 ): Failure {
--- a/packages/node/src/callers/completions/stream_flusher.ts
+++ b/packages/node/src/callers/completions/stream_flusher.ts
@@ -1,30 +1,30 @@
-/** Something that has gathered output and can write it. */
+/** A stream with buffered output. */
 export interface Flushable {
-  /** Writes what was gathered. */
+  /** Writes the buffered output. */
   flush(): void;
 }
 
 /**
- * The least time between two writes to one stream. It keeps well under the
- * 26 ms between tokens that callers are promised, so that tokens which come
- * faster go out together.
+ * The minimum time between two writes to one stream. It is well below the
+ * 26 ms between tokens that callers are promised; tokens that arrive faster
+ * are written together.
  */
 export const WRITE_INTERVAL_MILLISECONDS = 10;
 
 /**
- * Flushes all streams that gather by one timer, since a timer for each of
- * thousands of streams costs more than the writes that it spares.
+ * Flushes all buffering streams from one timer, because a timer for each of
+ * thousands of streams costs more than the writes that it saves.
  */
 export class StreamFlusher {
-  #gathering: Flushable[] = [];
+  #scheduled: Flushable[] = [];
   #timer: NodeJS.Timeout | undefined;
 
   /**
-   * Flushes a stream within the write interval.
-   * @param stream The stream; to be added once for each flush.
+   * Schedules a flush of the stream within the write interval.
+   * @param stream The stream; add it once per flush.
    */
   add(stream: Flushable): void {
-    this.#gathering.push(stream);
+    this.#scheduled.push(stream);
     this.#timer ??= setTimeout(() => {
       this.#flushAll();
     }, WRITE_INTERVAL_MILLISECONDS);
@@ -32,8 +32,8 @@
 
   #flushAll(): void {
     this.#timer = undefined;
-    const due = this.#gathering;
-    this.#gathering = [];
+    const due = this.#scheduled;
+    this.#scheduled = [];
     for (const stream of due) stream.flush();
   }
 }
--- a/packages/node/src/callers/completions/streaming_sink.ts
+++ b/packages/node/src/callers/completions/streaming_sink.ts
@@ -1,7 +1,7 @@
 import type { Failure } from "@foxtailwind/core";
 import type { GenerationEnd } from "@foxtailwind/edges";
 import { chatError, sendChatProblem } from "../problem.ts";
-import { ChunkText } from "./chunk_text.ts";
+import { ChunkEncoder } from "./chunk_text.ts";
 import {
   CompletionSink,
   type CompletionSinkOptions,
@@ -13,23 +13,23 @@
   WRITE_INTERVAL_MILLISECONDS,
 } from "./stream_flusher.ts";
 
-/** Writes an answer as server-sent events. */
+/** Writes a completion as server-sent events. */
 export class StreamingCompletionSink extends CompletionSink
   implements Flushable {
   readonly #flusher: StreamFlusher;
-  readonly #chunks: ChunkText;
+  readonly #chunks: ChunkEncoder;
   readonly #body: EventStreamBody;
   #pending = "";
   #pendingTokens = 0;
   #started = false;
-  #gathering = false;
-  #wroteAt = Number.NEGATIVE_INFINITY;
+  #flushScheduled = false;
+  #lastWriteAt = Number.NEGATIVE_INFINITY;
 
   constructor(options: CompletionSinkOptions, flusher: StreamFlusher) {
     super(options);
     this.#flusher = flusher;
     this.#body = new EventStreamBody(options.reply.raw);
-    this.#chunks = new ChunkText({
+    this.#chunks = new ChunkEncoder({
       request: options.generation.request,
       adapter: options.generation.adapter,
       created: this.created,
@@ -37,24 +37,24 @@
     });
   }
 
-  /** Writes the tokens gathered since the last write. */
+  /** Writes the tokens buffered since the last write. */
   flush(): void {
-    this.#gathering = false;
+    this.#flushScheduled = false;
     if (this.#pendingTokens === 0 || this.connection.closed) return;
-    this.#wroteAt = performance.now();
+    this.#lastWriteAt = performance.now();
     this.connection.write(this.#body.part(this.#takePending()));
   }
 
   protected override writeTokens(text: string, tokens: number): void {
     this.#pending += text;
     this.#pendingTokens += tokens;
-    if (this.#gathering) return;
-    const sinceWrite = performance.now() - this.#wroteAt;
+    if (this.#flushScheduled) return;
+    const sinceWrite = performance.now() - this.#lastWriteAt;
     if (sinceWrite >= WRITE_INTERVAL_MILLISECONDS) {
       this.flush();
       return;
     }
-    this.#gathering = true;
+    this.#flushScheduled = true;
     this.#flusher.add(this);
   }
 
--- a/packages/node/src/callers/completions/unsupported_fields.ts
+++ b/packages/node/src/callers/completions/unsupported_fields.ts
@@ -2,7 +2,7 @@
 import { err, ok, type Result } from "neverthrow";
 import { completionRequestSchema } from "./completion_request.ts";
 
-/** Fields that may be there and have no effect; the answer names them. */
+/** Fields accepted without effect; a response header lists them. */
 export const IGNORED_FIELDS: readonly string[] = [
   "frequency_penalty",
   "metadata",
@@ -19,7 +19,7 @@
   "verbosity",
 ];
 
-/** Fields that would change what an answer is, each with its neutral values. */
+/** Unsupported fields that change the answer, with their neutral values. */
 export const REFUSED_FIELDS: Readonly<Record<string, readonly string[]>> = {
   audio: [],
   function_call: ['"none"'],
@@ -49,11 +49,11 @@
 ];
 
 /**
- * Sorts the fields of a request: those that sampling alone would use are
- * ignored; those that ask for another kind of answer are refused unless they
- * have their neutral value; unknown ones are refused.
+ * Classifies the fields of a request: sampling fields are ignored; fields that
+ * ask for another kind of answer are refused unless neutral; unknown fields
+ * are refused.
  * @param body The request's body.
- * @returns The names of the ignored fields, or what is wrong.
+ * @returns The names of the ignored fields, or an error message.
  */
 export function checkFields(body: object): Result<readonly string[], string> {
   const ignored: string[] = [];
@@ -63,13 +63,16 @@
       ignored.push(name);
       continue;
     }
-    const problem = problemOfField(name, value);
+    const problem = describeFieldProblem(name, value);
     if (problem !== undefined) return err(problem);
   }
   return ok(ignored);
 }
 
-function problemOfField(name: string, value: unknown): string | undefined {
+function describeFieldProblem(
+  name: string,
+  value: unknown,
+): string | undefined {
   if (!Object.hasOwn(REFUSED_FIELDS, name)) {
     const nearest = closest(name, ALL_FIELDS);
     return `Field "${name}" is unknown; the nearest known one is "${nearest}".`;
--- a/packages/node/src/callers/completions/whole_sink.ts
+++ b/packages/node/src/callers/completions/whole_sink.ts
@@ -6,8 +6,8 @@
 
 const OK = 200;
 
-/** Collects an answer and writes it whole. */
-export class WholeCompletionSink extends CompletionSink {
+/** Buffers an answer and sends it as one JSON body. */
+export class BufferedCompletionSink extends CompletionSink {
   #text = "";
 
   protected override writeTokens(text: string, tokens: number): void {
--- a/packages/node/src/callers/header_rules.ts
+++ b/packages/node/src/callers/header_rules.ts
@@ -2,7 +2,7 @@
 import type { FastifyReply, FastifyRequest } from "fastify";
 import { sendProblem } from "./problem.ts";
 
-/** Headers that decide about a request, and so may come once at most. */
+/** Headers that affect how a request is handled and must not be repeated. */
 const SINGLE_HEADERS: ReadonlySet<string> = new Set([
   "content-type",
   "idempotency-key",
@@ -11,11 +11,11 @@
 ]);
 
 /**
- * Refuses a request in which a deciding header comes twice: one of the two
- * values would be lost without a word.
+ * Rejects a request that repeats a single-value header, because one of the two
+ * values would be dropped silently.
  * @param request The request.
- * @param reply Its answer.
- * @param next Goes on with the request.
+ * @param reply The reply.
+ * @param next Continues with the request.
  */
 export function refuseRepeatedHeaders(
   request: FastifyRequest,
@@ -27,20 +27,20 @@
     next();
     return;
   }
-  sendProblem(reply, repeatedHeader(repeated));
+  sendProblem(reply, repeatedHeaderFailure(repeated));
 }
 
 /**
- * Finds a deciding header that comes more than once.
- * @param rawHeaders Names and values in turn, as Node gives them.
- * @returns The header's name in lower case, or nothing.
+ * Finds a single-value header that occurs more than once.
+ * @param rawHeaders Alternating names and values, as in Node's `rawHeaders`.
+ * @returns The header's name in lower case, or undefined.
  */
 export function findRepeatedHeader(
   rawHeaders: readonly string[],
 ): string | undefined {
   let seen: string[] | undefined;
-  for (let place = 0; place < rawHeaders.length; place += 2) {
-    const name = (rawHeaders[place] ?? "").toLowerCase();
+  for (let index = 0; index < rawHeaders.length; index += 2) {
+    const name = (rawHeaders[index] ?? "").toLowerCase();
     if (!SINGLE_HEADERS.has(name)) continue;
     if (seen?.includes(name) === true) return name;
     (seen ??= []).push(name);
@@ -48,7 +48,7 @@
   return undefined;
 }
 
-function repeatedHeader(name: string): Failure {
+function repeatedHeaderFailure(name: string): Failure {
   return {
     reason: "invalid",
     step: "parse_request",
--- a/packages/node/src/callers/health_controller.ts
+++ b/packages/node/src/callers/health_controller.ts
@@ -5,7 +5,7 @@
 const SERVICE_UNAVAILABLE = 503;
 const OK = 200;
 
-/** Tells whether the daemon lives and takes new work. */
+/** Serves the liveness and readiness checks. */
 @Controller()
 export class HealthController {
   readonly #parts: DaemonParts;
@@ -14,13 +14,13 @@
     this.#parts = parts;
   }
 
-  /** Answers while the process lives. */
+  /** Liveness: succeeds while the process runs. */
   @Get("healthz")
   health() {
     return { status: "live" };
   }
 
-  /** Answers whether new work is welcome. */
+  /** Readiness: succeeds while the node accepts new work. */
   @Get("readyz")
   async ready(@Res() reply: FastifyReply): Promise<void> {
     const status = this.#status();
--- a/packages/node/src/callers/http_problem_filter.ts
+++ b/packages/node/src/callers/http_problem_filter.ts
@@ -18,8 +18,8 @@
 const INTERNAL_ERROR = 500;
 const CHAT_PATHS = ["/v1/chat/", "/v1/models"];
 
-/** What HTTP itself refuses, by its status. */
-const KINDS: ReadonlyMap<number, string> = new Map([
+/** Problem kinds of protocol-level errors, by HTTP status. */
+const PROBLEM_KIND_BY_STATUS: ReadonlyMap<number, string> = new Map([
   [400, "malformed_request"],
   [404, "no_such_route"],
   [405, "method_not_allowed"],
@@ -30,7 +30,7 @@
   [431, "header_too_large"],
 ]);
 
-/** Gives every error that leaves a controller or Fastify as a problem. */
+/** Converts uncaught errors of controllers and Fastify to problem details. */
 @Catch()
 export class HttpProblemFilter implements ExceptionFilter {
   readonly #logger: PartLogger;
@@ -58,13 +58,13 @@
 }
 
 /**
- * Describes what HTTP itself refused.
- * @param status The status to answer with.
- * @param failure What is wrong.
+ * Builds the problem details of a protocol-level error.
+ * @param status The HTTP status of the response.
+ * @param failure The failure.
  * @returns The problem.
  */
 export function httpProblem(status: number, failure: Failure): Problem {
-  const kind = KINDS.get(status) ?? "internal";
+  const kind = PROBLEM_KIND_BY_STATUS.get(status) ?? "internal";
   return {
     ...toProblem(failure),
     type: `urn:foxtailwind:problem:${kind}`,
--- a/packages/node/src/callers/mod.ts
+++ b/packages/node/src/callers/mod.ts
@@ -5,7 +5,7 @@
 import { ModelsController } from "./models_controller.ts";
 import { OpenapiController } from "./openapi/openapi_controller.ts";
 
-/** What callers are served by. */
+/** The controllers of the caller API. */
 export const CALLER_CONTROLLERS: readonly Type[] = [
   AddressesController,
   CompletionsController,
--- a/packages/node/src/callers/models_controller.ts
+++ b/packages/node/src/callers/models_controller.ts
@@ -12,37 +12,39 @@
 import { DaemonParts } from "../daemon_parts.ts";
 import { sendChatProblem } from "./problem.ts";
 
-const DEFAULT_PAGE = 100;
-const MAXIMUM_PAGE = 1_000;
+const DEFAULT_PAGE_SIZE = 100;
+const MAXIMUM_PAGE_SIZE = 1_000;
 const OK = 200;
 
 const pageSchema = z.object({
-  limit: z.coerce.number().int().min(1).max(MAXIMUM_PAGE).default(DEFAULT_PAGE),
+  limit: z.coerce.number().int().min(1).max(MAXIMUM_PAGE_SIZE).default(
+    DEFAULT_PAGE_SIZE,
+  ),
   after: z.string().default(""),
 });
 
-/** Lists the adapters, as the chat-completions API lists models. */
+/** Lists adapters in the model format of the chat-completions API. */
 @Controller("v1/models")
 export class ModelsController {
   readonly #parts: DaemonParts;
-  readonly #names = new SortedNames();
+  readonly #names = new SortedNameCache();
 
   constructor(@Inject(DaemonParts) parts: DaemonParts) {
     this.#parts = parts;
   }
 
-  /** Lists a page of adapters in the order of their names. */
+  /** Lists one page of adapters, sorted by name. */
   @Get()
   list(@Query() query: unknown, @Res() reply: FastifyReply): void {
     const page = pageSchema.safeParse(query);
     if (!page.success) {
-      sendChatProblem(reply, badPage());
+      sendChatProblem(reply, invalidPageFailure());
       return;
     }
     const { configuration } = this.#parts.follower;
     const { limit, after } = page.data;
-    const names = this.#names.of(configuration);
-    const start = countUpTo(names, after);
+    const names = this.#names.read(configuration);
+    const start = upperBound(names, after);
     const shown = names.slice(start, start + limit);
     void reply.status(OK).send({
       object: "list",
@@ -62,19 +64,19 @@
     const { adapters } = this.#parts.follower.configuration;
     const adapter = adapters.get(adapterId(model));
     if (adapter === undefined) {
-      sendChatProblem(reply, noAdapter(model));
+      sendChatProblem(reply, adapterNotFoundFailure(model));
       return;
     }
     void reply.status(OK).send(toModel(adapter));
   }
 }
 
-/** Sorts the names again only once the configuration has changed. */
-class SortedNames {
+/** Caches the sorted adapter names until the configuration changes. */
+class SortedNameCache {
   #offset: LogOffset | undefined;
   #names: readonly AdapterId[] = [];
 
-  of(configuration: Configuration): readonly AdapterId[] {
+  read(configuration: Configuration): readonly AdapterId[] {
     if (this.#offset !== configuration.offset) {
       this.#offset = configuration.offset;
       this.#names = [...configuration.adapters.keys()].sort();
@@ -83,8 +85,8 @@
   }
 }
 
-/** Counts the names that do not come after the given one. */
-function countUpTo(names: readonly string[], given: string): number {
+/** Finds the index of the first name after the given one. */
+function upperBound(names: readonly string[], given: string): number {
   let low = 0;
   let high = names.length;
   while (low < high) {
@@ -107,17 +109,18 @@
   };
 }
 
-function badPage(): Failure {
+function invalidPageFailure(): Failure {
   return {
     reason: "invalid",
     step: "parse_request",
     peer: "caller",
-    message: `Query limit must be a whole number from 1 to ${MAXIMUM_PAGE}.`,
+    message:
+      `Query limit must be a whole number from 1 to ${MAXIMUM_PAGE_SIZE}.`,
     outcome: "not_run",
   };
 }
 
-function noAdapter(name: string): Failure {
+function adapterNotFoundFailure(name: string): Failure {
   return {
     reason: "not_found",
     step: "resolve_adapter",
--- a/packages/node/src/callers/openapi/openapi_controller.ts
+++ b/packages/node/src/callers/openapi/openapi_controller.ts
@@ -1,10 +1,10 @@
 import { Controller, Get } from "@nestjs/common";
 import { OPENAPI_DOCUMENT } from "./openapi_document.ts";
 
-/** Serves the description of the callers' interface. */
+/** Serves the OpenAPI document of the caller API. */
 @Controller("v1/openapi.json")
 export class OpenapiController {
-  /** Gives the document. */
+  /** Returns the document. */
   @Get()
   document(): object {
     return OPENAPI_DOCUMENT;
--- a/packages/node/src/callers/openapi/openapi_document.ts
+++ b/packages/node/src/callers/openapi/openapi_document.ts
@@ -1,7 +1,7 @@
 import { OPENAPI_PATHS } from "./openapi_paths.ts";
 import { OPENAPI_SCHEMAS } from "./openapi_schemas.ts";
 
-/** An OpenAPI document, as far as it is read here. */
+/** The parts of an OpenAPI document that this package reads. */
 export interface OpenapiDocument {
   readonly openapi: string;
   readonly info: object;
@@ -10,7 +10,7 @@
   readonly components: object;
 }
 
-/** The callers' interface as OpenAPI 3.1. */
+/** The caller API as an OpenAPI 3.1 document. */
 export const OPENAPI_DOCUMENT: OpenapiDocument = {
   openapi: "3.1.0",
   info: {
--- a/packages/node/src/callers/openapi/openapi_paths.ts
+++ b/packages/node/src/callers/openapi/openapi_paths.ts
@@ -140,7 +140,7 @@
   },
 };
 
-/** Paths of the callers' interface. */
+/** Paths of the caller API. */
 export const OPENAPI_PATHS = {
   "/v1/addresses": addresses,
   "/v1/chat/completions": completions,
--- a/packages/node/src/callers/openapi/openapi_schemas.ts
+++ b/packages/node/src/callers/openapi/openapi_schemas.ts
@@ -44,7 +44,7 @@
   io: "input",
 });
 
-/** Messages of the callers' interface. */
+/** Message schemas of the caller API. */
 export const OPENAPI_SCHEMAS = {
   CompletionRequest: {
     ...completionRequest,
--- a/packages/node/src/callers/openapi/write_document.ts
+++ b/packages/node/src/callers/openapi/write_document.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the callers' interface to a file, to be committed.
+ * Writes the OpenAPI document of the caller API to the committed file.
  * @module
  */
 import { mkdirSync, writeFileSync } from "node:fs";
--- a/packages/node/src/callers/problem.ts
+++ b/packages/node/src/callers/problem.ts
@@ -1,7 +1,7 @@
 import type { Failure, FailureReason } from "@foxtailwind/core";
 import type { FastifyReply } from "fastify";
 
-const STATUS_OF_REASON: Readonly<Record<FailureReason, number>> = {
+const STATUS_BY_REASON: Readonly<Record<FailureReason, number>> = {
   invalid: 400,
   not_found: 404,
   conflict: 409,
@@ -18,7 +18,7 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** An error as problem details (RFC 9457), with what is known of the run. */
+/** Problem details (RFC 9457), with whether the request ran. */
 export interface Problem {
   readonly type: string;
   readonly title: string;
@@ -30,28 +30,28 @@
   readonly request?: string;
 }
 
-/** A problem that also has the members which chat-completions clients read. */
+/** A problem with the `error` member that chat-completions clients read. */
 export interface ChatProblem extends Problem {
   readonly error: ChatError;
 }
 
-/** An error as chat-completions clients expect it, in answers and streams. */
+/** The error object of the chat-completions API, in bodies and streams. */
 export interface ChatError extends Problem {
   readonly message: string;
   readonly code: FailureReason;
 }
 
 /**
- * Gives a failure as problem details.
+ * Converts a failure to problem details.
  * @param failure The failure.
- * @param request The request's id, where there is one yet.
+ * @param request The request's id, if already assigned.
  * @returns The problem.
  */
 export function toProblem(failure: Failure, request?: string): Problem {
   return {
     type: `urn:foxtailwind:problem:${failure.reason}`,
     title: failure.reason.replaceAll("_", " "),
-    status: STATUS_OF_REASON[failure.reason],
+    status: STATUS_BY_REASON[failure.reason],
     detail: failure.message,
     outcome: failure.outcome,
     step: failure.step,
@@ -61,10 +61,10 @@
 }
 
 /**
- * Gives a failure as the error object of the chat-completions API.
+ * Converts a failure to the error object of the chat-completions API.
  * @param failure The failure.
- * @param request The request's id, where there is one yet.
- * @returns The problem, with the members that its clients read.
+ * @param request The request's id, if already assigned.
+ * @returns The error object.
  */
 export function chatError(failure: Failure, request?: string): ChatError {
   return {
@@ -75,8 +75,8 @@
 }
 
 /**
- * Answers with problem details and, where it is known, Retry-After.
- * @param reply The answer to write.
+ * Sends problem details with Retry-After if the failure has a delay.
+ * @param reply The reply to write.
  * @param failure The failure.
  * @param request The request's id.
  */
@@ -89,8 +89,8 @@
 }
 
 /**
- * Answers a chat-completions client with problem details.
- * @param reply The answer to write.
+ * Sends problem details to a chat-completions client.
+ * @param reply The reply to write.
  * @param failure The failure.
  * @param request The request's id.
  */
@@ -106,10 +106,10 @@
 }
 
 /**
- * Writes problem details as the answer.
- * @param reply The answer to write.
- * @param failure The failure, which says when to come back.
- * @param problem What to write.
+ * Sends problem details unless the response was already sent.
+ * @param reply The reply to write.
+ * @param failure The failure, which may hold a retry delay.
+ * @param problem The problem details.
  */
 export function writeProblem(
   reply: FastifyReply,
--- a/packages/node/src/callers/services_headers.ts
+++ b/packages/node/src/callers/services_headers.ts
@@ -3,12 +3,12 @@
 
 const HOST = "host";
 const CONTENT_LENGTH = "content-length";
-const LEAVING = "foxtailwind-leaving";
+const LEAVING_HEADER = "foxtailwind-leaving";
 
 /**
- * Gives a caller's headers as the service is to get them.
- * @param raw Names and values in turn, as they came.
- * @returns The headers, each occurrence by itself.
+ * Selects the request headers to forward to the service.
+ * @param raw Alternating names and values, as received.
+ * @returns The headers, repeated ones as separate entries.
  */
 export function requestHeaders(raw: readonly string[]): readonly Header[] {
   const headers: Header[] = [];
@@ -21,17 +21,17 @@
 }
 
 /**
- * Gives a service's headers as the caller is to get them.
- * @param headers The headers of the answer.
- * @param method The call's method; the answer to HEAD keeps its length.
- * @returns The headers to pass on.
+ * Selects the response headers to forward to the caller.
+ * @param headers The headers of the service's response.
+ * @param method The request method; a HEAD response keeps its length.
+ * @returns The headers to forward.
  */
 export function answerHeaders(
   headers: readonly Header[],
   method: string,
 ): readonly Header[] {
   const dropped = droppedNames(headers);
-  dropped.add(LEAVING);
+  dropped.add(LEAVING_HEADER);
   if (method !== "HEAD") dropped.add(CONTENT_LENGTH);
   return headers.filter(({ name }) => !dropped.has(name.toLowerCase()));
 }
--- a/packages/node/src/callers/services_plugin.ts
+++ b/packages/node/src/callers/services_plugin.ts
@@ -8,7 +8,7 @@
 import { sendProblem, toProblem } from "./problem.ts";
 import { answerHeaders, requestHeaders } from "./services_headers.ts";
 
-interface Exchange {
+interface HttpExchange {
   readonly request: FastifyRequest;
   readonly reply: FastifyReply;
 }
@@ -21,9 +21,9 @@
 const BAD_REQUEST = 400;
 
 /**
- * Serves calls to the plain services. A plugin of its own, because its bodies
- * are passed on byte for byte, whatever their type, while the controllers
- * beside it get parsed JSON.
+ * Proxies calls to the plain services. It is a separate plugin because it
+ * forwards bodies of any type byte for byte, while the controllers get parsed
+ * JSON.
  * @param parts The daemon's running parts.
  * @returns The plugin, to be registered with Fastify.
  */
@@ -67,7 +67,7 @@
   else sendAnswer(reply, answer.value, request.method);
 }
 
-/** Past Fastify, which would add a content type where the service gave none. */
+/** Bypasses Fastify, which adds a content type if the service sent none. */
 function sendAnswer(
   reply: FastifyReply,
   { status, headers, body }: ServiceAnswer,
@@ -84,7 +84,7 @@
 async function call(
   parts: DaemonParts,
   id: RequestId,
-  { request, reply }: Exchange,
+  { request, reply }: HttpExchange,
 ): Promise<Result<ServiceAnswer, Failure>> {
   const routed = toServiceRequest(request);
   const key = request.headers[KEY_HEADER];
@@ -94,7 +94,7 @@
   return await parts.serviceDispatcher.call(routed, {
     id,
     repeatable: request.headers[NOT_REPEATABLE_HEADER] !== "true",
-    signal: departure(reply),
+    signal: abortOnClose(reply),
   });
 }
 
@@ -111,8 +111,8 @@
   };
 }
 
-/** Aborts when the caller's connection closes before its answer is sent. */
-function departure(reply: FastifyReply): AbortSignal {
+/** Aborts when the caller's connection closes before the response is sent. */
+function abortOnClose(reply: FastifyReply): AbortSignal {
   const abort = new AbortController();
   reply.raw.once("close", () => {
     if (!reply.raw.writableFinished) abort.abort();
--- a/packages/node/src/callers/unreadable_request.ts
+++ b/packages/node/src/callers/unreadable_request.ts
@@ -6,7 +6,7 @@
 const REQUEST_TIMEOUT = 408;
 const HEADER_TOO_LARGE = 431;
 
-const STATUS_OF_CODE: ReadonlyMap<string, number> = new Map([
+const STATUS_BY_ERROR_CODE: ReadonlyMap<string, number> = new Map([
   ["HPE_HEADER_OVERFLOW", HEADER_TOO_LARGE],
   ["ERR_HTTP_REQUEST_TIMEOUT", REQUEST_TIMEOUT],
 ]);
@@ -18,9 +18,10 @@
 ]);
 
 /**
- * Answers what is not HTTP, or has too large a header, and closes the
- * connection: where the next request starts is not known.
- * @param error What the HTTP parser found.
+ * Responds to a request that cannot be parsed, is too slow or has too large a
+ * header, and closes the connection, because the start of the next request is
+ * unknown.
+ * @param error The HTTP parser's error.
  * @param socket The caller's connection.
  */
 export function answerUnreadable(
@@ -31,8 +32,10 @@
     socket.destroy();
     return;
   }
-  const status = STATUS_OF_CODE.get(error.code ?? "") ?? BAD_REQUEST;
-  const body = JSON.stringify(httpProblem(status, unreadable(error.code)));
+  const status = STATUS_BY_ERROR_CODE.get(error.code ?? "") ?? BAD_REQUEST;
+  const body = JSON.stringify(
+    httpProblem(status, unreadableRequestFailure(error.code)),
+  );
   socket.end(
     `HTTP/1.1 ${status} ${STATUS_TEXT.get(status) ?? ""}\r\n` +
       "content-type: application/problem+json\r\n" +
@@ -41,7 +44,7 @@
   );
 }
 
-function unreadable(code: string | undefined): Failure {
+function unreadableRequestFailure(code: string | undefined): Failure {
   return {
     reason: "invalid",
     step: "parse_request",
--- a/packages/node/src/clock/steady_clock.ts
+++ b/packages/node/src/clock/steady_clock.ts
@@ -1,12 +1,12 @@
 import { type Instant, instant } from "@foxtailwind/core";
 
-/** A VM's own steady clock. */
+/** A monotonic clock of one VM. */
 export abstract class SteadyClock {
-  /** Reads the clock. */
+  /** @returns The current time of the clock. */
   abstract now(): Instant;
 }
 
-/** The steady clock of this process. */
+/** The monotonic clock of this process. */
 export class ProcessClock extends SteadyClock {
   override now(): Instant {
     return instant(performance.now());
--- a/packages/node/src/daemon.ts
+++ b/packages/node/src/daemon.ts
@@ -50,16 +50,16 @@
 import { ControlledEngines } from "./telemetry/controlled_engines.ts";
 import { NodeTelemetry } from "./telemetry/node_telemetry.ts";
 
-/** Where a daemon listens. */
+/** The addresses on which a daemon listens. */
 export interface DaemonAddresses {
   readonly http: string;
   readonly grpc: string;
 }
 
-/** How long streams between nodes that carry no requests may take to end. */
-const CONTROL_CLOSE = 1_000;
+/** How long control streams between nodes may take to close. */
+const CONTROL_STREAM_CLOSE_MILLISECONDS = 1_000;
 
-/** One node: all its parts, started and stopped together. */
+/** A node: creates, starts and stops all its components. */
 export class Daemon extends DaemonParts {
   override readonly settings: Settings;
   override readonly clock = new ProcessClock();
@@ -219,8 +219,8 @@
   }
 
   /**
-   * Starts all parts.
-   * @returns The addresses taken.
+   * Starts all components.
+   * @returns The addresses in use.
    */
   async start(): Promise<DaemonAddresses> {
     const { http, grpc } = this.settings.listen;
@@ -245,10 +245,10 @@
   }
 
   /**
-   * Carries out a planned stop: leaves the address answers, finishes what is
-   * in progress and what still arrives, and stops.
-   * @returns How many requests were cut off, which only a bound set by the
-   * operator can make other than 0.
+   * Carries out a planned stop: removes the node from address answers, finishes
+   * requests in progress and those that still arrive, and stops.
+   * @returns The number of requests cut off; always 0 unless the operator has
+   * limited the wait.
    */
   async stop(): Promise<number> {
     const cutOff = await this.drain.run();
@@ -263,7 +263,10 @@
     this.#spread.close();
     this.#serving.closeStreams();
     this.#peers.close();
-    await Promise.race([this.#peerServer.close(), sleep(CONTROL_CLOSE)]);
+    await Promise.race([
+      this.#peerServer.close(),
+      sleep(CONTROL_STREAM_CLOSE_MILLISECONDS),
+    ]);
     this.#peerServer.cutConnections();
     this.#cluster.stop();
     this.follower.stop();
@@ -281,7 +284,7 @@
   override readonly peerStatuses = (nodes: readonly Vm[]) =>
     readClusterStatus(nodes, this.#channels);
 
-  /** Ends what is in progress, once an operator's bound has passed. */
+  /** Ends requests in progress after the operator's maximum wait. */
   #cutConnections(): void {
     this.#application?.getHttpServer().closeAllConnections();
     this.#peerServer.cutConnections();
--- a/packages/node/src/daemon_parts.ts
+++ b/packages/node/src/daemon_parts.ts
@@ -17,7 +17,7 @@
 import type { Settings } from "./settings/settings.ts";
 import type { NodeTelemetry } from "./telemetry/node_telemetry.ts";
 
-/** The running parts of a daemon, as the HTTP controllers use them. */
+/** The components of a daemon that the HTTP controllers use. */
 export abstract class DaemonParts {
   abstract readonly settings: Settings;
   abstract readonly clock: SteadyClock;
@@ -33,7 +33,7 @@
   abstract readonly follower: ConfigurationFollower;
   abstract readonly metrics: MetricsSink;
   abstract readonly publisher: ConfigurationPublisher;
-  /** Asks other nodes which configuration is in force there. */
+  /** Queries other nodes for their configuration status. */
   abstract readonly peerStatuses: (
     nodes: readonly Vm[],
   ) => Promise<readonly NodeStatus[]>;
--- a/packages/node/src/http/connection_headers.ts
+++ b/packages/node/src/http/connection_headers.ts
@@ -1,4 +1,4 @@
-/** Headers of one connection, which are not passed on (RFC 9110, 7.6.1). */
+/** Hop-by-hop headers, which are not forwarded (RFC 9110, 7.6.1). */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "expect",
@@ -13,10 +13,10 @@
 ]);
 
 /**
- * Lists the headers of a message that concern one connection only: those that
- * always do, and those that its `Connection` headers name.
+ * Lists the hop-by-hop headers of a message: the fixed ones and those that its
+ * `Connection` headers name.
  * @param connectionValues The values of its `Connection` headers.
- * @returns Their names, in lowercase.
+ * @returns The header names in lower case.
  */
 export function connectionHeaders(
   connectionValues: readonly string[],
--- a/packages/node/src/http/schemaless_fastify.ts
+++ b/packages/node/src/http/schemaless_fastify.ts
@@ -5,9 +5,9 @@
 import type { Server } from "node:http";
 
 /**
- * Makes a Fastify that serves routes without schemas only: its compilers of
- * schemas are a fifth of the program's code, and are never loaded.
- * @param options Fastify's own options.
+ * Creates a Fastify instance for routes without schemas. Its schema compilers
+ * are a fifth of the program's code and are never loaded.
+ * @param options Fastify options.
  * @returns The instance.
  */
 export function schemalessFastify(
@@ -17,11 +17,14 @@
     ...options,
     logger: false,
     schemaController: {
-      compilersFactory: { buildValidator: refuse, buildSerializer: refuse },
+      compilersFactory: {
+        buildValidator: rejectSchema,
+        buildSerializer: rejectSchema,
+      },
     },
   });
 }
 
-function refuse(): never {
+function rejectSchema(): never {
   throw new TypeError("This server compiles no schemas.");
 }
--- a/packages/node/src/http_application.ts
+++ b/packages/node/src/http_application.ts
@@ -16,7 +16,7 @@
 import type { Settings } from "./settings/settings.ts";
 import { TELEMETRY_CONTROLLERS } from "./telemetry/mod.ts";
 
-/** How long a caller may take to send a whole request. */
+/** How long a caller may take to send a complete request. */
 const REQUEST_MILLISECONDS = 30_000;
 const KEEP_ALIVE_MILLISECONDS = 75_000;
 
@@ -24,9 +24,9 @@
 class HttpModule {}
 
 /**
- * Makes the HTTP application of a daemon.
- * @param parts The daemon's running parts.
- * @param logger Logs what callers' requests run into.
+ * Creates the HTTP application of a daemon.
+ * @param parts The daemon's components.
+ * @param logger Logs unexpected errors of requests.
  * @returns The application, not yet listening.
  */
 export async function createHttpApplication(
@@ -64,7 +64,7 @@
     keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
     http: { maxHeaderSize: limits.header_bytes },
     clientErrorHandler: answerUnreadable,
-    // A request id is made where one is needed, not for each request.
+    // Handlers that need a request id create it themselves.
     genReqId: () => "",
   };
 }
--- a/packages/node/src/logging/log_reporters.ts
+++ b/packages/node/src/logging/log_reporters.ts
@@ -1,17 +1,17 @@
 import type { ConsolaReporter, LogObject } from "consola";
 
-/** Takes one line of the log, its end included. */
+/** Writes one log line, which includes its line break. */
 export type WriteLine = (line: string) => void;
 
 /**
- * Reports in lines for people: time, level, sentence, fields.
- * @param write Takes the lines.
+ * Creates a reporter of human-readable lines: time, level, sentence, fields.
+ * @param write Writes a line.
  * @returns The reporter.
  */
 export function humanReporter(write: WriteLine): ConsolaReporter {
   return {
     log(entry) {
-      const { message, fields } = partsOf(entry);
+      const { message, fields } = readEntry(entry);
       const named = Object.entries(fields)
         .filter(([, value]) => value !== undefined)
         .map(([name, value]) => ` ${name}=${quoteWhereNeeded(value)}`);
@@ -23,14 +23,14 @@
 }
 
 /**
- * Reports in JSON lines, a field for each field.
- * @param write Takes the lines.
+ * Creates a reporter of JSON lines, with the log fields as members.
+ * @param write Writes a line.
  * @returns The reporter.
  */
 export function jsonReporter(write: WriteLine): ConsolaReporter {
   return {
     log(entry) {
-      const { message, fields } = partsOf(entry);
+      const { message, fields } = readEntry(entry);
       const time = entry.date.toISOString();
       const line = { ...fields, time, level: entry.type, message };
       write(`${JSON.stringify(line)}\n`);
@@ -46,7 +46,7 @@
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-function partsOf(entry: LogObject): LogParts {
+function readEntry(entry: LogObject): LogParts {
   const message: unknown = entry.args[0];
   const fields: unknown = entry.args[1];
   return {
--- a/packages/node/src/logging/part_logger.ts
+++ b/packages/node/src/logging/part_logger.ts
@@ -6,7 +6,7 @@
   type WriteLine,
 } from "./log_reporters.ts";
 
-/** A part of the daemon, whose log lines carry its prefix. */
+/** A component of the daemon; prefixes its log lines. */
 export type LogPart =
   | "daemon"
   | "settings"
@@ -20,10 +20,10 @@
   | "metrics"
   | "ownership";
 
-/** How log lines are written. */
+/** The output format of log lines. */
 export type LogFormat = "human" | "json";
 
-/** What a log line is about, besides its sentence. */
+/** Structured fields of a log line. */
 export interface LogFields {
   readonly request?: string;
   readonly peer?: string;
@@ -32,7 +32,7 @@
   readonly [field: string]: string | number | boolean | undefined;
 }
 
-/** Writes the log lines of one part: short sentences with its prefix. */
+/** Logs short sentences with the prefix of one component. */
 export class PartLogger {
   readonly #consola: ConsolaInstance;
   readonly #part: LogPart;
@@ -42,31 +42,31 @@
     this.#part = part;
   }
 
-  /** Says what helps to find a fault, and is too much in normal running. */
+  /** Logs details for troubleshooting, too verbose for normal operation. */
   debug(sentence: string, fields: LogFields = {}): void {
     this.#consola.debug(`${this.#part}: ${sentence}`, fields);
   }
 
-  /** Says what an operator wants to know in normal running. */
+  /** Logs an event of normal operation. */
   info(sentence: string, fields: LogFields = {}): void {
     this.#consola.info(`${this.#part}: ${sentence}`, fields);
   }
 
-  /** Says what may need an operator's attention. */
+  /** Logs an event that may need an operator's attention. */
   warn(sentence: string, fields: LogFields = {}): void {
     this.#consola.warn(`${this.#part}: ${sentence}`, fields);
   }
 
-  /** Says what went wrong. */
+  /** Logs a failure. */
   error(sentence: string, fields: LogFields = {}): void {
     this.#consola.error(`${this.#part}: ${sentence}`, fields);
   }
 }
 
-/** Where the lines of parts go that don't go with all others. */
+/** Separate outputs for the log lines of single components. */
 export type PartWriters = Readonly<Partial<Record<LogPart, WriteLine>>>;
 
-/** Makes the loggers of all parts. */
+/** Creates the loggers of all components. */
 export class LoggerFactory {
   readonly #format: LogFormat;
   readonly #level: number;
@@ -74,10 +74,10 @@
   readonly #partWriters: PartWriters;
 
   /**
-   * @param format How lines are written.
-   * @param level The most talkative level of consola that is written.
-   * @param write Takes the lines; standard error where left out.
-   * @param partWriters Take the lines of single parts instead.
+   * @param format The output format.
+   * @param level The most verbose consola level that is written.
+   * @param write Writes a line; defaults to standard error.
+   * @param partWriters Write the lines of single components instead.
    */
   constructor(
     format: LogFormat,
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Makes a part's logger.
-   * @param part The part.
+   * Creates the logger of a component.
+   * @param part The component.
    * @returns Its logger.
    */
   forPart(part: LogPart): PartLogger {
--- a/packages/node/src/main.ts
+++ b/packages/node/src/main.ts
@@ -10,7 +10,7 @@
 } from "./settings/load_settings.ts";
 
 const EXIT_BAD_SETTINGS = 78;
-/** Work was cut off because the operator's bound on the stop had passed. */
+/** Requests were cut off because the operator's maximum wait had passed. */
 const EXIT_CUT_OFF = 75;
 const LEVELS = { error: 0, warn: 1, info: 3, debug: 4 } as const;
 
--- a/packages/node/src/metrics/metrics_sink.ts
+++ b/packages/node/src/metrics/metrics_sink.ts
@@ -1,35 +1,35 @@
-/** What a count is of, besides its name: few values each, never an id. */
+/** Tags of a metric: each has few distinct values and never holds an id. */
 export type MetricTags = Readonly<Record<string, string>>;
 
-/** Takes counts and values for the operators' dashboards. Never influences a request. */
+/** Receives metrics for operators' dashboards. Never affects a request. */
 export abstract class MetricsSink {
   /**
-   * Counts one occurrence.
-   * @param name What occurred.
-   * @param tags What kind of it.
+   * Increments a counter.
+   * @param name The metric's name.
+   * @param tags The metric's tags.
    */
   abstract count(name: string, tags: MetricTags): void;
 
   /**
-   * Tells the present value of something.
-   * @param name What it is.
-   * @param value The value.
-   * @param tags What kind of it.
+   * Sets a gauge.
+   * @param name The metric's name.
+   * @param value The current value.
+   * @param tags The metric's tags.
    */
   abstract gauge(name: string, value: number, tags: MetricTags): void;
 
-  /** Sends what is held and stops. */
+  /** Sends buffered metrics and closes the sink. */
   abstract close(): Promise<void>;
 }
 
-/** Counts nothing, where the settings name no statsd. */
+/** Discards all metrics; used if the settings name no statsd server. */
 export class SilentMetrics extends MetricsSink {
   override count(): void {
-    // Nobody asked.
+    // Discarded: no statsd server is configured.
   }
 
   override gauge(): void {
-    // Nobody asked.
+    // Discarded: no statsd server is configured.
   }
 
   override close(): Promise<void> {
--- a/packages/node/src/metrics/statsd_metrics.ts
+++ b/packages/node/src/metrics/statsd_metrics.ts
@@ -3,20 +3,20 @@
 import type { SocketAddress } from "../settings/settings.ts";
 import { MetricsSink, type MetricTags } from "./metrics_sink.ts";
 
-/** What sending to statsd needs. */
+/** Options of {@link StatsdMetrics}. */
 export interface StatsdMetricsOptions {
   readonly address: SocketAddress;
-  /** Tags of every count, such as the node's id. */
+  /** Tags added to every metric, such as the node's id. */
   readonly tags: MetricTags;
   readonly logger: PartLogger;
 }
 
 const PREFIX = "foxtailwind.";
-/** Fits in one UDP packet on an Ethernet. */
+/** Fits into one UDP packet on Ethernet. */
 const MAXIMUM_PACKET_BYTES = 1_400;
 const FLUSH_MILLISECONDS = 1_000;
 
-/** Sends counts to statsd over UDP, many in one packet. */
+/** Sends metrics to statsd over UDP, batched into packets. */
 export class StatsdMetrics extends MetricsSink {
   readonly #client: StatsD;
 
--- a/packages/node/src/platform/vm_directory.ts
+++ b/packages/node/src/platform/vm_directory.ts
@@ -3,17 +3,17 @@
 
 const POLL_MILLISECONDS = 500;
 
-/** A VM that serves with one known role. */
+/** A VM with a statically known role. */
 export type VmOfRole<Kind extends Vm["role"]["kind"]> = Vm & {
   readonly role: Extract<Vm["role"], { readonly kind: Kind }>;
 };
 
-/** Keeps the latest VM list that the platform gave. */
+/** Polls the platform's VM list and caches the latest one. */
 export class VmDirectory {
   readonly #client: VmListClient;
   readonly #logger: PartLogger;
   readonly #listeners: (() => void)[] = [];
-  /** VMs that say of themselves that they are leaving. */
+  /** VMs that have announced that they are leaving. */
   readonly #marked = new Set<string>();
   #vms: readonly Vm[] = [];
   #timer: NodeJS.Timeout | undefined;
@@ -23,18 +23,18 @@
     this.#logger = logger;
   }
 
-  /** The VMs as last known. */
+  /** The latest known VMs. */
   get vms(): readonly Vm[] {
     return this.#vms;
   }
 
-  /** Calls back after each change of the list. */
+  /** Registers a listener, called after each update of the list. */
   onChange(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
   /**
-   * Lists the VMs of one role that take new work.
+   * Lists the live VMs of one role, which accept new work.
    * @param kind The role.
    * @returns The live VMs.
    */
@@ -46,7 +46,7 @@
     );
   }
 
-  /** Reads the list now and then until {@link stop}. */
+  /** Polls the list until {@link stop}. */
   async start(): Promise<void> {
     await this.refresh();
     this.#timer = setInterval(() => void this.refresh(), POLL_MILLISECONDS);
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Takes a VM's own word that it is leaving, which the list may not show
-   * yet. It counts until the list no longer shows the VM at all.
+   * Marks a VM as leaving because it announced so itself, before the list may
+   * show it. The mark holds until the VM disappears from the list.
    * @param id The VM.
    */
   markLeaving(id: string): void {
@@ -77,7 +77,7 @@
     this.#show(this.#vms);
   }
 
-  /** Stops reading. */
+  /** Stops polling. */
   stop(): void {
     clearInterval(this.#timer);
   }
--- a/packages/node/src/settings/load_settings.ts
+++ b/packages/node/src/settings/load_settings.ts
@@ -10,9 +10,9 @@
 } from "./settings_problem.ts";
 
 /**
- * Reads and checks a settings file.
+ * Reads and validates a settings file.
  * @param file The INI file's path.
- * @returns The settings, or every problem at once.
+ * @returns The settings, or all problems found.
  */
 export function loadSettings(
   file: string,
@@ -21,10 +21,10 @@
 }
 
 /**
- * Checks the text of a settings file.
- * @param text INI.
+ * Parses and validates the content of a settings file.
+ * @param text The content, in INI format.
  * @param file The file's name, for problems.
- * @returns The settings, or every problem at once.
+ * @returns The settings, or all problems found.
  */
 export function parseSettings(
   text: string,
--- a/packages/node/src/settings/parse_ini.ts
+++ b/packages/node/src/settings/parse_ini.ts
@@ -3,20 +3,20 @@
 import type { z } from "zod";
 import { findRepeatedKeys } from "./repeated_keys.ts";
 import {
-  problemOfRepeated,
-  problemsOfIssue,
+  issueProblems,
+  repeatedKeyProblem,
   type SettingsProblem,
 } from "./settings_problem.ts";
 
-/** A schema of sections, each with its keys. */
+/** The schemas of a file's sections, by section name. */
 export type SectionsShape = Readonly<Record<string, z.ZodType>>;
 
 /**
- * Checks the text of an INI file by a schema.
- * @param text INI.
+ * Parses an INI file and validates it against a schema.
+ * @param text The file's content.
  * @param file The file's name, for problems.
- * @param schema What the file has to hold.
- * @returns The values, or every problem at once.
+ * @param schema The schema of the file.
+ * @returns The values, or all problems found.
  */
 export function parseIni<Shape extends SectionsShape>(
   text: string,
@@ -27,26 +27,28 @@
   const sections = new Map(
     Object.entries(schema.shape).map(([name, section]) => [
       name,
-      keysOf(section),
+      sectionKeys(section),
     ]),
   );
   const parsed = schema.safeParse(values);
   const problems = findRepeatedKeys(text).map((repeated) =>
-    problemOfRepeated(repeated, file)
+    repeatedKeyProblem(repeated, file)
   );
   for (const issue of parsed.error?.issues ?? []) {
-    problems.push(...problemsOfIssue(issue, { file, values, sections }));
+    problems.push(...issueProblems(issue, { file, values, sections }));
   }
   return parsed.success && problems.length === 0
     ? ok(parsed.data)
     : err(problems);
 }
 
-/** The keys of a section, also of one that may be left out. */
-function keysOf(section: z.ZodType): readonly string[] {
+/** Returns the keys of a section, unwrapping optional sections. */
+function sectionKeys(section: z.ZodType): readonly string[] {
   if ("shape" in section) return Object.keys(section.shape as object);
   const { def } = section as {
     readonly def?: { readonly innerType?: unknown };
   };
-  return def?.innerType === undefined ? [] : keysOf(def.innerType as z.ZodType);
+  return def?.innerType === undefined
+    ? []
+    : sectionKeys(def.innerType as z.ZodType);
 }
--- a/packages/node/src/settings/repeated_keys.ts
+++ b/packages/node/src/settings/repeated_keys.ts
@@ -1,7 +1,7 @@
-/** A key, or a whole section, that stands twice in a settings file. */
+/** A key or section that occurs more than once in a settings file. */
 export interface RepeatedKey {
   readonly section: string;
-  /** Empty where the section itself is repeated. */
+  /** Empty if the section itself is repeated. */
   readonly key: string;
 }
 
@@ -9,9 +9,9 @@
 const KEY_LINE = /^\s*([^;#=\s][^=]*?)\s*(?:=|$)/;
 
 /**
- * Finds what stands twice. The INI library keeps the last of two values
- * without a word, so that a typing error would go unseen.
- * @param text INI.
+ * Finds repeated keys and sections. The INI library silently keeps the last of
+ * two values, which would hide a typing error.
+ * @param text The file's content, in INI format.
  * @returns Each repeated key or section, once.
  */
 export function findRepeatedKeys(text: string): readonly RepeatedKey[] {
--- a/packages/node/src/settings/settings.ts
+++ b/packages/node/src/settings/settings.ts
@@ -21,12 +21,12 @@
 const MEBIBYTE = 1_024 * KIBIBYTE;
 const LONGEST_UNREAD_MILLISECONDS = 600_000;
 
-function decimal(largest: number) {
+function secondsUpTo(largest: number) {
   const allowed = `a number of seconds above 0, at most ${largest}`;
   return z.coerce.number(allowed).positive(allowed).max(largest, allowed);
 }
 
-function whole(smallest: number, largest: number) {
+function wholeNumberBetween(smallest: number, largest: number) {
   const allowed = `a whole number from ${smallest} to ${largest}`;
   return z.coerce.number(allowed).int(allowed).min(smallest, allowed)
     .max(largest, allowed);
@@ -38,7 +38,7 @@
   return z.enum(names, `one of ${names.join(", ")}`);
 }
 
-/** The sections of the daemon's settings, and the keys in them. */
+/** The sections of the daemon's settings and their keys. */
 export const SETTINGS_SECTIONS = {
   node: z.strictObject({
     id: id.transform(nodeId),
@@ -58,19 +58,24 @@
     ),
   }),
   addresses: z.strictObject({
-    lifetime_seconds: decimal(LONGEST_LIFETIME_SECONDS).default(
+    lifetime_seconds: secondsUpTo(LONGEST_LIFETIME_SECONDS).default(
       DEFAULT_LIFETIME_SECONDS,
     ),
   }),
   stop: z.strictObject({
-    longest_wait_seconds: decimal(LONGEST_STOP_SECONDS).optional(),
+    longest_wait_seconds: secondsUpTo(LONGEST_STOP_SECONDS).optional(),
   }),
   limits: z.strictObject({
-    header_bytes: whole(KIBIBYTE, MEBIBYTE).default(16 * KIBIBYTE),
-    body_bytes: whole(KIBIBYTE, 64 * MEBIBYTE).default(4 * MEBIBYTE),
-    answer_bytes: whole(KIBIBYTE, 64 * MEBIBYTE).default(8 * MEBIBYTE),
-    unread_bytes: whole(KIBIBYTE, 64 * MEBIBYTE).default(MEBIBYTE),
-    unread_milliseconds: whole(1, LONGEST_UNREAD_MILLISECONDS).default(30_000),
+    header_bytes: wholeNumberBetween(KIBIBYTE, MEBIBYTE).default(16 * KIBIBYTE),
+    body_bytes: wholeNumberBetween(KIBIBYTE, 64 * MEBIBYTE).default(
+      4 * MEBIBYTE,
+    ),
+    answer_bytes: wholeNumberBetween(KIBIBYTE, 64 * MEBIBYTE).default(
+      8 * MEBIBYTE,
+    ),
+    unread_bytes: wholeNumberBetween(KIBIBYTE, 64 * MEBIBYTE).default(MEBIBYTE),
+    unread_milliseconds: wholeNumberBetween(1, LONGEST_UNREAD_MILLISECONDS)
+      .default(30_000),
   }),
   logs: z.strictObject({
     format: choice(["human", "json"]).default("human"),
@@ -82,9 +87,8 @@
 } as const;
 
 /**
- * The form of the daemon's settings. Nothing in them says how well a class is
- * to be served or what runs where: the former is a target, the latter is
- * worked out.
+ * The schema of the daemon's settings. They hold neither latency targets, which
+ * are part of the configuration, nor placement, which is computed.
  */
 export const settingsSchema = z.strictObject({
   node: SETTINGS_SECTIONS.node,
@@ -97,5 +101,5 @@
   metrics: SETTINGS_SECTIONS.metrics.prefault({}),
 });
 
-/** The daemon's settings, checked. */
+/** The validated settings of a daemon. */
 export type Settings = z.output<typeof settingsSchema>;
--- a/packages/node/src/settings/settings_problem.ts
+++ b/packages/node/src/settings/settings_problem.ts
@@ -2,29 +2,29 @@
 import type { z } from "zod";
 import type { RepeatedKey } from "./repeated_keys.ts";
 
-/** One thing that is wrong with the settings. */
+/** A validation error in a settings file. */
 export interface SettingsProblem {
   readonly file: string;
   readonly section: string;
-  /** Empty where the section as a whole is meant. */
+  /** Empty if the problem concerns the whole section. */
   readonly key: string;
   readonly seen: string;
   readonly allowed: string;
 }
 
-/** A settings file as it was read. */
+/** The parsed but unvalidated content of a settings file. */
 export interface RawSettings {
   readonly file: string;
   readonly values: Readonly<Record<string, unknown>>;
-  /** The keys that each known section may hold. */
+  /** The allowed keys of each known section. */
   readonly sections: SectionKeys;
 }
 
-/** The keys of each section. */
+/** The allowed keys, by section. */
 export type SectionKeys = ReadonlyMap<string, readonly string[]>;
 
 /**
- * Says what is wrong in one line.
+ * Formats a problem as one line.
  * @param problem The problem.
  * @returns The line.
  */
@@ -35,12 +35,12 @@
 }
 
 /**
- * Gives what the schema found as problems that name the file's own places.
- * @param issue The schema's finding.
- * @param raw The file.
+ * Converts a schema issue to problems that name sections and keys of the file.
+ * @param issue The schema issue.
+ * @param raw The content of the file.
  * @returns The problems.
  */
-export function problemsOfIssue(
+export function issueProblems(
   issue: z.core.$ZodIssue,
   raw: RawSettings,
 ): readonly SettingsProblem[] {
@@ -60,12 +60,12 @@
 }
 
 /**
- * Gives a repeated key as a problem.
+ * Creates the problem of a repeated key or section.
  * @param repeated The key or section.
  * @param file The file's name.
  * @returns The problem.
  */
-export function problemOfRepeated(
+export function repeatedKeyProblem(
   repeated: RepeatedKey,
   file: string,
 ): SettingsProblem {
