--- a/packages/node/src/assembly/make_addresses.ts
+++ b/packages/node/src/assembly/make_addresses.ts
@@ -11,7 +11,7 @@
 import type { Settings } from "../settings/settings.ts";
 
 /** Dependencies of a daemon's address directory. */
-export interface AddressSources {
+export interface AddressDependencies {
   readonly settings: Settings;
   readonly directory: VmDirectory;
   readonly cluster: ClusterNode;
@@ -23,20 +23,25 @@
 
 /**
  * Creates the directory that selects the nodes callers should use.
- * @param sources Its dependencies.
+ * @param dependencies Its dependencies.
  * @returns The directory.
  */
-export function makeAddresses(sources: AddressSources): AddressDirectory {
-  const { settings, directory, drain, work } = sources;
-  const own = new OwnView({
+export function makeAddresses(
+  dependencies: AddressDependencies,
+): AddressDirectory {
+  const { settings, directory, drain, work } = dependencies;
+  const ownView = new OwnView({
     self: settings.node.id,
     isLeaving: () => drain.isLeaving,
     load: () => work.count,
   });
   return new AddressDirectory({
     directory,
-    peers: new ClusterPeerViews(sources.cluster, own),
-    controllers: new RoutedControllers(sources.router, sources.configuration),
+    peers: new ClusterPeerViews(dependencies.cluster, ownView),
+    controllers: new RoutedControllers(
+      dependencies.router,
+      dependencies.configuration,
+    ),
     longestLifetime: seconds(settings.addresses.lifetime_seconds),
   });
 }
--- a/packages/node/src/assembly/make_cluster.ts
+++ b/packages/node/src/assembly/make_cluster.ts
@@ -8,7 +8,7 @@
 import type { Settings } from "../settings/settings.ts";
 
 /** Dependencies of a daemon's cluster node. */
-export interface ClusterSources {
+export interface ClusterDependencies {
   readonly settings: Settings;
   readonly clock: SteadyClock;
   readonly directory: VmDirectory;
@@ -22,11 +22,11 @@
 
 /**
  * Creates the node's participant in membership and ownership.
- * @param sources Its dependencies.
+ * @param dependencies Its dependencies.
  * @returns The cluster node, not yet started.
  */
-export function makeCluster(sources: ClusterSources): ClusterNode {
-  const { settings, clock, directory, dispatcher } = sources;
+export function makeCluster(dependencies: ClusterDependencies): ClusterNode {
+  const { settings, clock, directory, dispatcher } = dependencies;
   return new ClusterNode({
     node: settings.node,
     clock,
@@ -37,7 +37,7 @@
       peer: "log",
       timeoutMilliseconds: MEMBERSHIP_LOG_TIMEOUT_MILLISECONDS,
     }),
-    transport: new ClusterTransport(sources.channels),
-    logger: sources.loggers.forPart("ownership"),
+    transport: new ClusterTransport(dependencies.channels),
+    logger: dependencies.loggers.forPart("ownership"),
   });
 }
--- a/packages/node/src/assembly/make_drain.ts
+++ b/packages/node/src/assembly/make_drain.ts
@@ -6,7 +6,7 @@
 import type { Settings } from "../settings/settings.ts";
 
 /** Dependencies of a daemon's drain. */
-export interface DrainSources {
+export interface DrainDependencies {
   readonly settings: Settings;
   readonly work: WorkInProgress;
   readonly cluster: ClusterNode;
@@ -16,20 +16,20 @@
 
 /**
  * Creates the drain, which carries out a planned stop.
- * @param sources Its dependencies.
+ * @param dependencies Its dependencies.
  * @returns The drain.
  */
-export function makeDrain(sources: DrainSources): Drain {
-  const { addresses, stop } = sources.settings;
+export function makeDrain(dependencies: DrainDependencies): Drain {
+  const { addresses, stop } = dependencies.settings;
   const longestWait = stop.longest_wait_seconds;
   return new Drain({
     terms: {
       addressLifetime: seconds(addresses.lifetime_seconds),
       ...(longestWait !== undefined && { maximumWait: seconds(longestWait) }),
     },
-    work: sources.work,
-    handOver: new ClusterHandOver(sources.cluster),
-    clock: sources.clock,
-    logger: sources.loggers.forPart("daemon"),
+    work: dependencies.work,
+    handOver: new ClusterHandOver(dependencies.cluster),
+    clock: dependencies.clock,
+    logger: dependencies.loggers.forPart("daemon"),
   });
 }
--- a/packages/node/src/assembly/make_metrics.ts
+++ b/packages/node/src/assembly/make_metrics.ts
@@ -1,7 +1,7 @@
 import type { LoggerFactory } from "../logging/part_logger.ts";
 import {
   type MetricsSink,
-  SilentMetrics,
+  NoopMetrics,
   StatsdMetrics,
 } from "../metrics/mod.ts";
 import type { Settings } from "../settings/settings.ts";
@@ -17,7 +17,7 @@
   loggers: LoggerFactory,
 ): MetricsSink {
   const { metrics, node } = settings;
-  if (metrics.statsd === undefined) return new SilentMetrics();
+  if (metrics.statsd === undefined) return new NoopMetrics();
   return new StatsdMetrics({
     address: metrics.statsd,
     tags: { node: node.id, failure_domain: node.failure_domain },
--- a/packages/node/src/callers/completions/whole_sink.ts
+++ b/packages/node/src/callers/completions/buffered_sink.ts
@@ -1,7 +1,7 @@
 import type { Failure } from "@foxtailwind/core";
 import type { GenerationEnd } from "@foxtailwind/edges";
 import { sendChatProblem } from "../problem.ts";
-import { nameOf, usageOf } from "./chunk_text.ts";
+import { formatAdapter, toUsage } from "./chunk_encoder.ts";
 import { CompletionSink } from "./completion_sink.ts";
 
 const OK = 200;
@@ -21,14 +21,14 @@
       id: generation.request,
       object: "chat.completion",
       created: this.created,
-      model: nameOf(generation.adapter),
+      model: formatAdapter(generation.adapter),
       choices: [{
         index: 0,
         message: { role: "assistant", content: this.#text, refusal: null },
         logprobs: null,
         finish_reason: end.finishReason,
       }],
-      usage: usageOf(end),
+      usage: toUsage(end),
     });
   }
 
--- a/packages/node/src/callers/completions/caller_connection.ts
+++ b/packages/node/src/callers/completions/caller_connection.ts
@@ -38,7 +38,7 @@
   }
 
   /** Whether the connection is closed, so that nothing can be written. */
-  get closed(): boolean {
+  get isClosed(): boolean {
     return this.#response.destroyed;
   }
 
--- a/packages/node/src/callers/completions/chunk_text.ts
+++ b/packages/node/src/callers/completions/chunk_encoder.ts
@@ -29,7 +29,7 @@
       id: common.request,
       object: "chat.completion.chunk",
       created: common.created,
-      model: nameOf(common.adapter),
+      model: formatAdapter(common.adapter),
     });
     this.#chunkStart = `data: ${head.slice(0, -1)},"choices":[`;
     this.#includeUsage = common.includeUsage;
@@ -38,7 +38,7 @@
   }
 
   /** @returns The first event, which carries the role. */
-  role(): string {
+  encodeRole(): string {
     return `${this.#chunkStart}{"index":0,"delta":{"role":"assistant",` +
       `"content":""},"finish_reason":null}]${this.#chunkEnd()}`;
   }
@@ -48,7 +48,7 @@
    * @param text The text.
    * @returns The event.
    */
-  content(text: string): string {
+  encodeContent(text: string): string {
     return this.#contentStart + JSON.stringify(text) + this.#contentEnd;
   }
 
@@ -57,11 +57,11 @@
    * @param end How the generation ended.
    * @returns The events.
    */
-  end(end: GenerationEnd): string {
+  encodeEnd(end: GenerationEnd): string {
     const finish = `${this.#chunkStart}{"index":0,"delta":{},` +
       `"finish_reason":"${end.finishReason}"}]${this.#chunkEnd()}`;
     if (!this.#includeUsage) return finish + DONE_EVENT;
-    const usage = JSON.stringify(usageOf(end));
+    const usage = JSON.stringify(toUsage(end));
     return `${finish}${this.#chunkStart}],"usage":${usage}}\n\n${DONE_EVENT}`;
   }
 
@@ -75,7 +75,7 @@
  * @param end How the generation ended.
  * @returns The counts.
  */
-export function usageOf(end: GenerationEnd) {
+export function toUsage(end: GenerationEnd) {
   return {
     prompt_tokens: end.promptTokens,
     completion_tokens: end.completionTokens,
@@ -89,6 +89,6 @@
  * @param adapter The adapter.
  * @returns `adapter@version`.
  */
-export function nameOf(adapter: AdapterReference): string {
+export function formatAdapter(adapter: AdapterReference): string {
   return `${adapter.adapter}@${adapter.version}`;
 }
--- a/packages/node/src/callers/completions/completion_sink.ts
+++ b/packages/node/src/callers/completions/completion_sink.ts
@@ -9,7 +9,7 @@
 import { err, ok, type Result } from "neverthrow";
 import type { GenerationRequest } from "../../serving/generation_request.ts";
 import { CallerConnection, type CallerLimits } from "./caller_connection.ts";
-import { nameOf } from "./chunk_text.ts";
+import { formatAdapter } from "./chunk_encoder.ts";
 
 /** How a response ended, for the request metric. */
 export type AnswerOutcome = "whole" | "left" | "cut" | Failure["outcome"];
@@ -65,7 +65,7 @@
     if (this.#ended || frame.request !== generation.request) return;
     if (frame.sequence !== this.#sequence) return;
     if (!sameAdapter(frame.adapter, generation.adapter)) {
-      this.#fail("mismatch", `The engine ran ${nameOf(frame.adapter)}.`);
+      this.#fail("mismatch", `The engine ran ${formatAdapter(frame.adapter)}.`);
       return;
     }
     const { tokens } = frame;
@@ -83,12 +83,12 @@
     if (this.#ended) return;
     this.#ended = true;
     this.connection.finish();
-    const whole = result.andThen((end) => this.#checkComplete(end));
+    const checked = result.andThen((end) => this.#checkComplete(end));
     this.options.onOutcome(
-      whole.match(() => "whole", (failure) => failure.outcome),
+      checked.match(() => "whole", (failure) => failure.outcome),
     );
-    if (whole.isOk()) this.writeEnd(whole.value);
-    else this.writeFailure(whole.error);
+    if (checked.isOk()) this.writeEnd(checked.value);
+    else this.writeFailure(checked.error);
   }
 
   protected abstract writeTokens(text: string, tokens: number): void;
--- a/packages/node/src/callers/completions/completions_controller.ts
+++ b/packages/node/src/callers/completions/completions_controller.ts
@@ -19,7 +19,7 @@
 import { resolveGeneration } from "./resolve_generation.ts";
 import { StreamFlusher } from "./stream_flusher.ts";
 import { StreamingCompletionSink } from "./streaming_sink.ts";
-import { BufferedCompletionSink } from "./whole_sink.ts";
+import { BufferedCompletionSink } from "./buffered_sink.ts";
 
 const ROUTE = "completions";
 
--- a/packages/node/src/callers/completions/event_stream_body.ts
+++ b/packages/node/src/callers/completions/event_stream_body.ts
@@ -40,7 +40,7 @@
    * @param text The part, not empty.
    * @returns The encoded part, ready to write.
    */
-  part(text: string): string {
+  encodePart(text: string): string {
     if (!this.#chunked) return text;
     const size = Buffer.byteLength(text).toString(HEXADECIMAL);
     return `${size}\r\n${text}\r\n`;
@@ -52,6 +52,6 @@
    */
   end(text: string): void {
     const last = this.#chunked ? LAST_CHUNK : "";
-    this.#response.end(this.part(text) + last);
+    this.#response.end(this.encodePart(text) + last);
   }
 }
--- a/packages/node/src/callers/completions/streaming_sink.ts
+++ b/packages/node/src/callers/completions/streaming_sink.ts
@@ -1,7 +1,7 @@
 import type { Failure } from "@foxtailwind/core";
 import type { GenerationEnd } from "@foxtailwind/edges";
 import { chatError, sendChatProblem } from "../problem.ts";
-import { ChunkEncoder } from "./chunk_text.ts";
+import { ChunkEncoder } from "./chunk_encoder.ts";
 import {
   CompletionSink,
   type CompletionSinkOptions,
@@ -40,9 +40,9 @@
   /** Writes the tokens buffered since the last write. */
   flush(): void {
     this.#flushScheduled = false;
-    if (this.#pendingTokens === 0 || this.connection.closed) return;
+    if (this.#pendingTokens === 0 || this.connection.isClosed) return;
     this.#lastWriteAt = performance.now();
-    this.connection.write(this.#body.part(this.#takePending()));
+    this.connection.write(this.#body.encodePart(this.#takePending()));
   }
 
   protected override writeTokens(text: string, tokens: number): void {
@@ -59,9 +59,9 @@
   }
 
   protected override writeEnd(end: GenerationEnd): void {
-    const start = this.#start();
+    const start = this.#startIfNeeded();
     const rest = start + this.#takePending();
-    this.#body.end(rest + this.#chunks.end(end));
+    this.#body.end(rest + this.#chunks.encodeEnd(end));
   }
 
   protected override writeFailure(failure: Failure): void {
@@ -77,8 +77,8 @@
 
   #takePending(): string {
     if (this.#pendingTokens === 0) return "";
-    const start = this.#start();
-    const event = this.#chunks.content(this.#pending);
+    const start = this.#startIfNeeded();
+    const event = this.#chunks.encodeContent(this.#pending);
     this.options.onTokens(this.#pendingTokens);
     this.#pending = "";
     this.#pendingTokens = 0;
@@ -86,7 +86,7 @@
   }
 
   /** Sends the header before the first event. */
-  #start(): string {
+  #startIfNeeded(): string {
     if (this.#started) return "";
     this.#started = true;
     const { reply, generation } = this.options;
@@ -98,6 +98,6 @@
       "cache-control": "no-store",
       "x-request-id": generation.request,
     });
-    return this.#chunks.role();
+    return this.#chunks.encodeRole();
   }
 }
--- a/packages/node/src/callers/services_headers.ts
+++ b/packages/node/src/callers/forwarded_headers.ts
@@ -10,12 +10,14 @@
  * @param raw Alternating names and values, as received.
  * @returns The headers, repeated ones as separate entries.
  */
-export function requestHeaders(raw: readonly string[]): readonly Header[] {
+export function forwardedRequestHeaders(
+  raw: readonly string[],
+): readonly Header[] {
   const headers: Header[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
     headers.push({ name: raw[index] ?? "", value: raw[index + 1] ?? "" });
   }
-  const dropped = droppedNames(headers);
+  const dropped = findDroppedNames(headers);
   dropped.add(CONTENT_LENGTH);
   return headers.filter(({ name }) => !dropped.has(name.toLowerCase()));
 }
@@ -26,17 +28,17 @@
  * @param method The request method; a HEAD response keeps its length.
  * @returns The headers to forward.
  */
-export function answerHeaders(
+export function forwardedResponseHeaders(
   headers: readonly Header[],
   method: string,
 ): readonly Header[] {
-  const dropped = droppedNames(headers);
+  const dropped = findDroppedNames(headers);
   dropped.add(LEAVING_HEADER);
   if (method !== "HEAD") dropped.add(CONTENT_LENGTH);
   return headers.filter(({ name }) => !dropped.has(name.toLowerCase()));
 }
 
-function droppedNames(headers: readonly Header[]): Set<string> {
+function findDroppedNames(headers: readonly Header[]): Set<string> {
   const connection = headers.filter(({ name }) =>
     name.toLowerCase() === "connection"
   );
--- a/packages/node/src/callers/http_problem_filter.ts
+++ b/packages/node/src/callers/http_problem_filter.ts
@@ -52,8 +52,8 @@
           : String(exception),
       });
     }
-    const failure = failureOf(status, exception);
-    writeProblem(reply, failure, problemOf(request, { status, failure }));
+    const failure = toFailure(status, exception);
+    writeProblem(reply, failure, buildProblem(request, { status, failure }));
   }
 }
 
@@ -73,7 +73,7 @@
   };
 }
 
-function problemOf(
+function buildProblem(
   request: FastifyRequest,
   { status, failure }: { readonly status: number; readonly failure: Failure },
 ): Problem {
@@ -94,7 +94,7 @@
   return typeof statusCode === "number" ? statusCode : INTERNAL_ERROR;
 }
 
-function failureOf(status: number, exception: unknown): Failure {
+function toFailure(status: number, exception: unknown): Failure {
   if (status >= INTERNAL_ERROR) {
     return {
       reason: "unavailable",
--- a/packages/node/src/callers/header_rules.ts
+++ b/packages/node/src/callers/repeated_headers.ts
@@ -3,7 +3,7 @@
 import { sendProblem } from "./problem.ts";
 
 /** Headers that affect how a request is handled and must not be repeated. */
-const SINGLE_HEADERS: ReadonlySet<string> = new Set([
+const SINGLE_VALUE_HEADERS: ReadonlySet<string> = new Set([
   "content-type",
   "idempotency-key",
   "x-foxtailwind-class",
@@ -41,7 +41,7 @@
   let seen: string[] | undefined;
   for (let index = 0; index < rawHeaders.length; index += 2) {
     const name = (rawHeaders[index] ?? "").toLowerCase();
-    if (!SINGLE_HEADERS.has(name)) continue;
+    if (!SINGLE_VALUE_HEADERS.has(name)) continue;
     if (seen?.includes(name) === true) return name;
     (seen ??= []).push(name);
   }
--- a/packages/node/src/callers/services_plugin.ts
+++ b/packages/node/src/callers/services_plugin.ts
@@ -6,7 +6,10 @@
 import type { DaemonParts } from "../daemon_parts.ts";
 import type { ServiceRequest } from "../delivery/mod.ts";
 import { sendProblem, toProblem } from "./problem.ts";
-import { answerHeaders, requestHeaders } from "./services_headers.ts";
+import {
+  forwardedRequestHeaders,
+  forwardedResponseHeaders,
+} from "./forwarded_headers.ts";
 
 interface HttpExchange {
   readonly request: FastifyRequest;
@@ -74,7 +77,7 @@
   method: string,
 ): void {
   reply.hijack();
-  for (const { name, value } of answerHeaders(headers, method)) {
+  for (const { name, value } of forwardedResponseHeaders(headers, method)) {
     reply.raw.appendHeader(name, value);
   }
   reply.raw.statusCode = status;
@@ -106,7 +109,7 @@
     service: decodeURIComponent(url.slice(0, nameLength)),
     method: request.method,
     path: rest.startsWith("/") ? rest : `/${rest}`,
-    headers: requestHeaders(request.raw.rawHeaders),
+    headers: forwardedRequestHeaders(request.raw.rawHeaders),
     body: request.body instanceof Uint8Array ? request.body : new Uint8Array(),
   };
 }
--- a/packages/node/src/http_application.ts
+++ b/packages/node/src/http_application.ts
@@ -4,7 +4,7 @@
   FastifyAdapter,
   type NestFastifyApplication,
 } from "@nestjs/platform-fastify";
-import { refuseRepeatedHeaders } from "./callers/header_rules.ts";
+import { refuseRepeatedHeaders } from "./callers/repeated_headers.ts";
 import { HttpProblemFilter } from "./callers/http_problem_filter.ts";
 import { CALLER_CONTROLLERS } from "./callers/mod.ts";
 import { servicesPlugin } from "./callers/services_plugin.ts";
@@ -17,8 +17,8 @@
 import { TELEMETRY_CONTROLLERS } from "./telemetry/mod.ts";
 
 /** How long a caller may take to send a complete request. */
-const REQUEST_MILLISECONDS = 30_000;
-const KEEP_ALIVE_MILLISECONDS = 75_000;
+const REQUEST_TIMEOUT_MILLISECONDS = 30_000;
+const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 75_000;
 
 @Module({})
 class HttpModule {}
@@ -60,8 +60,8 @@
 function fastifyOptions({ limits }: Settings) {
   return {
     bodyLimit: limits.body_bytes,
-    requestTimeout: REQUEST_MILLISECONDS,
-    keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
+    requestTimeout: REQUEST_TIMEOUT_MILLISECONDS,
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MILLISECONDS,
     http: { maxHeaderSize: limits.header_bytes },
     clientErrorHandler: answerUnreadable,
     // Handlers that need a request id create it themselves.
--- a/packages/node/src/main.ts
+++ b/packages/node/src/main.ts
@@ -9,10 +9,10 @@
   loadSettings,
 } from "./settings/load_settings.ts";
 
-const EXIT_BAD_SETTINGS = 78;
+const EXIT_INVALID_SETTINGS = 78;
 /** Requests were cut off because the operator's maximum wait had passed. */
 const EXIT_CUT_OFF = 75;
-const LEVELS = { error: 0, warn: 1, info: 3, debug: 4 } as const;
+const CONSOLA_LEVELS = { error: 0, warn: 1, info: 3, debug: 4 } as const;
 
 const options = await yargs(hideBin(process.argv))
   .scriptName("foxtailwind-node")
@@ -34,7 +34,7 @@
   for (const problem of settings.error) {
     process.stderr.write(`${formatSettingsProblem(problem)}\n`);
   }
-  process.exit(EXIT_BAD_SETTINGS);
+  process.exit(EXIT_INVALID_SETTINGS);
 }
 if (options.check) {
   process.stdout.write("The settings are valid.\n");
@@ -42,7 +42,7 @@
 }
 
 const { format, level } = settings.value.logs;
-const loggers = new LoggerFactory(format, LEVELS[level]);
+const loggers = new LoggerFactory(format, CONSOLA_LEVELS[level]);
 const logger = loggers.forPart("daemon");
 const daemon = new Daemon(settings.value, loggers);
 const addresses = await daemon.start();
--- a/packages/node/src/metrics/metrics_sink.ts
+++ b/packages/node/src/metrics/metrics_sink.ts
@@ -23,7 +23,7 @@
 }
 
 /** Discards all metrics; used if the settings name no statsd server. */
-export class SilentMetrics extends MetricsSink {
+export class NoopMetrics extends MetricsSink {
   override count(): void {
     // Discarded: no statsd server is configured.
   }
--- a/packages/node/src/operators/configuration_controller.ts
+++ b/packages/node/src/operators/configuration_controller.ts
@@ -18,7 +18,7 @@
 import { DaemonParts } from "../daemon_parts.ts";
 import { sendOperatorProblem } from "./operator_problem.ts";
 import { readPublishBody } from "./publish_body.ts";
-import { parseWholeNumber } from "./query.ts";
+import { parseWholeNumber } from "./parse_whole_number.ts";
 
 const DEFAULT_HISTORY_LENGTH = 20;
 const MAXIMUM_HISTORY_LENGTH = 1_000;
--- a/packages/node/src/operators/items_controller.ts
+++ b/packages/node/src/operators/items_controller.ts
@@ -7,7 +7,7 @@
 } from "@foxtailwind/core";
 import { Controller, Get, Inject, Query } from "@nestjs/common";
 import { DaemonParts } from "../daemon_parts.ts";
-import { parseWholeNumber } from "./query.ts";
+import { parseWholeNumber } from "./parse_whole_number.ts";
 
 const DEFAULT_PAGE_SIZE = 100;
 const MAXIMUM_PAGE_SIZE = 10_000;
--- a/packages/node/src/platform/vm_directory.ts
+++ b/packages/node/src/platform/vm_directory.ts
@@ -14,7 +14,7 @@
   readonly #logger: PartLogger;
   readonly #listeners: (() => void)[] = [];
   /** VMs that have announced that they are leaving. */
-  readonly #marked = new Set<string>();
+  readonly #leavingIds = new Set<string>();
   #vms: readonly Vm[] = [];
   #timer: NodeJS.Timeout | undefined;
 
@@ -56,14 +56,14 @@
   async refresh(): Promise<void> {
     const list = await this.#client.read();
     if (list.isErr()) {
-      this.#logger.warn("The VM list did not answer.", {
+      this.#logger.warn("Failed to read the VM list.", {
         peer: list.error.peer,
         step: list.error.step,
       });
       return;
     }
-    this.#keepMarks(list.value);
-    this.#show(list.value);
+    this.#removeStaleMarks(list.value);
+    this.#update(list.value);
   }
 
   /**
@@ -72,9 +72,9 @@
    * @param id The VM.
    */
   markLeaving(id: string): void {
-    if (this.#marked.has(id)) return;
-    this.#marked.add(id);
-    this.#show(this.#vms);
+    if (this.#leavingIds.has(id)) return;
+    this.#leavingIds.add(id);
+    this.#update(this.#vms);
   }
 
   /** Stops polling. */
@@ -82,16 +82,16 @@
     clearInterval(this.#timer);
   }
 
-  #keepMarks(listed: readonly Vm[]): void {
-    const shown = new Set(listed.map((vm) => vm.id));
-    for (const id of this.#marked) {
-      if (!shown.has(id)) this.#marked.delete(id);
+  #removeStaleMarks(listed: readonly Vm[]): void {
+    const listedIds = new Set(listed.map((vm) => vm.id));
+    for (const id of this.#leavingIds) {
+      if (!listedIds.has(id)) this.#leavingIds.delete(id);
     }
   }
 
-  #show(vms: readonly Vm[]): void {
+  #update(vms: readonly Vm[]): void {
     this.#vms = vms.map((vm) =>
-      this.#marked.has(vm.id) ? { ...vm, state: "leaving" } : vm
+      this.#leavingIds.has(vm.id) ? { ...vm, state: "leaving" } : vm
     );
     for (const listener of this.#listeners) listener();
   }
--- a/packages/node/src/telemetry/peer_collector.ts
+++ b/packages/node/src/telemetry/peer_collector.ts
@@ -20,7 +20,7 @@
   };
 
 /** The gRPC call arguments other than the request message. */
-export interface PeerExchange<Answer> {
+export interface PeerCallArguments<Answer> {
   readonly metadata: Metadata;
   readonly options: { readonly deadline: number };
   readonly callback: (error: ServiceError | null, answer: Answer) => void;
@@ -29,7 +29,7 @@
 /** Issues one RPC to a peer. */
 export type PeerCall<Answer> = (
   client: telemetry.TelemetryClient,
-  exchange: PeerExchange<Answer>,
+  exchange: PeerCallArguments<Answer>,
 ) => void;
 
 /** Queries all other nodes concurrently, each with its own deadline. */
@@ -58,10 +58,10 @@
   ): Promise<readonly NodeAnswer<Answer>[]> {
     const peers = this.#directory.vms.filter(isEntry)
       .filter((vm) => vm.id !== this.#self);
-    return await Promise.all(peers.map((peer) => this.#ask(peer, call)));
+    return await Promise.all(peers.map((peer) => this.#callPeer(peer, call)));
   }
 
-  #ask<Answer>(
+  #callPeer<Answer>(
     peer: VmOfRole<"entry">,
     call: PeerCall<Answer>,
   ): Promise<NodeAnswer<Answer>> {
@@ -73,7 +73,10 @@
     );
     const deadline = Date.now() + PEER_TIMEOUT_MILLISECONDS;
     return new Promise((resolve) => {
-      const callback: PeerExchange<Answer>["callback"] = (error, answer) => {
+      const callback: PeerCallArguments<Answer>["callback"] = (
+        error,
+        answer,
+      ) => {
         resolve(
           error === null
             ? { node: peer.id, answered: true, answer }
--- a/packages/node/tests/callers/addresses_test.ts
+++ b/packages/node/tests/callers/addresses_test.ts
@@ -14,37 +14,37 @@
   readonly key_scope?: string;
 }
 
-async function ask(url: string, query = ""): Promise<AddressesBody> {
+async function fetchAddresses(url: string, query = ""): Promise<AddressesBody> {
   const answer = await fetch(`${url}/v1/addresses${query}`);
   return await answer.json() as AddressesBody;
 }
 
 /**
- * Asks until an answer names so many nodes: those that have just started are
- * named once the cluster's view has them.
+ * Polls until an answer lists the given number of nodes: a node that has just
+ * started is listed once it is in the cluster's membership view.
  */
-async function askUntilNamed(
+async function fetchUntilListed(
   url: string,
-  asked: {
+  options: {
     readonly count: number;
     readonly query?: string;
     readonly onAnswer?: (body: AddressesBody) => void;
   },
 ): Promise<AddressesBody> {
   for (;;) {
-    const body = await ask(url, asked.query);
-    asked.onAnswer?.(body);
-    if (body.addresses.length === asked.count) return body;
+    const body = await fetchAddresses(url, options.query);
+    options.onAnswer?.(body);
+    if (body.addresses.length === options.count) return body;
     await sleep(POLL_MILLISECONDS);
   }
 }
 
-test("an answer names nodes, and for how long", async (t) => {
+test("an answer lists the nodes and its lifetime", async (t) => {
   const { urls } = await startDeployment(t, {
     nodes: 3,
     addressLifetimeSeconds: 0.2,
   });
-  const body = await askUntilNamed(urls[0] ?? "", {
+  const body = await fetchUntilListed(urls[0] ?? "", {
     count: 3,
     query: "?failure_domain=domain-1",
   });
@@ -56,15 +56,15 @@
   t.not(body.key_scope, undefined);
 });
 
-test("a node that the list shows as leaving is not named", async (t) => {
+test("a node that is leaving in the VM list is not listed", async (t) => {
   const { urls, daemons, vmList, refresh } = await startDeployment(t, {
     nodes: 3,
   });
-  await askUntilNamed(urls[0] ?? "", { count: 3 });
+  await fetchUntilListed(urls[0] ?? "", { count: 3 });
   const vm = daemons[0]?.directory.vms.find(({ id }) => id === "node-2");
   if (vm !== undefined) vmList.setVm({ ...vm, state: "leaving" });
   await refresh();
-  const { addresses } = await askUntilNamed(urls[0] ?? "", {
+  const { addresses } = await fetchUntilListed(urls[0] ?? "", {
     count: 2,
     onAnswer(body) {
       t.false(body.addresses.some(({ node }) => node === "node-2"));
@@ -73,14 +73,14 @@
   t.deepEqual(addresses.map(({ node }) => node).sort(), ["node-1", "node-3"]);
 });
 
-test("the node that controls an adapter's engine is named first", async (t) => {
+test("the node that controls an adapter's engine is listed first", async (t) => {
   const deployment = await startDeployment(t, { nodes: 3, engine: {} });
   await publishAdapter(deployment);
   const [url = ""] = deployment.urls;
   await (await streamCompletion(url, 1)).text();
-  const first = (await ask(url, "?adapter=adapter-1")).addresses[0];
+  const first = (await fetchAddresses(url, "?adapter=adapter-1")).addresses[0];
   for (let turn = 0; turn < 5; turn += 1) {
-    const again = await ask(url, "?adapter=adapter-1@v1");
+    const again = await fetchAddresses(url, "?adapter=adapter-1@v1");
     t.is(again.addresses[0]?.node, first?.node);
   }
   const stream = await streamCompletion(first?.url ?? "", 2);
--- a/packages/node/tests/callers/callers_page_test.ts
+++ b/packages/node/tests/callers/callers_page_test.ts
@@ -10,7 +10,7 @@
 const BLOCK = /```console\n\$ (curl .*)\n([\s\S]*?)```/g;
 const WORD = /'[^']*'|"[^"]*"|\S+/g;
 
-test("the examples of docs/CALLERS.md answer as they say", async (t) => {
+test("the examples of docs/CALLERS.md return the documented output", async (t) => {
   const page = readFileSync("docs/CALLERS.md", "utf8");
   const examples = [...page.matchAll(BLOCK)].map(([, command, output]) => ({
     command: command ?? "",
@@ -29,24 +29,28 @@
     current: "v1",
   }]);
   for (const example of examples) {
-    const answer = await run(example, cluster.url());
-    t.is(steady(answer), steady(example.output), example.command);
+    const answer = await runCurl(example, cluster.url());
+    t.is(
+      normalizeOutput(answer),
+      normalizeOutput(example.output),
+      example.command,
+    );
   }
 });
 
-/** Does what curl does for the few options that the page uses. */
-async function run(example: Example, node: string): Promise<string> {
+/** Emulates curl for the few options that the page uses. */
+async function runCurl(example: Example, node: string): Promise<string> {
   const words = example.command.replace("$NODE", node).match(WORD) ?? [];
   const headers = new Headers();
   let url = "";
   let body: string | undefined;
-  for (let place = 1; place < words.length; place += 1) {
-    const word = unquote(words[place] ?? "");
+  for (let index = 1; index < words.length; index += 1) {
+    const word = unquote(words[index] ?? "");
     if (word === "-H") {
-      const [name = "", value = ""] = unquote(words[++place] ?? "").split(": ");
+      const [name = "", value = ""] = unquote(words[++index] ?? "").split(": ");
       headers.set(name, value);
     } else if (word === "-d") {
-      body = unquote(words[++place] ?? "");
+      body = unquote(words[++index] ?? "");
     } else if (!word.startsWith("-")) {
       url = word;
     }
@@ -60,8 +64,8 @@
   return word.replace(/^(['"])(.*)\1$/, "$2");
 }
 
-/** Leaves out what differs from run to run. */
-function steady(text: string): string {
+/** Replaces values that differ between runs. */
+function normalizeOutput(text: string): string {
   return text.trim()
     .replaceAll(UUID, "(id)")
     .replaceAll(/"expires_in_seconds":[\d.]+/g, '"expires_in_seconds":0')
--- a/packages/node/tests/callers/completions/caller_connection_test.ts
+++ b/packages/node/tests/callers/completions/caller_connection_test.ts
@@ -6,9 +6,9 @@
 const LIMITS = { unreadMilliseconds: 60_000, unreadBytes: 1_000 };
 const BUFFER_BYTES = 10;
 
-/** A caller that reads only when told to, and what was done about it. */
-function slowCaller(limits = LIMITS) {
-  const done: string[] = [];
+/** A caller that reads only on demand, and the recorded reactions. */
+function createSlowCaller(limits = LIMITS) {
+  const events: string[] = [];
   let read: () => void = () => undefined;
   const response = new Writable({
     highWaterMark: BUFFER_BYTES,
@@ -18,28 +18,28 @@
   });
   const connection = new CallerConnection(
     response as unknown as ServerResponse,
-    { limits, onLost: (why) => done.push(why) },
+    { limits, onLost: (why) => events.push(why) },
   );
   connection.attach({
-    pause: () => done.push("pause"),
-    unpause: () => done.push("unpause"),
-    cancel: () => done.push("cancel"),
+    pause: () => events.push("pause"),
+    unpause: () => events.push("unpause"),
+    cancel: () => events.push("cancel"),
   });
   return {
     connection,
     response,
-    done,
+    done: events,
     read: () => {
       read();
     },
   };
 }
 
-const closed = (response: Writable) =>
+const waitForClose = (response: Writable) =>
   new Promise((resolve) => response.once("close", resolve));
 
-test("the engine is held back until the caller has read", async (t) => {
-  const { connection, response, done, read } = slowCaller();
+test("the engine is paused until the caller has read", async (t) => {
+  const { connection, response, done, read } = createSlowCaller();
   connection.write("x".repeat(BUFFER_BYTES));
   connection.write("y");
   t.deepEqual(done, ["pause"]);
@@ -52,28 +52,28 @@
   connection.finish();
 });
 
-test("a caller that reads nothing for too long is cut and cancelled", async (t) => {
-  const { connection, response, done } = slowCaller({
+test("a caller that reads nothing for too long is disconnected and cancelled", async (t) => {
+  const { connection, response, done } = createSlowCaller({
     ...LIMITS,
     unreadMilliseconds: 1,
   });
   connection.write("x".repeat(BUFFER_BYTES));
-  await closed(response);
+  await waitForClose(response);
   t.deepEqual(done, ["pause", "cut", "cancel"]);
 });
 
-test("a caller for whom too much waits is cut at once", async (t) => {
-  const { connection, response, done } = slowCaller();
+test("a caller with too much unread output is disconnected at once", async (t) => {
+  const { connection, response, done } = createSlowCaller();
   connection.write("x".repeat(LIMITS.unreadBytes + 1));
-  await closed(response);
+  await waitForClose(response);
   t.deepEqual(done, ["cut", "cancel"]);
 });
 
-test("a finished answer is neither cut nor cancelled", async (t) => {
-  const { connection, response, done } = slowCaller();
+test("a finished response is neither disconnected nor cancelled", async (t) => {
+  const { connection, response, done } = createSlowCaller();
   connection.write("x".repeat(BUFFER_BYTES));
   connection.finish();
   response.destroy();
-  await closed(response);
+  await waitForClose(response);
   t.deepEqual(done, ["pause"]);
 });
--- a/packages/node/tests/callers/completions/callers_lost_test.ts
+++ b/packages/node/tests/callers/completions/callers_lost_test.ts
@@ -2,9 +2,9 @@
 import { askForCompletion, startCallerCluster } from "../../helpers/caller.ts";
 import { type TestCluster, until } from "../../helpers/test_cluster.ts";
 
-const LONG = 30_000;
+const LONG_ANSWER_TOKENS = 30_000;
 
-function cancelled(cluster: TestCluster): number {
+function countCancelled(cluster: TestCluster): number {
   return cluster.engines.reduce(
     (sum, engine) => sum + engine.readCounters().generationsCancelled,
     0,
@@ -13,33 +13,33 @@
 
 for (const stream of [true, false]) {
   const kind = stream ? "streamed" : "whole";
-  test(`a caller that leaves a ${kind} answer cancels it at the engine`, async (t) => {
+  test(`a caller that disconnects from a ${kind} answer cancels it at the engine`, async (t) => {
     const cluster = await startCallerCluster(t, { nodes: 2 });
     for (const node of cluster.nodes) {
-      const before = cancelled(cluster);
+      const before = countCancelled(cluster);
       const leave = new AbortController();
       const asked = askForCompletion(node.url, {
-        fields: { stream, max_tokens: LONG },
+        fields: { stream, max_tokens: LONG_ANSWER_TOKENS },
         signal: leave.signal,
       }).catch(() => undefined);
       if (stream) await (await asked)?.body?.getReader().read();
-      else await until(() => generating(cluster));
+      else await until(() => isGenerating(cluster));
       leave.abort();
       await asked;
-      await until(() => cancelled(cluster) > before);
+      await until(() => countCancelled(cluster) > before);
     }
     t.is((await askForCompletion(cluster.url())).status, 200);
   });
 }
 
-async function generating(cluster: TestCluster): Promise<boolean> {
+async function isGenerating(cluster: TestCluster): Promise<boolean> {
   const [engine] = cluster.engines;
   const answer = await fetch(`${engine?.address ?? ""}/v1/state`);
   const state = await answer.json() as { readonly running: unknown[] };
   return state.running.length > 0;
 }
 
-test("a caller that reads late gets the whole answer", async (t) => {
+test("a caller that reads late gets the complete answer", async (t) => {
   const cluster = await startCallerCluster(t, {
     engineSettings: ["step_base_milliseconds=0", "tokens_per_frame=64"],
   });
@@ -53,7 +53,7 @@
   t.true(text.endsWith("data: [DONE]\n\n"));
 });
 
-test("an answer beyond the limit ends as an error, not as if whole", async (t) => {
+test("an answer above the size limit ends with an error event", async (t) => {
   const cluster = await startCallerCluster(t, {
     settings: { limits: { answer_bytes: "1024" } },
   });
@@ -64,5 +64,5 @@
   t.false(text.includes("[DONE]"));
   const last = text.trimEnd().split("\n\n").at(-1) ?? "";
   t.regex(last, /^event: error\ndata: \{"error":\{"message":"The answer/);
-  await until(() => cancelled(cluster) > 0);
+  await until(() => countCancelled(cluster) > 0);
 });
--- a/packages/node/tests/callers/completions/chat_client_test.ts
+++ b/packages/node/tests/callers/completions/chat_client_test.ts
@@ -17,7 +17,7 @@
   });
 }
 
-test("an ordinary chat client gets a whole answer of the current version", async (t) => {
+test("the OpenAI client gets a complete answer of the current version", async (t) => {
   const client = await startClient(t);
   const answer = await client.chat.completions.create({
     model: "stain-notes",
@@ -33,7 +33,7 @@
   t.is(answer.usage?.completion_tokens, 3);
 });
 
-test("an ordinary chat client gets a stream of the version it names", async (t) => {
+test("the OpenAI client gets a stream of the requested version", async (t) => {
   const client = await startClient(t);
   const stream = await client.chat.completions.create({
     model: "stain-notes@v1",
@@ -60,7 +60,7 @@
   t.is(usage?.completion_tokens, 40);
 });
 
-test("an ordinary chat client sees a typed error with its outcome", async (t) => {
+test("the OpenAI client gets a typed error with its outcome", async (t) => {
   const client = await startClient(t);
   const error = await t.throwsAsync(
     client.chat.completions.create({
@@ -73,7 +73,7 @@
   t.regex(error.message, /Adapter "no-such-adapter" is not configured/);
 });
 
-test("an ordinary chat client lists the adapters", async (t) => {
+test("the OpenAI client lists the adapters", async (t) => {
   const client = await startClient(t);
   const names: string[] = [];
   for await (const model of client.models.list()) names.push(model.id);
--- a/packages/node/tests/callers/completions/event_stream_body_test.ts
+++ b/packages/node/tests/callers/completions/event_stream_body_test.ts
@@ -6,18 +6,18 @@
 
 const PARTS = ["one ", "zwölf ", "漢字 🦊 "];
 const LAST = "last";
-const WHOLE = PARTS.join("") + LAST;
+const FULL_BODY = PARTS.join("") + LAST;
 
-function answer(response: ServerResponse): void {
+function respond(response: ServerResponse): void {
   const body = new EventStreamBody(response);
   body.start({ "content-type": "text/event-stream" });
-  for (const part of PARTS) response.write(body.part(part));
+  for (const part of PARTS) response.write(body.encodePart(part));
   body.end(LAST);
 }
 
 async function listen(t: ExecutionContext): Promise<number> {
   const server = createServer((_request, response) => {
-    answer(response);
+    respond(response);
   });
   server.listen(0, "127.0.0.1");
   await once(server, "listening");
@@ -28,7 +28,7 @@
   return (server.address() as AddressInfo).port;
 }
 
-async function exchange(port: number, request: string): Promise<string> {
+async function sendRaw(port: number, request: string): Promise<string> {
   const socket = connect(port, "127.0.0.1");
   socket.write(request);
   const pieces: Buffer[] = [];
@@ -36,21 +36,21 @@
   return Buffer.concat(pieces).toString();
 }
 
-function chunked(text: string): string {
+function encodeChunk(text: string): string {
   return `${Buffer.byteLength(text).toString(16)}\r\n${text}\r\n`;
 }
 
-test("parts and end are chunks, and the connection goes on", async (t) => {
+test("parts and end are chunked, and the connection is kept alive", async (t) => {
   const port = await listen(t);
   const fields = "host: node\r\n";
-  const text = await exchange(
+  const text = await sendRaw(
     port,
     `GET / HTTP/1.1\r\n${fields}\r\n` +
       `GET / HTTP/1.1\r\n${fields}connection: close\r\n\r\n`,
   );
   const answers = text.split("HTTP/1.1 200 OK\r\n").slice(1);
   t.is(answers.length, 2);
-  const body = `${[...PARTS, LAST].map(chunked).join("")}0\r\n\r\n`;
+  const body = `${[...PARTS, LAST].map(encodeChunk).join("")}0\r\n\r\n`;
   for (const one of answers) {
     const [head = "", ...rest] = one.split("\r\n\r\n");
     t.regex(head, /^transfer-encoding: chunked$/m);
@@ -58,17 +58,17 @@
   }
 });
 
-test("a chunked answer is read whole by an ordinary client", async (t) => {
+test("a standard client reads the complete chunked response", async (t) => {
   const port = await listen(t);
   const response = await fetch(`http://127.0.0.1:${port}/`);
   t.is(response.headers.get("content-type"), "text/event-stream");
-  t.is(await response.text(), WHOLE);
+  t.is(await response.text(), FULL_BODY);
 });
 
-test("an HTTP/1.0 caller gets the parts bare", async (t) => {
+test("an HTTP/1.0 caller gets the parts unchunked", async (t) => {
   const port = await listen(t);
-  const text = await exchange(port, "GET / HTTP/1.0\r\n\r\n");
+  const text = await sendRaw(port, "GET / HTTP/1.0\r\n\r\n");
   const [head = "", body] = text.split("\r\n\r\n");
   t.notRegex(head, /transfer-encoding/i);
-  t.is(body, WHOLE);
+  t.is(body, FULL_BODY);
 });
--- a/packages/node/tests/callers/completions/refusals_test.ts
+++ b/packages/node/tests/callers/completions/refusals_test.ts
@@ -7,7 +7,7 @@
   startCallerCluster,
 } from "../../helpers/caller.ts";
 
-const REFUSED: Readonly<Record<string, CallerRequest>> = {
+const INVALID_REQUESTS: Readonly<Record<string, CallerRequest>> = {
   "malformed JSON": { text: "{" },
   "an empty body": { text: "" },
   "a list for a body": { text: "[]" },
@@ -30,9 +30,9 @@
   "too large a body": { text: `"${"x".repeat(5 * 1_024 * 1_024)}"` },
 };
 
-test("each bad request gets a problem, and the node serves on", async (t) => {
+test("invalid requests return problem details and the node keeps serving", async (t) => {
   const cluster = await startCallerCluster(t);
-  for (const [name, request] of Object.entries(REFUSED)) {
+  for (const [name, request] of Object.entries(INVALID_REQUESTS)) {
     const answer = await askForCompletion(cluster.url(), request);
     t.snapshot(await describeAnswer(answer), name);
   }
@@ -40,7 +40,7 @@
   t.is(answer.status, 200);
 });
 
-test("routes and methods that are not there get a problem", async (t) => {
+test("unknown routes and methods return problem details", async (t) => {
   const cluster = await startCallerCluster(t, { engines: 0 });
   const path = await fetch(`${cluster.url()}/v1/none`);
   t.snapshot(await describeAnswer(path), "path");
@@ -48,7 +48,7 @@
   t.snapshot(await describeAnswer(method), "method");
 });
 
-test("fields for sampling are ignored, and the answer names them", async (t) => {
+test("sampling fields are ignored and listed in a response header", async (t) => {
   const cluster = await startCallerCluster(t);
   for (const stream of [false, true]) {
     const answer = await askForCompletion(cluster.url(), {
@@ -60,7 +60,7 @@
   }
 });
 
-test("what is not HTTP, or not clear, gets a problem", async (t) => {
+test("malformed HTTP and ambiguous headers return problem details", async (t) => {
   const cluster = await startCallerCluster(t, { engines: 0 });
   const sent = {
     "no HTTP": "HELLO\r\n\r\n",
@@ -74,14 +74,14 @@
       "content-length: 1\r\ncontent-length: 2\r\n\r\nab",
   };
   for (const [name, text] of Object.entries(sent)) {
-    const answer = await exchange(cluster.url(), text);
+    const answer = await sendRaw(cluster.url(), text);
     t.snapshot(answer, name);
   }
   t.is((await fetch(`${cluster.url()}/healthz`)).status, 200);
 });
 
-/** Sends raw bytes and gives the status line, type and body of the answer. */
-async function exchange(url: string, text: string): Promise<object> {
+/** Sends raw bytes; returns status line, type and body of the response. */
+async function sendRaw(url: string, text: string): Promise<object> {
   const { hostname, port } = new URL(url);
   const socket = connect(Number(port), hostname);
   socket.write(text);
--- a/packages/node/tests/callers/completions/wrong_answers_test.ts
+++ b/packages/node/tests/callers/completions/wrong_answers_test.ts
@@ -5,7 +5,7 @@
   startCallerCluster,
 } from "../../helpers/caller.ts";
 
-test("an engine that runs another adapter is never passed on", async (t) => {
+test("an answer from the wrong adapter is never forwarded", async (t) => {
   const cluster = await startCallerCluster(t);
   for (const stream of [true, false]) {
     cluster.engines[0]?.setFaults({ wrongAdapterNextGenerations: 1 });
@@ -19,7 +19,7 @@
   }
 });
 
-test("a stream that breaks off ends with a typed error", async (t) => {
+test("an interrupted stream ends with a typed error", async (t) => {
   const cluster = await startCallerCluster(t);
   cluster.engines[0]?.setFaults({
     dropNextStreams: 100,
--- a/packages/node/tests/callers/health_test.ts
+++ b/packages/node/tests/callers/health_test.ts
@@ -8,9 +8,9 @@
 import test from "ava";
 import { startTestCluster, until } from "../helpers/test_cluster.ts";
 
-const SILENT = -999;
+const LOG_LEVEL_SILENT = -999;
 
-test("a node is ready once it knows the VMs and the configuration", async (t) => {
+test("a node is ready once it has the VM list and the configuration", async (t) => {
   const cluster = await startTestCluster({
     nodes: 1,
     engines: 0,
@@ -23,7 +23,7 @@
   t.deepEqual(await (await fetch(ready)).json(), { status: "ready" });
 });
 
-test("a node that cannot learn the configuration is not ready", async (t) => {
+test("a node that cannot read the configuration is not ready", async (t) => {
   const log = new FakeLogService();
   const vmList = new FakeVmList();
   const store = new FakeWeightStore();
@@ -47,7 +47,10 @@
     role: { kind: "engine", model: modelId("base"), checksFencing: true },
     state: "leaving",
   });
-  const daemon = new Daemon(settings, new LoggerFactory("human", SILENT));
+  const daemon = new Daemon(
+    settings,
+    new LoggerFactory("human", LOG_LEVEL_SILENT),
+  );
   const { http } = await daemon.start();
   t.teardown(async () => {
     await daemon.stop();
--- a/packages/node/tests/callers/models_test.ts
+++ b/packages/node/tests/callers/models_test.ts
@@ -1,13 +1,13 @@
 import test from "ava";
 import { describeAnswer, startCallerCluster } from "../helpers/caller.ts";
 
-interface Page {
+interface ModelPage {
   readonly data: readonly { readonly id: string }[];
   readonly last_id: string | null;
   readonly has_more: boolean;
 }
 
-test("pages of adapters hold each once, in the order of their names", async (t) => {
+test("pages list each adapter once, sorted by name", async (t) => {
   const cluster = await startCallerCluster(t, { engines: 0 });
   const names: string[] = [];
   let after = "";
@@ -15,7 +15,7 @@
     const answer = await fetch(
       `${cluster.url()}/v1/models?limit=7&after=${after}`,
     );
-    const page = await answer.json() as Page;
+    const page = await answer.json() as ModelPage;
     names.push(...page.data.map(({ id }) => id));
     after = page.last_id ?? "";
     if (!page.has_more) break;
@@ -25,7 +25,7 @@
   t.true(names.includes("job-sheets"));
 });
 
-test("a wrong page and an unknown adapter get a problem", async (t) => {
+test("an invalid limit and an unknown adapter return problem details", async (t) => {
   const cluster = await startCallerCluster(t, { engines: 0 });
   for (const path of ["?limit=0", "?limit=1001", "/none"]) {
     const answer = await fetch(`${cluster.url()}/v1/models${path}`);
--- a/packages/node/tests/callers/openapi/openapi_document_test.ts
+++ b/packages/node/tests/callers/openapi/openapi_document_test.ts
@@ -3,13 +3,13 @@
 import { readFileSync } from "node:fs";
 import { CALLER_CONTROLLERS, OPENAPI_DOCUMENT } from "@foxtailwind/node";
 
-/** Routes of a plugin, which carries no route descriptions. */
+/** Routes of a plugin, which have no Nest route metadata. */
 const PLUGIN_PATHS = [
   "/v1/services/{service}",
   "/v1/services/{service}/{path}",
 ];
 
-function routesOf(controller: Type): readonly string[] {
+function listRoutes(controller: Type): readonly string[] {
   const base = Reflect.getMetadata("path", controller) as string;
   const prototype = controller.prototype as Record<string, object>;
   return Object.getOwnPropertyNames(prototype).flatMap((name) => {
@@ -23,17 +23,17 @@
   });
 }
 
-test("the document describes each route of the callers, and no other", (t) => {
+test("the document describes exactly the routes of the caller API", (t) => {
   const described = Object.entries(OPENAPI_DOCUMENT.paths)
     .filter(([path]) => !PLUGIN_PATHS.includes(path))
     .flatMap(([path, item]) =>
       Object.keys(item).map((method) => `${method} ${path}`)
     );
-  const served = CALLER_CONTROLLERS.flatMap(routesOf);
+  const served = CALLER_CONTROLLERS.flatMap(listRoutes);
   t.deepEqual(described.sort(), [...served].sort());
 });
 
-test("the committed document is the one that is served", (t) => {
+test("the committed document equals the served one", (t) => {
   const file = readFileSync("docs/openapi/callers.json", "utf8");
   t.deepEqual(
     JSON.parse(file),
--- a/packages/node/tests/callers/services_plugin_test.ts
+++ b/packages/node/tests/callers/services_plugin_test.ts
@@ -1,11 +1,11 @@
 import test from "ava";
 import { startDeployment, until } from "../helpers/deployment.ts";
-import { startEcho } from "../helpers/echo_server.ts";
+import { startEchoDeployment } from "../helpers/echo_server.ts";
 
 const NOT_REPEATABLE = { "x-foxtailwind-not-repeatable": "true" };
 
-test("a body of any type passes byte for byte, also one that is not JSON", async (t) => {
-  const { urls, echo } = await startEcho(t);
+test("a body of any type, also invalid JSON, is forwarded byte for byte", async (t) => {
+  const { urls, echo } = await startEchoDeployment(t);
   for (const type of ["application/json", "image/png", "text/plain"]) {
     const body = new Uint8Array([0x7b, 0x20, 0xff, 0x00, 0x0a, 0x7b]);
     const answer = await fetch(`${urls[0]}/v1/services/booking/a/b?c=d/e`, {
@@ -23,8 +23,8 @@
   }
 });
 
-test("hop-by-hop headers do not pass, in either direction", async (t) => {
-  const { urls, echo } = await startEcho(t);
+test("hop-by-hop headers are not forwarded in either direction", async (t) => {
+  const { urls, echo } = await startEchoDeployment(t);
   const answer = await fetch(`${urls[0]}/v1/services/booking`, {
     headers: { te: "trailers", "proxy-authorization": "secret" },
   });
@@ -37,8 +37,8 @@
   t.is(answer.headers.get("foxtailwind-leaving"), null);
 });
 
-test("JSON for other routes is still parsed beside the raw bodies", async (t) => {
-  const { urls } = await startEcho(t);
+test("JSON bodies of other routes are still parsed", async (t) => {
+  const { urls } = await startEchoDeployment(t);
   const answer = await fetch(`${urls[0]}/v1/operators/configuration`, {
     method: "POST",
     headers: { "content-type": "application/json" },
@@ -49,8 +49,8 @@
   t.is(answer.status, 200);
 });
 
-test("a body above the limit is refused as not run", async (t) => {
-  const { urls, echo } = await startEcho(t);
+test("a body above the limit is refused with outcome not_run", async (t) => {
+  const { urls, echo } = await startEchoDeployment(t);
   const answer = await fetch(`${urls[0]}/v1/services/booking`, {
     method: "POST",
     body: new Uint8Array(9 * 1_024 * 1_024),
@@ -60,7 +60,7 @@
   t.is(echo.requests.length, 0);
 });
 
-test("a not repeatable call whose answer is lost is unknown and ran once", async (t) => {
+test("a non-repeatable call with a lost answer is unknown and ran once", async (t) => {
   const { urls, servers } = await startDeployment(t, { servers: [{}, {}] });
   for (const server of servers) server.setFaults({ loseNextAnswers: 1 });
   const answer = await fetch(`${urls[0]}/v1/services/booking/sweep`, {
@@ -73,7 +73,7 @@
   t.is(runs.reduce((sum, one) => sum + one, 0), 1);
 });
 
-test("a not repeatable call that is stated as not run goes elsewhere", async (t) => {
+test("a non-repeatable call reported as not run is sent to another server", async (t) => {
   const { urls, servers } = await startDeployment(t, { servers: [{}, {}] });
   servers[0]?.setFaults({ refuseNextCalls: 1_000 });
   for (let call = 0; call < 10; call += 1) {
@@ -88,7 +88,7 @@
   t.is(servers[1]?.readCounters().runs, 10);
 });
 
-test("a repeatable call whose answer is lost is answered by another server", async (t) => {
+test("a repeatable call with a lost answer is answered by another server", async (t) => {
   const { urls, servers } = await startDeployment(t, { servers: [{}, {}] });
   for (const server of servers) server.setFaults({ loseNextAnswers: 1 });
   for (let call = 0; call < 4; call += 1) {
@@ -98,7 +98,7 @@
   }
 });
 
-test("a server that says it is leaving gets no further call", async (t) => {
+test("a server that announces that it is leaving gets no further calls", async (t) => {
   const { urls, servers } = await startDeployment(t, { servers: [{}, {}] });
   servers[0]?.setFaults({ leaving: true });
   for (let call = 0; call < 30; call += 1) {
@@ -109,7 +109,7 @@
   t.true((servers[0]?.readCounters().callsWhileLeaving ?? 99) <= 1);
 });
 
-test("a server that the list shows as leaving gets no further call", async (t) => {
+test("a server that is leaving in the VM list gets no further calls", async (t) => {
   const { urls, servers, daemons, vmList, refresh } = await startDeployment(t, {
     servers: [{}, {}],
   });
@@ -123,7 +123,7 @@
   t.is(servers[1]?.readCounters().calls, 20);
 });
 
-test("a caller that leaves ends a repeatable call", async (t) => {
+test("a caller that disconnects ends a repeatable call", async (t) => {
   const { urls, servers, daemons } = await startDeployment(t, {
     servers: [{}],
   });
@@ -139,14 +139,14 @@
   t.pass();
 });
 
-test("a service without servers is refused as not run, with a hint", async (t) => {
+test("a call to a service without servers is refused with outcome not_run", async (t) => {
   const { urls } = await startDeployment(t, {});
   const unknown = await fetch(`${urls[0]}/v1/services/booking/slots`);
   t.is(unknown.status, 404);
   t.like(await unknown.json(), { outcome: "not_run" });
 });
 
-test("a configured target bounds a call that hangs", async (t) => {
+test("a call that hangs times out at the configured target", async (t) => {
   const { urls, daemons, servers } = await startDeployment(t, {
     servers: [{}],
   });
--- a/packages/node/tests/helpers/caller.ts
+++ b/packages/node/tests/helpers/caller.ts
@@ -2,10 +2,10 @@
 import {
   startTestCluster,
   type TestCluster,
-  type TestClusterSize,
+  type TestClusterOptions,
 } from "./test_cluster.ts";
 
-/** The class and the adapters that {@link startCallerCluster} publishes. */
+/** The class and adapters that {@link startCallerCluster} publishes. */
 export const CALLER_CHANGES = [
   {
     kind: "set_class",
@@ -29,14 +29,14 @@
 ] as const;
 
 /**
- * Starts a cluster with a class and two adapters, closed after its test.
+ * Starts a cluster with a class and two adapters; closed after the test.
  * @param t The test.
- * @param size What differs from one node and one engine.
+ * @param size Options that override one node and one engine.
  * @returns The cluster.
  */
 export async function startCallerCluster(
   t: ExecutionContext,
-  size: Partial<TestClusterSize> = {},
+  size: Partial<TestClusterOptions> = {},
 ): Promise<TestCluster> {
   const cluster = await startTestCluster({ nodes: 1, engines: 1, ...size });
   t.teardown(() => cluster.close());
@@ -44,20 +44,20 @@
   return cluster;
 }
 
-/** A request of a caller: what differs from an ordinary one. */
+/** Overrides of the default completion request. */
 export interface CallerRequest {
   readonly headers?: Readonly<Record<string, string>>;
-  /** Fields of the body that are added or replaced. */
+  /** Body fields to add or replace. */
   readonly fields?: Readonly<Record<string, unknown>>;
-  /** The body as it is, in place of the ordinary one. */
+  /** The raw body, which replaces the default one. */
   readonly text?: string;
   readonly signal?: AbortSignal;
 }
 
 /**
- * Asks a node for a completion.
+ * Requests a completion from a node.
  * @param url The node's address.
- * @param request What differs from an ordinary request.
+ * @param request Overrides of the default request.
  * @returns The answer.
  */
 export async function askForCompletion(
@@ -82,9 +82,9 @@
 }
 
 /**
- * Gives an answer in a form that is the same in each run, for snapshots.
- * @param answer The answer.
- * @returns Status, type, hint and body, without ids.
+ * Converts a response to a form that is stable between runs, for snapshots.
+ * @param answer The response.
+ * @returns Status, content type, Retry-After and body, without ids.
  */
 export async function describeAnswer(answer: Response): Promise<object> {
   const text = (await answer.text()).replaceAll(UUID, "(id)");
@@ -93,12 +93,12 @@
     status: answer.status,
     contentType: answer.headers.get("content-type"),
     ...(hint !== null && { retryAfter: hint }),
-    body: withoutRepetition(JSON.parse(text) as object),
+    body: withoutRepeatedMembers(JSON.parse(text) as object),
   };
 }
 
-/** Leaves out of `error` what the problem around it says with equal words. */
-function withoutRepetition(body: object): object {
+/** Omits members of `error` that equal those of the enclosing problem. */
+function withoutRepeatedMembers(body: object): object {
   if (!("error" in body) || typeof body.error !== "object") return body;
   const own = Object.entries(body.error ?? {}).filter(([name, value]) =>
     Reflect.get(body, name) !== value
@@ -106,5 +106,5 @@
   return { ...body, error: Object.fromEntries(own) };
 }
 
-/** A request's id. */
+/** Matches a request's id. */
 export const UUID = /[0-9a-f]{8}(?:-[0-9a-f]{4}){3}-[0-9a-f]{12}/g;
--- a/packages/node/tests/helpers/cluster.ts
+++ b/packages/node/tests/helpers/cluster.ts
@@ -26,16 +26,16 @@
 } from "@foxtailwind/node";
 import { vmOf } from "./deployment.ts";
 
-const SILENT = -999;
+const LOG_LEVEL_SILENT = -999;
 
-/** The engine that the nodes of a test share. */
+/** The engine shared by the nodes of a test. */
 export const ENGINE = engineId("engine-1");
 
-/** A clock that a test can move forward, as a pause of the process does. */
-export class MovableClock extends SteadyClock {
+/** A clock that a test can advance, to simulate a pause of the process. */
+export class AdvanceableClock extends SteadyClock {
   #skipped = 0;
 
-  /** @param milliseconds How far to move the clock. */
+  /** @param milliseconds How far to advance the clock. */
   skip(milliseconds: number): void {
     this.#skipped += milliseconds;
   }
@@ -45,16 +45,16 @@
   }
 }
 
-/** A node of a test. */
+/** A cluster node under test. */
 export interface TestNode {
   readonly id: string;
   readonly cluster: ClusterNode;
-  readonly clock: MovableClock;
-  /** Ends the node without a word to the others. */
+  readonly clock: AdvanceableClock;
+  /** Stops the node without notifying the others. */
   readonly kill: () => Promise<void>;
 }
 
-/** The nodes of a test, and the stand-ins that they share. */
+/** The nodes of a test and the log stand-in that they share. */
 export interface TestCluster {
   readonly log: FakeLogService;
   readonly nodes: readonly TestNode[];
@@ -63,7 +63,7 @@
 /**
  * Starts nodes that share one engine; they stop at the end of the test.
  * @param t The test.
- * @param count How many nodes.
+ * @param count The number of nodes.
  * @returns The nodes.
  */
 export async function startCluster(
@@ -87,9 +87,9 @@
 }
 
 /**
- * Finds the node that may order the engine now.
+ * Finds the node that currently may send orders to the engine.
  * @param nodes The nodes.
- * @returns The node, or nothing where none may.
+ * @returns The node, or undefined if there is none.
  */
 export function holderOf(nodes: readonly TestNode[]): TestNode | undefined {
   return nodes.find(({ cluster, clock }) =>
@@ -106,8 +106,10 @@
   },
 ): Promise<TestNode> {
   const dispatcher = createDispatcher();
-  const logger = new LoggerFactory("human", SILENT).forPart("membership");
-  const clock = new MovableClock();
+  const logger = new LoggerFactory("human", LOG_LEVEL_SILENT).forPart(
+    "membership",
+  );
+  const clock = new AdvanceableClock();
   const channels = new PeerChannels();
   const directory = new VmDirectory(
     new HttpVmListClient({
--- a/packages/node/tests/helpers/deployment.ts
+++ b/packages/node/tests/helpers/deployment.ts
@@ -18,17 +18,17 @@
 import type { ExecutionContext } from "ava";
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** What to start. */
-export interface DeploymentSize {
+/** Options of {@link startDeployment}. */
+export interface DeploymentOptions {
   readonly nodes?: number;
-  /** One server of the service "booking" for each. */
+  /** Settings of each server of the service "booking". */
   readonly servers?: readonly Partial<FakePlainServiceSettings>[];
   readonly engine?: Partial<FakeEngineSettings>;
   readonly addressLifetimeSeconds?: number;
   readonly longestStopSeconds?: number;
 }
 
-/** Daemons and stand-ins of one test, in its own process. */
+/** Daemons and stand-ins that run in the test's process. */
 export interface Deployment {
   readonly vmList: FakeVmList;
   readonly log: FakeLogService;
@@ -37,23 +37,23 @@
   readonly urls: readonly string[];
   readonly servers: readonly FakePlainService[];
   readonly engine: FakeEngine | undefined;
-  /** Takes the VM list's latest word at all daemons. */
+  /** Makes all daemons read the VM list. */
   readonly refresh: () => Promise<void>;
 }
 
-const SILENT = -999;
+const LOG_LEVEL_SILENT = -999;
 const DOMAIN = failureDomainId("domain-1");
 const POLL_MILLISECONDS = 5;
 
 /**
  * Starts daemons and stand-ins, which stop at the end of the test.
  * @param t The test.
- * @param size What to start.
- * @returns What was started.
+ * @param size The options.
+ * @returns The deployment.
  */
 export async function startDeployment(
   t: ExecutionContext,
-  size: DeploymentSize,
+  size: DeploymentOptions,
 ): Promise<Deployment> {
   const vmList = new FakeVmList();
   const log = new FakeLogService();
@@ -85,10 +85,10 @@
 }
 
 /**
- * Describes a VM of the test's only failure domain.
- * @param id The VM.
+ * Builds the VM list entry of a VM in the test's only failure domain.
+ * @param id The VM's id.
  * @param address Its HTTP address, with or without `http://`.
- * @param role What it is for.
+ * @param role Its role.
  * @returns The VM, live.
  */
 export function vmOf(id: string, address: string, role: VmRole): Vm {
@@ -107,9 +107,9 @@
   vmList: FakeVmList,
   settings: readonly Partial<FakePlainServiceSettings>[],
 ): Promise<readonly FakePlainService[]> {
-  return await Promise.all(settings.map(async (own, index) => {
+  return await Promise.all(settings.map(async (serverSettings, index) => {
     const id = `server-${index + 1}`;
-    const server = new FakePlainService({ id, ...own });
+    const server = new FakePlainService({ id, ...serverSettings });
     const address = await server.listen();
     t.teardown(() => server.close());
     const service = serviceId("booking");
@@ -141,7 +141,7 @@
   t: ExecutionContext,
   { index, size, log, vmList }: {
     readonly index: number;
-    readonly size: DeploymentSize;
+    readonly size: DeploymentOptions;
     readonly log: FakeLogService;
     readonly vmList: FakeVmList;
   },
@@ -158,7 +158,10 @@
     addresses: { lifetime_seconds: size.addressLifetimeSeconds ?? 0.05 },
     stop: { longest_wait_seconds: size.longestStopSeconds },
   });
-  const daemon = new Daemon(settings, new LoggerFactory("human", SILENT));
+  const daemon = new Daemon(
+    settings,
+    new LoggerFactory("human", LOG_LEVEL_SILENT),
+  );
   const addresses = await daemon.start();
   t.teardown(() => daemon.stop());
   vmList.setVm({
--- a/packages/node/tests/helpers/echo_server.ts
+++ b/packages/node/tests/helpers/echo_server.ts
@@ -5,27 +5,28 @@
 import type { AddressInfo } from "node:net";
 import { type Deployment, startDeployment, vmOf } from "./deployment.ts";
 
-/** A request as the server saw it. */
-export interface SeenRequest {
+/** A request as the server received it. */
+export interface ReceivedRequest {
   readonly method: string;
   readonly url: string;
   readonly headers: IncomingHttpHeaders;
 }
 
-/** A server that answers with the body it got. */
+/** A server that returns the request's body. */
 export interface EchoServer {
-  readonly requests: readonly SeenRequest[];
+  readonly requests: readonly ReceivedRequest[];
 }
 
 /**
- * Starts a daemon before a server of "booking" that echoes bodies.
- * @param t The test, at whose end all stops.
- * @returns What was started.
+ * Starts a daemon and a server of "booking" that echoes bodies. Both stop at
+ * the end of the test.
+ * @param t The test.
+ * @returns The deployment and the echo server.
  */
-export async function startEcho(
+export async function startEchoDeployment(
   t: ExecutionContext,
 ): Promise<Deployment & { readonly echo: EchoServer }> {
-  const requests: SeenRequest[] = [];
+  const requests: ReceivedRequest[] = [];
   const server = createServer((request, response) => {
     const { method = "", url = "", headers } = request;
     requests.push({ method, url, headers });
--- a/packages/node/tests/helpers/streams.ts
+++ b/packages/node/tests/helpers/streams.ts
@@ -2,8 +2,9 @@
 import { type Deployment, until } from "./deployment.ts";
 
 /**
- * Publishes the class "drafting" and the adapter "adapter-1".
- * @param deployment Where; returns once all nodes have both.
+ * Publishes the class "drafting" and the adapter "adapter-1", and waits until
+ * all nodes have them.
+ * @param deployment The deployment.
  */
 export async function publishAdapter(deployment: Deployment): Promise<void> {
   await fetch(`${deployment.urls[0]}/v1/operators/configuration`, {
@@ -34,10 +35,10 @@
 }
 
 /**
- * Asks for a streamed completion, again while no engine is held yet.
+ * Requests a streamed completion, retrying until a node controls the engine.
  * @param url The node's address.
  * @param tokens How many tokens to generate.
- * @returns The answer, whose body streams.
+ * @returns The response, whose body streams.
  */
 export async function streamCompletion(
   url: string,
@@ -80,7 +81,7 @@
 });
 
 /**
- * Counts the tokens of a stream; the stand-ins end each with a space.
+ * Counts the tokens of a stream; engine stand-ins end each with a space.
  * @param events The events' data.
  * @returns The number of tokens.
  */
--- a/packages/node/tests/helpers/test_cluster.ts
+++ b/packages/node/tests/helpers/test_cluster.ts
@@ -26,23 +26,23 @@
 import { randomUUID } from "node:crypto";
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** What to start. */
-export interface TestClusterSize {
-  /** How many daemons. */
+/** Options of {@link startTestCluster}. */
+export interface TestClusterOptions {
+  /** The number of daemons. */
   readonly nodes: number;
   readonly engines: number;
-  /** Names of plain services; one server of each in each failure domain. */
+  /** Plain services; each has one server per failure domain. */
   readonly services?: readonly string[];
   readonly domains?: number;
   /** `name=value` settings of the engine stand-ins. */
   readonly engineSettings?: readonly string[];
-  /** Sections of the daemons' settings, besides the required ones. */
+  /** Sections to add to or replace in the daemons' settings. */
   readonly settings?: Readonly<Record<string, Readonly<object>>>;
-  /** Leave out the requests that show that each engine serves. */
+  /** Skips the warm-up requests to each engine. */
   readonly cold?: boolean;
 }
 
-/** A daemon of the test's own process. */
+/** A daemon that runs in the test's process. */
 export interface TestNode {
   readonly id: string;
   readonly daemon: Daemon;
@@ -55,20 +55,20 @@
 const LOG_LEVEL_SILENT = -999;
 const POLL_MILLISECONDS = 5;
 const MAXIMUM_POLLS = 2_000;
-/** A planned stop waits for so long. */
-const QUICK_LIFETIME_SECONDS = 0.01;
+/** A planned stop waits for this address lifetime. */
+const SHORT_LIFETIME_SECONDS = 0.01;
 const MAXIMUM_WARM_UPS = 60;
 const WARM_UP_CLASS = "warm-up";
 
-/** Quick engines, so that tests wait for nothing but their own business. */
-const QUICK_ENGINE = [
+/** Fast engines, so that tests do not wait for simulated latencies. */
+const FAST_ENGINE_SETTINGS = [
   "step_base_milliseconds=1",
   "step_milliseconds_per_sequence=0",
   "prefill_milliseconds_per_token=0",
   "load_milliseconds=1",
 ];
 
-const QUICK_STORE = ["adapter_bytes=1000", "loads_per_second=1000"];
+const FAST_STORE_SETTINGS = ["adapter_bytes=1000", "loads_per_second=1000"];
 
 const WARM_UP_CHANGES: readonly ConfigurationChange[] = [
   {
@@ -114,38 +114,40 @@
 
   /** The log service. */
   get log(): FakeLogService {
-    return only(this.standIns, FakeLogService);
+    return findStandIn(this.standIns, FakeLogService);
   }
 
   /** The VM list. */
   get vmList(): FakeVmList {
-    return only(this.standIns, FakeVmList);
+    return findStandIn(this.standIns, FakeVmList);
   }
 
   /** The weight store. */
   get weightStore(): FakeWeightStore {
-    return only(this.standIns, FakeWeightStore);
+    return findStandIn(this.standIns, FakeWeightStore);
   }
 
   /**
-   * Gives the address of a node.
-   * @param index Its place, from 0.
+   * Returns the address of a node.
+   * @param index The node's index, from 0.
    * @returns `http://` with IP literal and port.
    */
   url(index = 0): string {
     const node = this.nodes[index];
-    if (node === undefined) throw new Error(`No node ${index} runs`);
+    if (node === undefined) throw new Error(`node ${index} is not running`);
     return node.url;
   }
 
   /**
-   * Appends a record of changes to the log and waits until it is in force at
-   * every node.
+   * Appends a record of changes to the log and waits until every node has
+   * applied it.
    * @param changes The changes, with plain strings for ids.
    */
   async publish(changes: readonly object[]): Promise<void> {
     const [first] = this.nodes;
-    if (first === undefined) throw new Error("Cannot publish: no node runs");
+    if (first === undefined) {
+      throw new Error("cannot publish: no node is running");
+    }
     await until(() => first.daemon.follower.caughtUp);
     const record = configurationRecordSchema.parse({
       id: changeId(randomUUID()),
@@ -172,13 +174,13 @@
 }
 
 /**
- * Starts stand-ins and daemons, and waits until every node serves and every
- * engine has answered a request of one token.
- * @param size What to start.
+ * Starts stand-ins and daemons. Unless skipped, warm-up requests of one token
+ * wait until every node serves and every engine has answered.
+ * @param size The options.
  * @returns The cluster, to be closed by the test.
  */
 export async function startTestCluster(
-  size: TestClusterSize,
+  size: TestClusterOptions,
 ): Promise<TestCluster> {
   const standIns = await startStandIns(planFromFlags({
     host: "127.0.0.1",
@@ -188,9 +190,9 @@
     engines: size.engines,
     services: size.services ?? [],
     logSetting: [],
-    storeSetting: QUICK_STORE,
+    storeSetting: FAST_STORE_SETTINGS,
     vmListSetting: [],
-    engineSetting: [...QUICK_ENGINE, ...(size.engineSettings ?? [])],
+    engineSetting: [...FAST_ENGINE_SETTINGS, ...(size.engineSettings ?? [])],
     serviceSetting: [],
   }));
   const nodes = await Promise.all(
@@ -217,13 +219,13 @@
     if (await condition()) return;
     await sleep(POLL_MILLISECONDS);
   }
-  throw new Error(`Cannot go on: not so after ${MAXIMUM_POLLS} polls`);
+  throw new Error(`condition still false after ${MAXIMUM_POLLS} polls`);
 }
 
 async function startNode(
   index: number,
   { size, standIns }: {
-    readonly size: TestClusterSize;
+    readonly size: TestClusterOptions;
     readonly standIns: readonly StartedStandIn[];
   },
 ): Promise<TestNode> {
@@ -233,17 +235,17 @@
     node: { id, region: REGION, failure_domain: domain },
     listen: { http: "127.0.0.1:0", grpc: "127.0.0.1:0" },
     platform: {
-      log: only(standIns, FakeLogService).address,
-      vm_list: only(standIns, FakeVmList).address,
-      weight_store: only(standIns, FakeWeightStore).address,
+      log: findStandIn(standIns, FakeLogService).address,
+      vm_list: findStandIn(standIns, FakeVmList).address,
+      weight_store: findStandIn(standIns, FakeWeightStore).address,
     },
-    addresses: { lifetime_seconds: QUICK_LIFETIME_SECONDS },
+    addresses: { lifetime_seconds: SHORT_LIFETIME_SECONDS },
     ...size.settings,
   });
   const loggers = new LoggerFactory("human", LOG_LEVEL_SILENT);
   const daemon = new Daemon(settings, loggers);
   const addresses = await daemon.start();
-  only(standIns, FakeVmList).setVm({
+  findStandIn(standIns, FakeVmList).setVm({
     id,
     address: addresses.http,
     peerAddress: addresses.grpc,
@@ -285,12 +287,12 @@
   return answer.ok;
 }
 
-function only<Kind>(
+function findStandIn<Kind>(
   standIns: readonly StartedStandIn[],
   kind: new (...parameters: never[]) => Kind,
 ): Kind {
   for (const { standIn } of standIns) {
     if (standIn instanceof kind) return standIn;
   }
-  throw new Error(`No stand-in is a ${kind.name}`);
+  throw new Error(`no ${kind.name} was started`);
 }
--- a/packages/node/tests/logging/part_logger_test.ts
+++ b/packages/node/tests/logging/part_logger_test.ts
@@ -4,7 +4,7 @@
 const LEVEL_INFO = 3;
 const TIME = /\d{4}-\d{2}-\d{2}T[\d:.]+Z/g;
 
-function linesOf(format: LogFormat): string {
+function formatLines(format: LogFormat): string {
   let text = "";
   const loggers = new LoggerFactory(format, LEVEL_INFO, (line) => {
     text += line;
@@ -18,11 +18,11 @@
   return text.replaceAll(TIME, "(time)");
 }
 
-test("lines for people have a prefix, a sentence and fields", (t) => {
-  t.snapshot(linesOf("human"));
+test("human-readable lines have a prefix, a sentence and fields", (t) => {
+  t.snapshot(formatLines("human"));
 });
 
-test("JSON lines have the fields as members", (t) => {
-  const lines = linesOf("json").trimEnd().split("\n");
+test("JSON lines contain the fields as members", (t) => {
+  const lines = formatLines("json").trimEnd().split("\n");
   t.snapshot(lines.map((line) => JSON.parse(line) as unknown));
 });
--- a/packages/node/tests/metrics/statsd_metrics_test.ts
+++ b/packages/node/tests/metrics/statsd_metrics_test.ts
@@ -3,9 +3,9 @@
 import { createSocket } from "node:dgram";
 import { once } from "node:events";
 
-const SILENT = -999;
+const LOG_LEVEL_SILENT = -999;
 
-test("counts go to statsd with the node's tags", async (t) => {
+test("counts are sent to statsd with the node's tags", async (t) => {
   const server = createSocket("udp4");
   server.bind(0, "127.0.0.1");
   await once(server, "listening");
@@ -13,7 +13,7 @@
   const metrics = new StatsdMetrics({
     address: { host: "127.0.0.1", port: server.address().port },
     tags: { node: "node-1" },
-    logger: new LoggerFactory("human", SILENT).forPart("metrics"),
+    logger: new LoggerFactory("human", LOG_LEVEL_SILENT).forPart("metrics"),
   });
   const received = once(server, "message");
   metrics.count("requests", { route: "completions", outcome: "whole" });
--- a/packages/node/tests/settings/check_test.ts
+++ b/packages/node/tests/settings/check_test.ts
@@ -5,14 +5,14 @@
 import path from "node:path";
 import process from "node:process";
 
-interface Ended {
+interface ProcessResult {
   readonly code: number;
   readonly stdout: string;
   readonly stderr: string;
 }
 
-/** Runs the daemon's program from its source, with --check. */
-function check(file: string): Promise<Ended> {
+/** Runs the daemon's entry point from source with --check. */
+function runCheck(file: string): Promise<ProcessResult> {
   const parameters = [
     "--import=tsx",
     "--conditions=foxtailwind-source",
@@ -28,7 +28,7 @@
   });
 }
 
-test("--check tells good settings from bad ones, and starts nothing", async (t) => {
+test("--check validates settings without starting the daemon", async (t) => {
   const folder = mkdtempSync(path.join(tmpdir(), "foxtailwind-settings-"));
   t.teardown(() => {
     rmSync(folder, { recursive: true });
@@ -36,8 +36,8 @@
   const bad = path.join(folder, "bad.ini");
   writeFileSync(bad, "[node]\nid = a b\n");
   const [good, refused] = await Promise.all([
-    check("examples/node.ini"),
-    check(bad),
+    runCheck("examples/node.ini"),
+    runCheck(bad),
   ]);
   t.deepEqual(good, {
     code: 0,
--- a/packages/node/tests/settings/load_settings_test.ts
+++ b/packages/node/tests/settings/load_settings_test.ts
@@ -9,13 +9,13 @@
 
 const SAMPLE = "examples/node.ini";
 
-function problemsOf(text: string): readonly string[] {
+function listProblems(text: string): readonly string[] {
   const result = parseSettings(text, "node.ini");
   return result.isErr() ? result.error.map(formatSettingsProblem) : [];
 }
 
-test("every problem of a settings file is told at once", (t) => {
-  t.snapshot(problemsOf(
+test("all problems of a settings file are reported together", (t) => {
+  t.snapshot(listProblems(
     `[node]
 id = node one
 region = r1
@@ -37,7 +37,7 @@
 
 test("unknown keys and sections are refused with the nearest known one", (t) => {
   const sample = readFileSync(SAMPLE, "utf8");
-  t.snapshot(problemsOf(
+  t.snapshot(listProblems(
     `stray = 1
 ${sample}
 [log]
@@ -49,9 +49,9 @@
   ));
 });
 
-test("what stands twice is refused", (t) => {
+test("repeated sections and keys are refused", (t) => {
   const sample = readFileSync(SAMPLE, "utf8");
-  t.snapshot(problemsOf(
+  t.snapshot(listProblems(
     `${sample}
 [node]
 id = node-2
@@ -59,9 +59,9 @@
   ));
 });
 
-test("numbers and addresses out of their range are refused", (t) => {
+test("numbers and addresses out of range are refused", (t) => {
   const sample = readFileSync(SAMPLE, "utf8");
-  t.snapshot(problemsOf(
+  t.snapshot(listProblems(
     sample.replace(/^http = .*/m, "http = 127.0.0.1:99999")
       .replace(/^;? ?body_bytes = .*/m, "body_bytes = 4MB")
       .replace(/^;? ?unread_milliseconds = .*/m, "unread_milliseconds = 0")
@@ -69,23 +69,23 @@
   ));
 });
 
-test("settings have no word on targets, weights or placement", (t) => {
+test("settings cannot hold latency targets", (t) => {
   const text = `${readFileSync(SAMPLE, "utf8")}
 [classes]
 drafting = 1200
 `;
-  t.snapshot(problemsOf(text));
+  t.snapshot(listProblems(text));
 });
 
-test("a file that is not there is one problem", (t) => {
+test("a missing file is reported as one problem", (t) => {
   const result = loadSettings("no/such/file.ini");
   t.is(result._unsafeUnwrapErr().length, 1);
 });
 
-test("the sample file is valid and names every key", (t) => {
-  t.deepEqual(problemsOf(readFileSync(SAMPLE, "utf8")), []);
+test("the sample file is valid and contains every key", (t) => {
+  t.deepEqual(listProblems(readFileSync(SAMPLE, "utf8")), []);
   const text = readFileSync(SAMPLE, "utf8").replace(/^; (?=\w+ =)/gm, "");
-  t.deepEqual(problemsOf(text), []);
+  t.deepEqual(listProblems(text), []);
   for (const [section, schema] of Object.entries(SETTINGS_SECTIONS)) {
     t.true(text.includes(`[${section}]`), section);
     for (const key of Object.keys(schema.shape)) {
--- a/packages/node/tests/telemetry/telemetry_metrics_test.ts
+++ b/packages/node/tests/telemetry/telemetry_metrics_test.ts
@@ -17,7 +17,7 @@
 } from "@foxtailwind/node";
 import test from "ava";
 
-class StoppedClock extends SteadyClock {
+class FixedClock extends SteadyClock {
   override now(): Instant {
     return instant(1_000);
   }
@@ -57,7 +57,7 @@
     requests.record(at, { kind: "frame", request, tokens: 1 });
   }
   const metrics = new CollectingMetrics();
-  const clock = new StoppedClock();
+  const clock = new FixedClock();
   await new TelemetryMetrics({ requests, clock, metrics }).publish();
   t.deepEqual(metrics.gauges, [
     ["first_token.p50", 10, { class: "drafting" }],
--- a/packages/node/tests/test_cluster_test.ts
+++ b/packages/node/tests/test_cluster_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { startTestCluster } from "./helpers/test_cluster.ts";
 
-test("a cluster of the test's process answers through every node", async (t) => {
+test("every node of an in-process cluster serves completions", async (t) => {
   const cluster = await startTestCluster({
     nodes: 3,
     engines: 2,
