--- a/packages/node/src/daemon.ts
+++ b/packages/node/src/daemon.ts
@@ -56,7 +56,7 @@
   readonly grpc: string;
 }
 
-/** How long control streams between nodes may take to close. */
+/** How long streams between nodes that carry no requests may take to close. */
 const CONTROL_STREAM_CLOSE_MILLISECONDS = 1_000;
 
 /** A node: creates, starts and stops all its components. */
--- a/packages/node/src/telemetry/histogram_messages.ts
+++ b/packages/node/src/telemetry/histogram_messages.ts
@@ -42,7 +42,7 @@
 /**
  * Converts a gRPC message to a report.
  * @param message The message.
- * @returns The report, without measures unknown to this version.
+ * @returns The report, without measures that this node does not know.
  */
 export function fromHistogramsAnswer(
   message: telemetry.HistogramsAnswer,
--- a/packages/node/tests/callers/completions/caller_connection_test.ts
+++ b/packages/node/tests/callers/completions/caller_connection_test.ts
@@ -28,7 +28,7 @@
   return {
     connection,
     response,
-    done: events,
+    events,
     read: () => {
       read();
     },
@@ -39,41 +39,41 @@
   new Promise((resolve) => response.once("close", resolve));
 
 test("the engine is paused until the caller has read", async (t) => {
-  const { connection, response, done, read } = createSlowCaller();
+  const { connection, response, events, read } = createSlowCaller();
   connection.write("x".repeat(BUFFER_BYTES));
   connection.write("y");
-  t.deepEqual(done, ["pause"]);
+  t.deepEqual(events, ["pause"]);
   const drained = new Promise((resolve) => response.once("drain", resolve));
   read();
   await new Promise(setImmediate);
   read();
   await drained;
-  t.deepEqual(done, ["pause", "unpause"]);
+  t.deepEqual(events, ["pause", "unpause"]);
   connection.finish();
 });
 
 test("a caller that reads nothing for too long is disconnected and cancelled", async (t) => {
-  const { connection, response, done } = createSlowCaller({
+  const { connection, response, events } = createSlowCaller({
     ...LIMITS,
     unreadMilliseconds: 1,
   });
   connection.write("x".repeat(BUFFER_BYTES));
   await waitForClose(response);
-  t.deepEqual(done, ["pause", "cut", "cancel"]);
+  t.deepEqual(events, ["pause", "cut", "cancel"]);
 });
 
 test("a caller with too much unread output is disconnected at once", async (t) => {
-  const { connection, response, done } = createSlowCaller();
+  const { connection, response, events } = createSlowCaller();
   connection.write("x".repeat(LIMITS.unreadBytes + 1));
   await waitForClose(response);
-  t.deepEqual(done, ["cut", "cancel"]);
+  t.deepEqual(events, ["cut", "cancel"]);
 });
 
 test("a finished response is neither disconnected nor cancelled", async (t) => {
-  const { connection, response, done } = createSlowCaller();
+  const { connection, response, events } = createSlowCaller();
   connection.write("x".repeat(BUFFER_BYTES));
   connection.finish();
   response.destroy();
   await waitForClose(response);
-  t.deepEqual(done, ["pause"]);
+  t.deepEqual(events, ["pause"]);
 });
