--- a/packages/node/src/assembly/make_addresses.ts
+++ b/packages/node/src/assembly/make_addresses.ts
@@ -10,8 +10,8 @@
 import type { GenerationRouter } from "../serving/generation_router.ts";
 import type { Settings } from "../settings/settings.ts";
 
-/** What a daemon's address answers are worked out from. */
-export interface AddressSources {
+/** Dependencies of a daemon's address directory. */
+export interface AddressDependencies {
   readonly settings: Settings;
   readonly directory: VmDirectory;
   readonly cluster: ClusterNode;
@@ -22,21 +22,26 @@
 }
 
 /**
- * Makes the part that tells callers which nodes to use.
- * @param sources What the answers are worked out from.
- * @returns The part.
+ * Creates the directory that selects the nodes callers should use.
+ * @param dependencies Its dependencies.
+ * @returns The directory.
  */
-export function makeAddresses(sources: AddressSources): AddressDirectory {
-  const { settings, directory, drain, work } = sources;
-  const own = new OwnView({
+export function makeAddresses(
+  dependencies: AddressDependencies,
+): AddressDirectory {
+  const { settings, directory, drain, work } = dependencies;
+  const ownView = new OwnView({
     self: settings.node.id,
     isLeaving: () => drain.isLeaving,
     load: () => work.count,
   });
   return new AddressDirectory({
     directory,
-    peers: new ClusterPeerViews(sources.cluster, own),
-    controllers: new RoutedControllers(sources.router, sources.configuration),
+    peers: new ClusterPeerViews(dependencies.cluster, ownView),
+    controllers: new RoutedControllers(
+      dependencies.router,
+      dependencies.configuration,
+    ),
     longestLifetime: seconds(settings.addresses.lifetime_seconds),
   });
 }
--- a/packages/node/src/assembly/make_metrics.ts
+++ b/packages/node/src/assembly/make_metrics.ts
@@ -1,23 +1,23 @@
 import type { LoggerFactory } from "../logging/part_logger.ts";
 import {
   type MetricsSink,
-  SilentMetrics,
+  NoopMetrics,
   StatsdMetrics,
 } from "../metrics/mod.ts";
 import type { Settings } from "../settings/settings.ts";
 
 /**
- * Makes the sink for metrics that the settings ask for.
+ * Creates the metrics sink selected by the settings.
  * @param settings The daemon's settings.
- * @param loggers Where lost metrics are told.
- * @returns The sink; one that drops all where no server is set.
+ * @param loggers Log metrics that could not be sent.
+ * @returns The sink; it discards all metrics if no server is set.
  */
 export function makeMetrics(
   settings: Settings,
   loggers: LoggerFactory,
 ): MetricsSink {
   const { metrics, node } = settings;
-  if (metrics.statsd === undefined) return new SilentMetrics();
+  if (metrics.statsd === undefined) return new NoopMetrics();
   return new StatsdMetrics({
     address: metrics.statsd,
     tags: { node: node.id, failure_domain: node.failure_domain },
--- a/packages/node/src/callers/completions/whole_sink.ts
+++ b/packages/node/src/callers/completions/buffered_sink.ts
@@ -1,13 +1,13 @@
 import type { Failure } from "@foxtailwind/core";
 import type { GenerationEnd } from "@foxtailwind/edges";
 import { sendChatProblem } from "../problem.ts";
-import { nameOf, usageOf } from "./chunk_text.ts";
+import { formatAdapter, toUsage } from "./chunk_encoder.ts";
 import { CompletionSink } from "./completion_sink.ts";
 
 const OK = 200;
 
-/** Collects an answer and writes it whole. */
-export class WholeCompletionSink extends CompletionSink {
+/** Buffers an answer and sends it as one JSON body. */
+export class BufferedCompletionSink extends CompletionSink {
   #text = "";
 
   protected override writeTokens(text: string, tokens: number): void {
@@ -21,14 +21,14 @@
       id: generation.request,
       object: "chat.completion",
       created: this.created,
-      model: nameOf(generation.adapter),
+      model: formatAdapter(generation.adapter),
       choices: [{
         index: 0,
         message: { role: "assistant", content: this.#text, refusal: null },
         logprobs: null,
         finish_reason: end.finishReason,
       }],
-      usage: usageOf(end),
+      usage: toUsage(end),
     });
   }
 
--- a/packages/node/src/callers/services_headers.ts
+++ b/packages/node/src/callers/forwarded_headers.ts
@@ -3,40 +3,42 @@
 
 const HOST = "host";
 const CONTENT_LENGTH = "content-length";
-const LEAVING = "foxtailwind-leaving";
+const LEAVING_HEADER = "foxtailwind-leaving";
 
 /**
- * Gives a caller's headers as the service is to get them.
- * @param raw Names and values in turn, as they came.
- * @returns The headers, each occurrence by itself.
+ * Selects the request headers to forward to the service.
+ * @param raw Alternating names and values, as received.
+ * @returns The headers, repeated ones as separate entries.
  */
-export function requestHeaders(raw: readonly string[]): readonly Header[] {
+export function forwardedRequestHeaders(
+  raw: readonly string[],
+): readonly Header[] {
   const headers: Header[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
     headers.push({ name: raw[index] ?? "", value: raw[index + 1] ?? "" });
   }
-  const dropped = droppedNames(headers);
+  const dropped = findDroppedNames(headers);
   dropped.add(CONTENT_LENGTH);
   return headers.filter(({ name }) => !dropped.has(name.toLowerCase()));
 }
 
 /**
- * Gives a service's headers as the caller is to get them.
- * @param headers The headers of the answer.
- * @param method The call's method; the answer to HEAD keeps its length.
- * @returns The headers to pass on.
+ * Selects the response headers to forward to the caller.
+ * @param headers The headers of the service's response.
+ * @param method The request method; a HEAD response keeps its length.
+ * @returns The headers to forward.
  */
-export function answerHeaders(
+export function forwardedResponseHeaders(
   headers: readonly Header[],
   method: string,
 ): readonly Header[] {
-  const dropped = droppedNames(headers);
-  dropped.add(LEAVING);
+  const dropped = findDroppedNames(headers);
+  dropped.add(LEAVING_HEADER);
   if (method !== "HEAD") dropped.add(CONTENT_LENGTH);
   return headers.filter(({ name }) => !dropped.has(name.toLowerCase()));
 }
 
-function droppedNames(headers: readonly Header[]): Set<string> {
+function findDroppedNames(headers: readonly Header[]): Set<string> {
   const connection = headers.filter(({ name }) =>
     name.toLowerCase() === "connection"
   );
--- a/packages/node/src/http_application.ts
+++ b/packages/node/src/http_application.ts
@@ -4,7 +4,7 @@
   FastifyAdapter,
   type NestFastifyApplication,
 } from "@nestjs/platform-fastify";
-import { refuseRepeatedHeaders } from "./callers/header_rules.ts";
+import { refuseRepeatedHeaders } from "./callers/repeated_headers.ts";
 import { HttpProblemFilter } from "./callers/http_problem_filter.ts";
 import { CALLER_CONTROLLERS } from "./callers/mod.ts";
 import { servicesPlugin } from "./callers/services_plugin.ts";
@@ -16,17 +16,17 @@
 import type { Settings } from "./settings/settings.ts";
 import { TELEMETRY_CONTROLLERS } from "./telemetry/mod.ts";
 
-/** How long a caller may take to send a whole request. */
-const REQUEST_MILLISECONDS = 30_000;
-const KEEP_ALIVE_MILLISECONDS = 75_000;
+/** How long a caller may take to send a complete request. */
+const REQUEST_TIMEOUT_MILLISECONDS = 30_000;
+const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 75_000;
 
 @Module({})
 class HttpModule {}
 
 /**
- * Makes the HTTP application of a daemon.
- * @param parts The daemon's running parts.
- * @param logger Logs what callers' requests run into.
+ * Creates the HTTP application of a daemon.
+ * @param parts The daemon's components.
+ * @param logger Logs unexpected errors of requests.
  * @returns The application, not yet listening.
  */
 export async function createHttpApplication(
@@ -60,11 +60,11 @@
 function fastifyOptions({ limits }: Settings) {
   return {
     bodyLimit: limits.body_bytes,
-    requestTimeout: REQUEST_MILLISECONDS,
-    keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
+    requestTimeout: REQUEST_TIMEOUT_MILLISECONDS,
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MILLISECONDS,
     http: { maxHeaderSize: limits.header_bytes },
     clientErrorHandler: answerUnreadable,
-    // A request id is made where one is needed, not for each request.
+    // Handlers that need a request id create it themselves.
     genReqId: () => "",
   };
 }
--- a/packages/node/tests/telemetry/telemetry_metrics_test.ts
+++ b/packages/node/tests/telemetry/telemetry_metrics_test.ts
@@ -17,7 +17,7 @@
 } from "@foxtailwind/node";
 import test from "ava";
 
-class StoppedClock extends SteadyClock {
+class FixedClock extends SteadyClock {
   override now(): Instant {
     return instant(1_000);
   }
@@ -27,7 +27,7 @@
   readonly gauges: (readonly [string, number, MetricTags])[] = [];
 
   override count(): void {
-    // Only values are looked at.
+    // This test checks gauges only.
   }
 
   override gauge(name: string, value: number, tags: MetricTags): void {
@@ -39,7 +39,7 @@
   }
 }
 
-test("metrics tell a class's times over its tenants, and no tenant", async (t) => {
+test("metrics aggregate a class over its tenants and have no tenant tag", async (t) => {
   const requests = new RequestTelemetry(CLOCK_START);
   const drafting = classId("drafting");
   const tenants = ["acme", "bengal"].map(tenantId);
@@ -57,7 +57,7 @@
     requests.record(at, { kind: "frame", request, tokens: 1 });
   }
   const metrics = new CollectingMetrics();
-  const clock = new StoppedClock();
+  const clock = new FixedClock();
   await new TelemetryMetrics({ requests, clock, metrics }).publish();
   t.deepEqual(metrics.gauges, [
     ["first_token.p50", 10, { class: "drafting" }],
