--- a/packages/bench/src/in_process/in_process_cluster.ts
+++ b/packages/bench/src/in_process/in_process_cluster.ts
@@ -12,10 +12,11 @@
   FakeVmList,
 } from "@foxtailwind/standins";
 
-const SILENT = -1;
+/** The verbosity that suppresses all log lines. */
+const SILENT_VERBOSITY = -1;
 const REGION = "region-1";
 
-/** How large a cluster of daemons in this process is. */
+/** The size of a cluster of in-process daemons, and its log's settings. */
 export interface InProcessClusterSize {
   readonly nodes: number;
   readonly domains: number;
@@ -30,11 +31,11 @@
   readonly addresses: DaemonAddresses;
 }
 
-/** Daemons and the platform's stand-ins in one process, on loopback. */
+/** Daemons and stand-ins of the platform in one process, on loopback. */
 export class InProcessCluster {
   readonly log: FakeLogService;
   readonly vmList: FakeVmList;
-  readonly #platform: string;
+  readonly #platformSettings: string;
   readonly #nodes = new Map<string, InProcessNode>();
 
   private constructor(parts: {
@@ -44,17 +45,17 @@
   }) {
     this.log = parts.log;
     this.vmList = parts.vmList;
-    this.#platform = parts.platform;
+    this.#platformSettings = parts.platform;
   }
 
-  /** The daemons that run. */
+  /** The running nodes. */
   get nodes(): readonly InProcessNode[] {
     return [...this.#nodes.values()];
   }
 
   /**
    * Starts the stand-ins and the daemons.
-   * @param size How large.
+   * @param size The size of the cluster.
    * @returns The running cluster.
    */
   static async start(size: InProcessClusterSize): Promise<InProcessCluster> {
@@ -82,10 +83,10 @@
   }
 
   /**
-   * Starts one more daemon and lists it as a VM.
-   * @param id The node's id.
-   * @param failureDomain Its failure domain.
-   * @param options Where it looks for the log, if not at the stand-in.
+   * Starts another daemon and adds it to the VM list.
+   * @param id The id of the node.
+   * @param failureDomain The failure domain of the node.
+   * @param options The log's address, if not that of the stand-in.
    * @returns The running node.
    */
   async startNode(
@@ -93,9 +94,9 @@
     failureDomain: string,
     options: { readonly log?: string } = {},
   ): Promise<InProcessNode> {
-    const platform = options.log === undefined
-      ? this.#platform
-      : this.#platform.replace(/^log = .*$/m, `log = ${options.log}`);
+    const platformSettings = options.log === undefined
+      ? this.#platformSettings
+      : this.#platformSettings.replace(/^log = .*$/m, `log = ${options.log}`);
     const settings = parseSettings(
       `[node]
 id = ${id}
@@ -106,23 +107,23 @@
 http = 127.0.0.1:0
 grpc = 127.0.0.1:0
 
-${platform}`,
+${platformSettings}`,
       `${id}.ini`,
     );
     const daemon = new Daemon(
       settings._unsafeUnwrap(),
-      new LoggerFactory("human", SILENT),
+      new LoggerFactory("human", SILENT_VERBOSITY),
     );
     const addresses = await daemon.start();
     const node: InProcessNode = { id, failureDomain, daemon, addresses };
     this.#nodes.set(id, node);
-    this.vmList.setVm(vmOf(node));
+    this.vmList.setVm(vmEntry(node));
     return node;
   }
 
   /**
-   * Stops one daemon and takes it off the VM list.
-   * @param id The node's id.
+   * Removes a daemon from the VM list and stops it.
+   * @param id The id of the node.
    */
   async stopNode(id: string): Promise<void> {
     const node = this.#nodes.get(id);
@@ -139,7 +140,7 @@
   }
 }
 
-function vmOf(node: InProcessNode): Vm {
+function vmEntry(node: InProcessNode): Vm {
   return {
     id: node.id,
     address: node.addresses.http,
--- a/packages/bench/src/load/address_book.ts
+++ b/packages/bench/src/load/address_book.ts
@@ -1,6 +1,6 @@
 import * as z from "zod";
 
-/** A node that callers may use. */
+/** A node that callers may send requests to. */
 export interface NamedNode {
   readonly id: string;
   /** IP literal and port. */
@@ -14,57 +14,57 @@
 });
 
 const MILLISECONDS_PER_SECOND = 1_000;
-const ASK_TIMEOUT_MILLISECONDS = 1_000;
+const REQUEST_TIMEOUT_MILLISECONDS = 1_000;
 
 /**
- * Keeps an address answer for its lifetime, as callers do. An address that
- * does not answer is left out until the next answer.
+ * Caches the addresses of nodes until they expire, as callers do. An address
+ * that does not answer is excluded until the next successful refresh.
  */
 export class AddressBook {
-  readonly #known: readonly NamedNode[];
+  readonly #bootstrapNodes: readonly NamedNode[];
   #current: readonly NamedNode[];
   #expiresAt = 0;
-  #turn = 0;
+  #turnCount = 0;
   #keyScope = "";
 
-  /** @param known The nodes to ask, from the caller's own settings. */
+  /** @param known The nodes in the caller's settings, used first and as a fallback. */
   constructor(known: readonly NamedNode[]) {
-    this.#known = known;
+    this.#bootstrapNodes = known;
     this.#current = known;
   }
 
-  /** What to put before a key, so that it needs no claim in the log. */
+  /** The prefix with which a key needs no claim in the log. */
   get keyScope(): string {
     return this.#keyScope;
   }
 
-  /** Chooses the next node in turn. */
+  /** Returns the next node in round-robin order. */
   next(): NamedNode {
-    this.#turn += 1;
-    const node = this.#current[this.#turn % this.#current.length] ??
-      this.#known[0];
-    if (node === undefined) throw new Error("No node is known");
+    this.#turnCount += 1;
+    const node = this.#current[this.#turnCount % this.#current.length] ??
+      this.#bootstrapNodes[0];
+    if (node === undefined) throw new Error("The address book has no nodes.");
     return node;
   }
 
   /**
-   * Leaves a node out that did not answer.
-   * @param id The node.
+   * Excludes a node that did not answer, unless it is the last one.
+   * @param id The id of the node.
    */
   avoid(id: string): void {
-    const rest = this.#current.filter((node) => node.id !== id);
-    if (rest.length > 0) this.#current = rest;
+    const remaining = this.#current.filter((node) => node.id !== id);
+    if (remaining.length > 0) this.#current = remaining;
   }
 
   /**
-   * Asks for addresses again where the last answer has expired.
-   * @param now Milliseconds of the process's steady clock.
+   * Fetches the addresses again if they have expired.
+   * @param now The monotonic time of the process in milliseconds.
    */
   async refresh(now: number): Promise<void> {
     if (now < this.#expiresAt) return;
     this.#expiresAt = now + MILLISECONDS_PER_SECOND;
-    for (const node of [...this.#current, ...this.#known]) {
-      const answer = await ask(node);
+    for (const node of [...this.#current, ...this.#bootstrapNodes]) {
+      const answer = await fetchAddresses(node);
       if (answer === undefined) continue;
       this.#current = answer.addresses.map((address) => ({
         id: address.node,
@@ -78,14 +78,14 @@
   }
 }
 
-async function ask(
+async function fetchAddresses(
   node: NamedNode,
 ): Promise<z.output<typeof answerSchema> | undefined> {
   try {
-    const answer = await fetch(`http://${node.http}/v1/addresses`, {
-      signal: AbortSignal.timeout(ASK_TIMEOUT_MILLISECONDS),
+    const response = await fetch(`http://${node.http}/v1/addresses`, {
+      signal: AbortSignal.timeout(REQUEST_TIMEOUT_MILLISECONDS),
     });
-    const parsed = answerSchema.safeParse(await answer.json());
+    const parsed = answerSchema.safeParse(await response.json());
     return parsed.success && parsed.data.addresses.length > 0
       ? parsed.data
       : undefined;
--- a/packages/bench/src/load/completion_call.ts
+++ b/packages/bench/src/load/completion_call.ts
@@ -1,20 +1,20 @@
 import type { Dispatcher } from "undici";
 import { TokenChecker } from "./token_checker.ts";
 
-/** What came of one completion, as its caller saw it. */
+/** The outcome of a completion, as its caller sees it. */
 export interface CompletionOutcome {
   readonly className: string;
   readonly status: number;
-  /** From sending to the first token; absent where none came. */
+  /** The time from sending to the first token, if one arrived. */
   readonly firstTokenMilliseconds?: number;
   readonly tokens: number;
-  /** Whether the answer came whole, with its end marker. */
+  /** Whether the answer is complete, including its end marker. */
   readonly whole: boolean;
-  /** Whether every token names the adapter that was asked for. */
+  /** Whether the tokens are those expected of the requested adapter. */
   readonly rightAdapter: boolean;
 }
 
-/** One completion to ask for. */
+/** The parameters of a completion request. */
 export interface CompletionCall {
   readonly baseUrl: string;
   readonly className: string;
@@ -25,20 +25,20 @@
   readonly maximumTokens: number;
 }
 
-const OK = 200;
+const HTTP_OK = 200;
 
 /**
- * Asks for a streamed completion, as an ordinary caller does.
+ * Requests a streamed completion, as an ordinary caller does.
  * @param dispatcher The HTTP client.
- * @param call What to ask for.
- * @returns What came of it.
+ * @param call The parameters of the request.
+ * @returns The outcome.
  */
 export async function callCompletion(
   dispatcher: Dispatcher,
   call: CompletionCall,
 ): Promise<CompletionOutcome> {
   const start = performance.now();
-  const answer = await dispatcher.request({
+  const response = await dispatcher.request({
     origin: call.baseUrl,
     path: "/v1/chat/completions",
     method: "POST",
@@ -54,31 +54,31 @@
       stream: true,
     }),
   });
-  const reader = new StreamReader(call.adapter);
+  const reader = new CompletionStreamReader(call.adapter);
   let firstTokenMilliseconds: number | undefined;
-  for await (const piece of answer.body) {
-    reader.read(String(piece));
+  for await (const chunk of response.body) {
+    reader.read(String(chunk));
     if (reader.tokens > 0) {
       firstTokenMilliseconds ??= performance.now() - start;
     }
   }
   return {
     className: call.className,
-    status: answer.statusCode,
+    status: response.statusCode,
     ...(firstTokenMilliseconds !== undefined && { firstTokenMilliseconds }),
     tokens: reader.tokens,
-    whole: answer.statusCode === OK && reader.whole,
+    whole: response.statusCode === HTTP_OK && reader.whole,
     rightAdapter: reader.rightAdapter,
   };
 }
 
-const DATA = "data: ";
-const DONE = "[DONE]";
+const DATA_PREFIX = "data: ";
+const END_MARKER = "[DONE]";
 
-class StreamReader {
+class CompletionStreamReader {
   whole = false;
   readonly #checker: TokenChecker;
-  #rest = "";
+  #partialLine = "";
 
   constructor(adapter: string) {
     this.#checker = new TokenChecker(adapter);
@@ -92,16 +92,18 @@
     return this.#checker.verdict === "right";
   }
 
-  read(piece: string): void {
-    const lines = (this.#rest + piece).split("\n");
-    this.#rest = lines.pop() ?? "";
+  read(text: string): void {
+    const lines = (this.#partialLine + text).split("\n");
+    this.#partialLine = lines.pop() ?? "";
     for (const line of lines) {
-      if (line.startsWith(DATA)) this.#event(line.slice(DATA.length));
+      if (line.startsWith(DATA_PREFIX)) {
+        this.#readEvent(line.slice(DATA_PREFIX.length));
+      }
     }
   }
 
-  #event(data: string): void {
-    if (data === DONE) {
+  #readEvent(data: string): void {
+    if (data === END_MARKER) {
       this.whole = true;
       return;
     }
--- a/packages/bench/src/load/exponential.ts
+++ b/packages/bench/src/load/exponential.ts
@@ -1,10 +1,10 @@
 import type { SeededRandom } from "@foxtailwind/standins";
 
 /**
- * Draws from an exponential distribution.
- * @param random The source.
- * @param mean The distribution's mean, in any unit.
- * @returns The value, in the same unit.
+ * Samples an exponential distribution.
+ * @param random The random number generator.
+ * @param mean The mean of the distribution, in any unit.
+ * @returns The sample, in the unit of the mean.
  */
 export function exponential(random: SeededRandom, mean: number): number {
   return -Math.log(1 - random.next()) * mean;
--- a/packages/bench/src/load/token_checker.ts
+++ b/packages/bench/src/load/token_checker.ts
@@ -1,42 +1,42 @@
-/** What the tokens of an answer prove. */
+/** Whether an answer's tokens are the expected ones. */
 export type TokenVerdict = "right" | "misdelivered";
 
 /**
- * Checks the tokens of one answer: each must name the adapter asked for and
- * its own place, with none missing, doubled or out of order.
+ * Checks the tokens of one answer. Each must name the requested adapter and its
+ * own index, and none may be missing, duplicated or out of order.
  */
 export class TokenChecker {
   readonly #adapter: string;
-  #next = 0;
+  #tokenCount = 0;
   #verdict: TokenVerdict = "right";
-  #rest = "";
+  #partialToken = "";
 
   /** @param adapter `adapter@version`. */
   constructor(adapter: string) {
     this.#adapter = adapter;
   }
 
-  /** How many tokens came. */
+  /** The number of tokens received. */
   get tokens(): number {
-    return this.#next;
+    return this.#tokenCount;
   }
 
-  /** What they prove so far. */
+  /** The verdict on the tokens received so far. */
   get verdict(): TokenVerdict {
     return this.#verdict;
   }
 
   /**
-   * Takes the next piece of the answer's text.
-   * @param text Tokens of the form `adapter@version#place `.
+   * Checks the next chunk of the answer's text.
+   * @param text Tokens of the form `adapter@version#index `, also partial.
    */
   read(text: string): void {
-    const words = (this.#rest + text).split(" ");
-    this.#rest = words.pop() ?? "";
-    for (const word of words) {
-      const expected = `${this.#adapter}#${this.#next}`;
-      if (word !== expected) this.#verdict = "misdelivered";
-      this.#next += 1;
+    const tokens = (this.#partialToken + text).split(" ");
+    this.#partialToken = tokens.pop() ?? "";
+    for (const token of tokens) {
+      const expected = `${this.#adapter}#${this.#tokenCount}`;
+      if (token !== expected) this.#verdict = "misdelivered";
+      this.#tokenCount += 1;
     }
   }
 }
--- a/packages/bench/src/load/zipf.ts
+++ b/packages/bench/src/load/zipf.ts
@@ -1,36 +1,37 @@
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 
-/** Draws ranks whose popularity falls as a power of the rank. */
+/** Samples ranks with a Zipf distribution. */
 export class ZipfSampler {
-  readonly #cumulative: Float64Array;
+  readonly #cumulativeWeights: Float64Array;
 
   /**
-   * @param count How many ranks there are.
-   * @param exponent How fast popularity falls; 0 is uniform.
+   * @param count The number of ranks.
+   * @param exponent The exponent of the distribution; 0 is uniform.
    */
   constructor(count: number, exponent: number) {
-    this.#cumulative = new Float64Array(count);
+    this.#cumulativeWeights = new Float64Array(count);
     let sum = 0;
     for (let rank = 0; rank < count; rank += 1) {
       sum += (rank + 1) ** -exponent;
-      this.#cumulative[rank] = sum;
+      this.#cumulativeWeights[rank] = sum;
     }
   }
 
   /**
-   * Draws a rank.
-   * @param random The generator.
-   * @returns A rank from 0, the most popular.
+   * Samples a rank.
+   * @param random The random number generator.
+   * @returns A rank from 0, which is the most frequent.
    */
   next(random: RandomGenerator): number {
-    const last = this.#cumulative.length - 1;
-    const drawn = uniformFloat64(random) * (this.#cumulative[last] ?? 0);
+    const last = this.#cumulativeWeights.length - 1;
+    const target = uniformFloat64(random) *
+      (this.#cumulativeWeights[last] ?? 0);
     let low = 0;
     let high = last;
     while (low < high) {
       const middle = (low + high) >>> 1;
-      if ((this.#cumulative[middle] ?? 0) < drawn) low = middle + 1;
+      if ((this.#cumulativeWeights[middle] ?? 0) < target) low = middle + 1;
       else high = middle;
     }
     return low;
--- a/packages/bench/src/relay/fated_orders.ts
+++ b/packages/bench/src/relay/fated_orders.ts
@@ -1,43 +1,43 @@
 import type { EngineOrder, OrderResult } from "@foxtailwind/node/relay";
 import type { OrderedAdapters } from "./ordered_adapters.ts";
 
-/** How an order and its answer fare on their way. */
+/** What happens to an order and its answer in transit. */
 export type OrderFate =
   | "answered"
-  /** Carried out at once; the answer is lost. */
+  /** Executed at once, but the answer is lost. */
   | "answer_lost"
-  /** Not carried out until {@link FatedOrders.carryOutLate}. */
+  /** Executed only by {@link FatedOrders.carryOutLate}. */
   | "late"
-  /** Nothing arrives. */
+  /** Never executed. */
   | "lost";
 
-/** Orders on their way to a stand-in of an engine. */
+/** Delivers orders to a stand-in engine with scripted losses and delays. */
 export class FatedOrders {
   readonly #adapters: OrderedAdapters;
-  readonly #late: EngineOrder[] = [];
-  /** The fates of the next orders; those after them are answered. */
+  readonly #lateOrders: EngineOrder[] = [];
+  /** The outcomes of the next orders; all later orders are answered. */
   nextFates: OrderFate[] = [];
-  /** What is late is carried out once the engine has accepted so many. */
+  /** The accepted order count at which late orders are executed, if any. */
   carryOutLateAt: number | undefined;
 
-  /** @param adapters Takes the orders that arrive. */
+  /** @param adapters The adapter state of the engine, which executes orders. */
   constructor(adapters: OrderedAdapters) {
     this.#adapters = adapters;
   }
 
-  /** How many orders are still on their way. */
+  /** The number of late orders not yet executed. */
   get lateCount(): number {
-    return this.#late.length;
+    return this.#lateOrders.length;
   }
 
   /**
    * Sends an order.
    * @param order The order.
-   * @returns What its sender learns of it.
+   * @returns The result that the sender sees; `unknown` without an answer.
    */
   send(order: EngineOrder): OrderResult {
     const fate = this.nextFates.shift() ?? "answered";
-    if (fate === "late") this.#late.push(order);
+    if (fate === "late") this.#lateOrders.push(order);
     if (fate === "late" || fate === "lost") return { kind: "unknown" };
     const result = this.#adapters.carryOut(order);
     if (this.#adapters.count === this.carryOutLateAt) this.carryOutLate();
@@ -45,10 +45,12 @@
   }
 
   /**
-   * Carries out what is late, at whichever start the engine is in by now.
-   * @returns What the engine made of each order.
+   * Executes the late orders, even if the engine has restarted since.
+   * @returns The engine's result for each order.
    */
   carryOutLate(): readonly OrderResult[] {
-    return this.#late.splice(0).map((order) => this.#adapters.carryOut(order));
+    return this.#lateOrders.splice(0).map((order) =>
+      this.#adapters.carryOut(order)
+    );
   }
 }
--- a/packages/bench/src/relay/mod.ts
+++ b/packages/bench/src/relay/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-ins of what a relay runs on, and a cluster of relays on them.
+ * In-memory stand-ins of a relay's dependencies, and a cluster that uses them.
  * @module
  */
 export * from "./fated_orders.ts";
--- a/packages/bench/src/relay/ordered_adapters.ts
+++ b/packages/bench/src/relay/ordered_adapters.ts
@@ -5,29 +5,32 @@
   OrderResult,
 } from "@foxtailwind/node/relay";
 
-/** The adapters of a stand-in of an engine, which count and fence orders. */
+/** The adapter state of a stand-in engine, with order counts and fencing. */
 export class OrderedAdapters {
+  /** The number of adapters that fit. */
   readonly slots: number;
+  /** The loaded adapters. */
   readonly held = new Set<AdapterId>();
-  /** Adapters that runs use, which can't leave. */
+  /** Adapters used by running requests, which can't be unloaded. */
   readonly inUse = new Set<AdapterId>();
   models: readonly ModelId[] = [];
-  /** The start that it reports, if any. */
+  /** The server start that reports name, if any. */
   start: ServerStart | undefined;
+  /** The number of orders accepted since the start. */
   count = 0;
   highestFence = 0;
-  /** Whether it was ever ordered to hold more than fits. */
+  /** Whether an order ever loaded more adapters than fit. */
   isOverfull = false;
 
-  /** @param slots How many adapters fit. */
+  /** @param slots The number of adapters that fit. */
   constructor(slots: number) {
     this.slots = slots;
   }
 
   /**
-   * Takes an order.
+   * Executes an order, unless it is fenced or expects another order count.
    * @param order The order.
-   * @returns What came of it.
+   * @returns The result.
    */
   carryOut(order: EngineOrder): OrderResult {
     if (order.fence < this.highestFence) return { kind: "fenced" };
@@ -48,7 +51,7 @@
   }
 
   /**
-   * Starts again: nothing is held, and counts and fences begin anew.
+   * Restarts: unloads everything and resets the order count and the fence.
    * @param start The new start.
    */
   restart(start: ServerStart): void {
@@ -60,7 +63,7 @@
     this.highestFence = 0;
   }
 
-  /** What the engine says of itself. */
+  /** The state that the engine reports. */
   get report(): EngineReport {
     const model = this.models[0];
     return {
--- a/packages/bench/src/relay/relay_cluster.ts
+++ b/packages/bench/src/relay/relay_cluster.ts
@@ -16,7 +16,7 @@
 import {
   STAND_IN_ENGINES as ENGINES,
   STAND_IN_HOST as HOST,
-  STAND_IN_LOOKUPS as LOOKUPS,
+  STAND_IN_LOOKUP_SERVICE as LOOKUPS,
   standInConfiguration,
 } from "./stand_in_configuration.ts";
 import { StandInControl, StandInEngine } from "./stand_in_engine.ts";
@@ -24,48 +24,48 @@
 import type { StandInServer } from "./stand_in_server.ts";
 import { standInSettings } from "./stand_in_settings.ts";
 import {
-  LIMIT_HEADER,
+  REQUEST_LIMIT_HEADER,
   StandInOperations,
   StandInWire,
 } from "./stand_in_wire.ts";
 
-const READY = 200;
-/** Between two questions for readiness, in milliseconds. */
-const READY_POLL = 20;
+const HTTP_OK = 200;
+/** The interval between two readiness checks. */
+const READINESS_POLL_MILLISECONDS = 20;
 
-/** For how long an engine that a request has ended is down. */
-const DOWN_MILLISECONDS = 500;
+/** How long an engine is down after a request crashed it. */
+const ENGINE_DOWNTIME_MILLISECONDS = 500;
 
 /** The first start of every server, in Unix milliseconds. */
-const FIRST_START = serverStart(1_700_000_000_000);
-/** Between two starts of a server, in milliseconds, by its own clock. */
-const START_STEP = 1_000;
+const INITIAL_START = serverStart(1_700_000_000_000);
+/** The time between two starts of a server, by its own clock. */
+const START_STEP_MILLISECONDS = 1_000;
 
-/** How a server starts again under its id. */
-export interface RestartTerms {
-  /** The new start; a second after the one before where left out. */
+/** How a server restarts under its id. */
+export interface RestartOptions {
+  /** The new start; by default one second after the previous one. */
   readonly start?: ServerStart;
-  /** Whether its entry in the registry is held back, and told by nobody. */
+  /** Whether the new registry entry is not published. */
   readonly isUnregistered?: boolean;
 }
 
-/** How large a cluster is. */
+/** The size of a cluster. */
 export interface RelayClusterSize {
   readonly nodes: number;
   readonly engines: number;
-  /** Adapters that fit on an engine. */
+  /** The number of adapters that fit on an engine. */
   readonly slots: number;
-  /** From a planned stop's begin to its end by force. */
+  /** The time from the begin of a planned stop to a forced stop. */
   readonly grace?: Duration;
 }
 
-/** A caller's answer. */
+/** The answer that a caller receives. */
 export interface RelayAnswer {
   readonly status: number;
   readonly body: string;
 }
 
-/** Relays in this process, on stand-ins of all that they run on. */
+/** Relays in this process, with stand-ins of all their dependencies. */
 export class RelayCluster {
   readonly store = new StandInStore();
   readonly engines = new Map<string, StandInEngine>();
@@ -73,31 +73,31 @@
   /** Each node's view of the store, in the order of the daemons. */
   readonly logs: StandInLog[] = [];
   readonly #size: RelayClusterSize;
-  readonly #lookups: Server;
+  readonly #lookupServer: Server;
   readonly #servers = new Map<string, StandInServer>();
-  #requests = 0;
-  /** The requests a second that the plain server names, where it does. */
+  #requestCount = 0;
+  /** The requests per second that the lookup server allows, if it names any. */
   lookupLimit: number | undefined;
-  /** Called as a request reaches the plain server. */
+  /** Called when a request reaches the lookup server. */
   onLookup: () => void = () => undefined;
 
   private constructor(size: RelayClusterSize) {
     this.#size = size;
-    this.#lookups = createServer((request, response) => {
+    this.#lookupServer = createServer((request, response) => {
       request.resume();
       this.onLookup();
       response.setHeader("x-id", String(request.headers["x-id"]));
       response.setHeader("x-seal", "s");
       if (this.lookupLimit !== undefined) {
-        response.setHeader(LIMIT_HEADER, String(this.lookupLimit));
+        response.setHeader(REQUEST_LIMIT_HEADER, String(this.lookupLimit));
       }
       response.end(`looked up ${request.url}`);
     });
   }
 
   /**
-   * Starts a cluster, and waits until its nodes are ready.
-   * @param size Its size.
+   * Starts a cluster and waits until its nodes are ready.
+   * @param size The size of the cluster.
    * @returns The cluster.
    */
   static async start(size: RelayClusterSize): Promise<RelayCluster> {
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Starts a node, and waits until it is ready.
-   * @param id Its id.
+   * Starts a node and waits until it is ready.
+   * @param id The id of the node.
    * @returns The node.
    */
   async addNode(id: string): Promise<RelayDaemon> {
@@ -131,14 +131,16 @@
     await daemon.start();
     this.daemons.push(daemon);
     this.logs.push(log);
-    while (!await this.isReady(daemon)) await sleep(READY_POLL);
+    while (!await this.isReady(daemon)) {
+      await sleep(READINESS_POLL_MILLISECONDS);
+    }
     return daemon;
   }
 
   /**
    * Asks a node whether it is ready.
    * @param daemon The node.
-   * @returns Whether it says so.
+   * @returns Whether the node reports that it is ready.
    */
   async isReady(daemon: RelayDaemon): Promise<boolean> {
     const { statusCode, body } = await send(
@@ -146,13 +148,13 @@
       { reset: true },
     );
     await body.dump();
-    return statusCode === READY;
+    return statusCode === HTTP_OK;
   }
 
   /**
-   * Asks a node where callers may connect.
+   * Asks a node for the addresses that callers may connect to.
    * @param daemon The node.
-   * @returns The addresses that it names.
+   * @returns The addresses.
    */
   async addresses(daemon: RelayDaemon): Promise<readonly string[]> {
     const { body } = await send(
@@ -163,52 +165,52 @@
   }
 
   /**
-   * Asks for a generation with an adapter.
-   * @param daemon The node that is asked.
+   * Requests a generation with an adapter.
+   * @param daemon The node that receives the request.
    * @param adapter The adapter.
-   * @param path What is asked for.
-   * @returns The answer; its body has an event for each piece.
+   * @param path The path of the request.
+   * @returns The answer, with the stream's events in its body.
    */
   generate(
     daemon: RelayDaemon,
     adapter: string,
     path = "/drafts/new",
   ): Promise<RelayAnswer> {
-    return this.#call(daemon, path, { "x-adapter": adapter });
+    return this.#postRequest(daemon, path, { "x-adapter": adapter });
   }
 
   /**
-   * Lets a request with a path end each engine that begins to run it; the
-   * engine starts again a little later.
+   * Makes each engine crash when it begins to run a request with a path. The
+   * engine restarts after {@link ENGINE_DOWNTIME_MILLISECONDS}.
    * @param path The path.
-   * @param onCrash Called each time.
+   * @param onCrash Called at each crash.
    */
-  crashOn(path: string, onCrash: () => void): void {
+  crashEnginesOn(path: string, onCrash: () => void): void {
     for (const [id, engine] of this.engines) {
       engine.crashPath = path;
       engine.onCrash = () => {
         engine.crash();
         setTimeout(() => {
           this.restart(id);
-        }, DOWN_MILLISECONDS);
+        }, ENGINE_DOWNTIME_MILLISECONDS);
         onCrash();
       };
     }
   }
 
   /**
-   * Asks the plain service.
-   * @param daemon The node that is asked.
+   * Sends a request for the lookup service.
+   * @param daemon The node that receives the request.
    * @returns The answer.
    */
   lookUp(daemon: RelayDaemon): Promise<RelayAnswer> {
-    return this.#call(daemon, "/lookups/slots", {});
+    return this.#postRequest(daemon, "/lookups/slots", {});
   }
 
   /**
-   * Names another version of the configuration.
+   * Publishes another version of the configuration.
    * @param version The version.
-   * @param hasLookups Whether it has the route of the plain service.
+   * @param hasLookups Whether it has the route of the lookup service.
    */
   configure(version: number, hasLookups: boolean): void {
     const { routes, ...rest } = standInConfiguration(version, this.#size.slots);
@@ -219,50 +221,49 @@
   }
 
   /**
-   * Starts a server again under its id and address: it holds nothing, its
-   * counts and fences begin anew, and its connections are cut.
-   * @param id The server.
-   * @param terms How it starts again.
+   * Restarts a server under its id and address. It holds no model or adapter,
+   * its order count and fence are reset, and its connections are closed.
+   * @param id The id of the server.
+   * @param options How it restarts.
    * @returns The new start.
    */
-  restart(id: string, terms: RestartTerms = {}): ServerStart {
-    const server = this.#server(id);
-    const start = terms.start ??
-      serverStart((server.start ?? FIRST_START) + START_STEP);
+  restart(id: string, options: RestartOptions = {}): ServerStart {
+    const server = this.#getServer(id);
+    const start = options.start ??
+      serverStart((server.start ?? INITIAL_START) + START_STEP_MILLISECONDS);
     const engine = this.engines.get(id);
-    if (engine === undefined) this.#lookups.closeAllConnections();
+    if (engine === undefined) this.#lookupServer.closeAllConnections();
     else engine.restart(start);
     this.#servers.set(id, { ...server, leaving: false, start });
-    if (terms.isUnregistered !== true) this.register(id);
+    if (options.isUnregistered !== true) this.register(id);
     return start;
   }
 
   /**
-   * Writes a server's entry into the registry, as servers do from time to
-   * time.
-   * @param id The server.
+   * Writes a server's entry into the registry, as servers do periodically.
+   * @param id The id of the server.
    */
   register(id: string): void {
-    const server = this.#server(id);
+    const server = this.#getServer(id);
     const models = this.engines.get(id)?.adapters.models ?? [];
     this.store.register({ ...server, isEmpty: models.length === 0 });
   }
 
   /**
-   * Lets a server say that it leaves.
-   * @param id The server.
+   * Marks a server as leaving in its registry entry.
+   * @param id The id of the server.
    */
-  leave(id: string): void {
-    this.#servers.set(id, { ...this.#server(id), leaving: true });
+  markLeaving(id: string): void {
+    this.#servers.set(id, { ...this.#getServer(id), leaving: true });
     this.register(id);
   }
 
-  /** Ends everything. */
+  /** Stops the nodes, the engines and the lookup server. */
   async stop(): Promise<void> {
     await Promise.all(this.daemons.map((daemon) => daemon.stop()));
     for (const engine of this.engines.values()) engine.close();
-    this.#lookups.close();
-    this.#lookups.closeAllConnections();
+    this.#lookupServer.close();
+    this.#lookupServer.closeAllConnections();
   }
 
   async #startServers(): Promise<void> {
@@ -270,24 +271,24 @@
       const engine = new StandInEngine(
         `engine-${index}`,
         this.#size.slots,
-        FIRST_START,
+        INITIAL_START,
       );
       this.engines.set(engine.id, engine);
       this.#addServer({
         id: engine.id,
-        start: FIRST_START,
+        start: INITIAL_START,
         service: ENGINES,
         address: await engine.listen(),
         isEngine: true,
       });
     }
     await new Promise<void>((resolve) => {
-      this.#lookups.listen(0, "127.0.0.1", resolve);
+      this.#lookupServer.listen(0, "127.0.0.1", resolve);
     });
-    const { port } = this.#lookups.address() as AddressInfo;
+    const { port } = this.#lookupServer.address() as AddressInfo;
     this.#addServer({
       id: "lookup-1",
-      start: FIRST_START,
+      start: INITIAL_START,
       service: LOOKUPS,
       address: `127.0.0.1:${port}`,
     });
@@ -298,23 +299,23 @@
     this.register(server.id);
   }
 
-  #server(id: string): StandInServer {
+  #getServer(id: string): StandInServer {
     const server = this.#servers.get(id);
     if (server === undefined) throw new RangeError(`There is no server ${id}.`);
     return server;
   }
 
-  async #call(
+  async #postRequest(
     daemon: RelayDaemon,
     path: string,
     headers: Readonly<Record<string, string>>,
   ): Promise<RelayAnswer> {
-    this.#requests += 1;
+    this.#requestCount += 1;
     const { statusCode, body } = await send(
       `http://${daemon.callerAddress}${path}`,
       {
         method: "POST",
-        headers: { host: HOST, "x-id": `r${this.#requests}`, ...headers },
+        headers: { host: HOST, "x-id": `r${this.#requestCount}`, ...headers },
         reset: true,
       },
     );
--- a/packages/bench/src/relay/stand_in_configuration.ts
+++ b/packages/bench/src/relay/stand_in_configuration.ts
@@ -6,24 +6,24 @@
 } from "@foxtailwind/core";
 import { standInEngines } from "./stand_in_server.ts";
 
-/** The stand-ins' service of engines. */
+/** The id of the stand-in engine service. */
 export const STAND_IN_ENGINES = serviceId("engines");
-/** The stand-ins' plain service. */
-export const STAND_IN_LOOKUPS = serviceId("lookups");
-/** The host that the stand-ins' routes are for. */
+/** The id of the stand-in lookup service, which has no engines. */
+export const STAND_IN_LOOKUP_SERVICE = serviceId("lookups");
+/** The host of the stand-in routes. */
 export const STAND_IN_HOST = "desk.example";
 
 /**
- * Writes the stand-ins' configuration: a route of engines and a plain one.
- * @param version Its version.
- * @param slots How many adapters fit on an engine.
+ * Builds a configuration with a route to engines and one to lookup servers.
+ * @param version The version of the configuration.
+ * @param slots The number of adapters that fit on an engine.
  * @returns The configuration.
  */
 export function standInConfiguration(
   version: number,
   slots: number,
 ): RelayConfiguration {
-  const base = {
+  const routeDefaults = {
     host: STAND_IN_HOST,
     resumable: false,
     attempts: 2,
@@ -35,7 +35,7 @@
     version,
     routes: [
       {
-        ...base,
+        ...routeDefaults,
         name: "drafts",
         pathPrefix: "/drafts/",
         repeatable: false,
@@ -43,16 +43,16 @@
         targets: [{ service: STAND_IN_ENGINES, weight: 1 }],
       },
       {
-        ...base,
+        ...routeDefaults,
         name: "lookups",
         pathPrefix: "/lookups/",
         repeatable: true,
         streams: false,
-        targets: [{ service: STAND_IN_LOOKUPS, weight: 1 }],
+        targets: [{ service: STAND_IN_LOOKUP_SERVICE, weight: 1 }],
       },
     ],
     services: [
-      { id: STAND_IN_LOOKUPS, connectionLimit: 50 },
+      { id: STAND_IN_LOOKUP_SERVICE, connectionLimit: 50 },
       standInEngines(STAND_IN_ENGINES, slots),
     ],
     limits: {
--- a/packages/bench/src/relay/stand_in_engine.ts
+++ b/packages/bench/src/relay/stand_in_engine.ts
@@ -20,52 +20,53 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { FatedOrders } from "./fated_orders.ts";
 import { OrderedAdapters } from "./ordered_adapters.ts";
-import { LIMIT_HEADER, STAND_IN_MODEL } from "./stand_in_wire.ts";
+import { REQUEST_LIMIT_HEADER, STAND_IN_MODEL } from "./stand_in_wire.ts";
 
 const MISDIRECTED = 421;
-/** Events of each stream, and the pause between two, in milliseconds. */
-const EVENTS = 5;
-const PAUSE_MILLISECONDS = 20;
+/** The number of events in each stream. */
+const EVENTS_PER_STREAM = 5;
+/** The pause after each event of a stream. */
+const EVENT_INTERVAL_MILLISECONDS = 20;
 
-/** An engine that streams events for the adapters that it was ordered to hold. */
+/** An HTTP engine that streams events for the adapters loaded by orders. */
 export class StandInEngine {
   readonly id: string;
   readonly adapters: OrderedAdapters;
-  readonly fates: FatedOrders;
-  /** The request ids that it ran, in order. */
+  readonly orderDelivery: FatedOrders;
+  /** The ids of the requests that it ran, in order. */
   readonly runs: string[] = [];
-  /** A request with this path ends the engine as it begins to run. */
+  /** The path of the requests that crash the engine when they begin to run. */
   crashPath: string | undefined;
-  /** The requests a second that it names in its answers, where it does. */
+  /** The requests per second that it allows, if its answers name a limit. */
   requestLimit: number | undefined;
-  /** Called as a request reaches it. */
+  /** Called when a request arrives. */
   onRequest: () => void = () => undefined;
-  /** Called as the engine ends in that way. */
+  /** Called when a request with {@link crashPath} begins to run. */
   onCrash: () => void = () => undefined;
   readonly #server = createServer((request, response) => {
-    void this.#answer(request, response);
+    void this.#handleRequest(request, response);
   });
   #isDown = false;
 
   /**
-   * @param id Its id.
-   * @param slots How many adapters fit.
-   * @param start Its first start.
+   * @param id The id of the engine.
+   * @param slots The number of adapters that fit.
+   * @param start The first start of the engine.
    */
   constructor(id: string, slots: number, start: ServerStart) {
     this.id = id;
     this.adapters = new OrderedAdapters(slots);
     this.adapters.models = [STAND_IN_MODEL];
     this.adapters.start = start;
-    this.fates = new FatedOrders(this.adapters);
+    this.orderDelivery = new FatedOrders(this.adapters);
     this.#server.on("connection", (socket) => {
       if (this.#isDown) socket.resetAndDestroy();
     });
   }
 
   /**
-   * Starts to answer on loopback.
-   * @returns Its address.
+   * Listens on a free loopback port.
+   * @returns The address, as IP literal and port.
    */
   async listen(): Promise<string> {
     await new Promise<void>((resolve) => {
@@ -74,14 +75,14 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Takes no connections until it starts again. */
+  /** Closes all connections and resets new ones until the next restart. */
   crash(): void {
     this.#isDown = true;
     this.#server.closeAllConnections();
   }
 
   /**
-   * Starts again under its id and address: empty, its connections cut.
+   * Restarts under the same id and address, empty and without connections.
    * @param start The new start.
    */
   restart(start: ServerStart): void {
@@ -90,13 +91,13 @@
     this.#server.closeAllConnections();
   }
 
-  /** Ends for good. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
-  async #answer(
+  async #handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -106,7 +107,7 @@
     const adapter = adapterId(String(request.headers["x-adapter"]));
     response.setHeader("x-id", id);
     if (this.requestLimit !== undefined) {
-      response.setHeader(LIMIT_HEADER, String(this.requestLimit));
+      response.setHeader(REQUEST_LIMIT_HEADER, String(this.requestLimit));
     }
     if (!this.adapters.held.has(adapter)) {
       response.writeHead(MISDIRECTED, { "x-not-run": "1" }).end();
@@ -119,19 +120,23 @@
     });
     if (request.url === this.crashPath) {
       response.flushHeaders();
-      await sleep(PAUSE_MILLISECONDS);
+      await sleep(EVENT_INTERVAL_MILLISECONDS);
       this.onCrash();
       return;
     }
-    for (let event = 1; event <= EVENTS && !response.destroyed; event += 1) {
+    for (
+      let event = 1;
+      event <= EVENTS_PER_STREAM && !response.destroyed;
+      event += 1
+    ) {
       response.write(`id: ${event}\ndata: ${adapter}\n\n`);
-      await sleep(PAUSE_MILLISECONDS);
+      await sleep(EVENT_INTERVAL_MILLISECONDS);
     }
     response.end();
   }
 }
 
-/** Orders to the stand-ins of engines in this process. */
+/** Sends orders to the stand-in engines of this process. */
 export class StandInControl extends EngineControl {
   readonly #engines: ReadonlyMap<string, StandInEngine>;
 
@@ -147,7 +152,9 @@
   ): Promise<OrderResult> {
     const engine = this.#engines.get(id);
     return Promise.resolve(
-      engine === undefined ? { kind: "misdirected" } : engine.fates.send(order),
+      engine === undefined
+        ? { kind: "misdirected" }
+        : engine.orderDelivery.send(order),
     );
   }
 
--- a/packages/bench/src/relay/stand_in_log.ts
+++ b/packages/bench/src/relay/stand_in_log.ts
@@ -17,7 +17,7 @@
 import { type StandInServer, standInServer } from "./stand_in_server.ts";
 import { err, ok, type Result } from "neverthrow";
 
-const FAILURE: Failure = {
+const STORE_DOWN: Failure = {
   reason: "unavailable",
   step: "read_log",
   peer: "store",
@@ -25,10 +25,10 @@
   outcome: "not_run",
 };
 
-/** Tells a node something that the store holds. */
-type News = (listener: SharedLogListener) => void;
+/** Passes a record of the store to a node's listener. */
+type Notification = (listener: SharedLogListener) => void;
 
-/** What the platform's store holds, for all nodes of one process. */
+/** The contents of the platform's store, shared by the nodes of a process. */
 export class StandInStore {
   readonly #logs = new Set<StandInLog>();
   readonly #servers = new Map<string, RegisteredServer>();
@@ -36,24 +36,24 @@
   readonly #nodes: NodeRecord[] = [];
   readonly #suspicions = new Map<string, CrashSuspicion>();
   #configuration: RelayConfiguration | undefined;
-  #registryEnd = 0;
-  #operatorsEnd = 0;
-  /** Whether calls are answered, and what changes is told. */
+  #registryOffset = 0;
+  #operatorsOffset = 0;
+  /** Whether calls are answered and changes are delivered. */
   isUp = true;
 
-  /** The claims, in their order. */
+  /** The claims, in the order of the log. */
   get claims(): readonly ClaimRecord[] {
     return this.#claims;
   }
 
   /**
-   * Names a configuration.
+   * Publishes a configuration.
    * @param configuration The whole configuration.
    */
   configure(configuration: RelayConfiguration): void {
     this.#configuration = configuration;
-    this.#operatorsEnd += 1;
-    const end = logOffset(this.#operatorsEnd);
+    this.#operatorsOffset += 1;
+    const end = logOffset(this.#operatorsOffset);
     this.#publish((listener) => {
       listener.configuration(configuration);
       listener.operatorsTold(end);
@@ -61,27 +61,27 @@
   }
 
   /**
-   * Adds a server to the registry, or changes its entry.
+   * Adds a server to the registry or replaces its entry.
    * @param server The server.
    */
   register(server: StandInServer): void {
     const entry = standInServer(server);
     this.#servers.set(server.id, entry);
-    this.#registryEnd += 1;
-    const offset = logOffset(this.#registryEnd);
+    this.#registryOffset += 1;
+    const offset = logOffset(this.#registryOffset);
     this.#publish((listener) => {
       listener.registryEntry({ kind: "present", offset, server: entry });
     });
   }
 
   /**
-   * Takes a server out of the registry.
-   * @param id The server's id.
+   * Removes a server from the registry.
+   * @param id The id of the server.
    */
   unregister(id: string): void {
     this.#servers.delete(id);
-    this.#registryEnd += 1;
-    const offset = logOffset(this.#registryEnd);
+    this.#registryOffset += 1;
+    const offset = logOffset(this.#registryOffset);
     this.#publish((listener) => {
       listener.registryEntry({
         kind: "gone",
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Adds claims. Nodes hear of each one at once, so that none claims without
-   * knowing the ones before.
+   * Adds claims. Each one is delivered to the nodes at once, so that no node
+   * claims without knowing the earlier claims.
    * @param claims The claims.
    */
   appendClaims(claims: readonly ClaimRecord[]): void {
@@ -107,7 +107,7 @@
   }
 
   /**
-   * Makes a node known.
+   * Adds the record of a node.
    * @param node The node.
    */
   appendNode(node: NodeRecord): void {
@@ -123,8 +123,10 @@
    */
   changeSuspicions(changes: readonly SuspicionChange[]): void {
     for (const change of changes) {
-      const about = change.kind === "added" ? change.suspicion : change.key;
-      const key = `${about.content} ${suspectedRunKey(about)}`;
+      const suspectedRun = change.kind === "added"
+        ? change.suspicion
+        : change.key;
+      const key = `${suspectedRun.content} ${suspectedRunKey(suspectedRun)}`;
       if (change.kind === "added") this.#suspicions.set(key, change.suspicion);
       else this.#suspicions.delete(key);
       this.#publish((listener) => {
@@ -134,17 +136,17 @@
   }
 
   /**
-   * Tells a node all that is there, and what comes from now on.
-   * @param log The node's log.
-   * @param listener Takes it.
+   * Delivers the whole contents to a node, and all later changes.
+   * @param log The log of the node.
+   * @param listener Receives the contents.
    */
   attach(log: StandInLog, listener: SharedLogListener): void {
     this.#logs.add(log);
     if (this.#configuration !== undefined) {
       listener.configuration(this.#configuration);
     }
-    listener.operatorsTold(logOffset(this.#operatorsEnd));
-    const offset = logOffset(this.#registryEnd);
+    listener.operatorsTold(logOffset(this.#operatorsOffset));
+    const offset = logOffset(this.#registryOffset);
     const entries = [...this.#servers.values()].map((server) =>
       ({ kind: "present", offset, server }) as const
     );
@@ -157,29 +159,29 @@
   }
 
   /**
-   * Tells a node no more.
-   * @param log The node's log.
+   * Stops the delivery of changes to a node.
+   * @param log The log of the node.
    */
   detach(log: StandInLog): void {
     this.#logs.delete(log);
   }
 
-  #publish(tell: News): void {
-    for (const log of this.#logs) log.deliver(tell);
+  #publish(notify: Notification): void {
+    for (const log of this.#logs) log.deliver(notify);
   }
 }
 
-/** Between two looks whether the store still answers, in milliseconds. */
+/** The interval between two checks whether the store is up. */
 const POLL_MILLISECONDS = 100;
 
-/** One node's view of the stand-in of the store. */
+/** One node's view of the stand-in store. */
 export class StandInLog extends SharedLog {
   readonly #store: StandInStore;
-  /** News that came while the store was down. */
-  readonly #held: News[] = [];
+  /** Notifications held back while the store was down or the log silent. */
+  readonly #heldBack: Notification[] = [];
   #listener: SharedLogListener | undefined;
   #timer: NodeJS.Timeout | undefined;
-  /** Whether news are held back though calls are answered. */
+  /** Whether notifications are held back although calls are answered. */
   isSilent = false;
 
   /** @param store The store. */
@@ -194,10 +196,10 @@
     listener.reached();
     this.#timer = setInterval(() => {
       if (!this.#store.isUp) {
-        listener.failed(FAILURE);
+        listener.failed(STORE_DOWN);
         return;
       }
-      this.#release(listener);
+      this.#deliverHeldBack(listener);
       listener.reached();
     }, POLL_MILLISECONDS);
   }
@@ -205,20 +207,21 @@
   override claim(
     claims: readonly ClaimRecord[],
   ): Promise<Result<boolean, Failure>> {
-    if (!this.#store.isUp) return Promise.resolve(err(FAILURE));
+    if (!this.#store.isUp) return Promise.resolve(err(STORE_DOWN));
     this.#store.appendClaims(claims);
     return Promise.resolve(ok(true));
   }
 
-  /** Claims are told as they are added. */
+  /** Does nothing, since claims are delivered as they are added. */
   override catchUp(): Promise<void> {
     return Promise.resolve();
   }
 
+  /** Does nothing, since claims are delivered as they are added. */
   override hurry(): void {}
 
   override announce(node: NodeRecord): Promise<Result<boolean, Failure>> {
-    if (!this.#store.isUp) return Promise.resolve(err(FAILURE));
+    if (!this.#store.isUp) return Promise.resolve(err(STORE_DOWN));
     this.#store.appendNode(node);
     return Promise.resolve(ok(true));
   }
@@ -226,7 +229,7 @@
   override changeSuspicions(
     changes: readonly SuspicionChange[],
   ): Promise<Result<void, Failure>> {
-    if (!this.#store.isUp) return Promise.resolve(err(FAILURE));
+    if (!this.#store.isUp) return Promise.resolve(err(STORE_DOWN));
     this.#store.changeSuspicions(changes);
     return Promise.resolve(ok(undefined));
   }
@@ -238,16 +241,17 @@
   }
 
   /**
-   * Takes news of the store, for when it answers.
-   * @param tell Tells it to whoever listens.
+   * Passes a notification to the listener, or holds it back while the store is
+   * down or the log is silent.
+   * @param notify Calls the listener.
    */
-  deliver(tell: News): void {
-    if (!this.#store.isUp || this.isSilent) this.#held.push(tell);
-    else if (this.#listener !== undefined) tell(this.#listener);
+  deliver(notify: Notification): void {
+    if (!this.#store.isUp || this.isSilent) this.#heldBack.push(notify);
+    else if (this.#listener !== undefined) notify(this.#listener);
   }
 
-  #release(listener: SharedLogListener): void {
+  #deliverHeldBack(listener: SharedLogListener): void {
     if (this.isSilent) return;
-    for (const tell of this.#held.splice(0)) tell(listener);
+    for (const notify of this.#heldBack.splice(0)) notify(listener);
   }
 }
--- a/packages/bench/src/relay/stand_in_server.ts
+++ b/packages/bench/src/relay/stand_in_server.ts
@@ -8,33 +8,33 @@
 } from "@foxtailwind/core";
 import { STAND_IN_MODEL } from "./stand_in_wire.ts";
 
-/** A backend server of a stand-in's registry: what matters, the rest usual. */
+/** A backend server of the stand-in registry; other fields have defaults. */
 export interface StandInServer {
   readonly id: string;
   readonly service: ServiceId;
   readonly start?: ServerStart;
   /** IP literal and port. */
   readonly address: string;
-  /** Whether it is an engine, and holds the stand-ins' model. */
+  /** Whether it is an engine, which holds {@link STAND_IN_MODEL}. */
   readonly isEngine?: boolean;
   readonly leaving?: boolean;
-  /** Whether it has just started again and holds no model yet. */
+  /** Whether it has just restarted and holds no model yet. */
   readonly isEmpty?: boolean;
 }
 
-/** Requests that a stand-in runs at once. */
-const SLOTS = 16;
-/** The size of the one model and of an adapter, which always fit. */
-const MEGABYTES = 1;
+/** The number of requests that a server runs concurrently. */
+const REQUEST_SLOTS = 16;
+/** The size of the model and of each adapter, so small that they always fit. */
+const MODEL_MEGABYTES = 1;
 const ENGINE_MEGABYTES = 100;
 
 /**
- * Describes a server as registries do.
- * @param server What matters of it.
- * @returns Its description.
+ * Builds the registry entry of a server.
+ * @param server The server.
+ * @returns The entry.
  */
 export function standInServer(server: StandInServer): RegisteredServer {
-  const held = { model: STAND_IN_MODEL, adapters: new Map() };
+  const loadedModel = { model: STAND_IN_MODEL, adapters: new Map() };
   return {
     id: backendServerId(server.id),
     ...(server.start === undefined ? {} : { start: server.start }),
@@ -42,17 +42,19 @@
     address: server.address,
     failureDomain: failureDomainId("domain-a"),
     leaving: server.leaving ?? false,
-    slots: SLOTS,
-    models: server.isEngine === true && server.isEmpty !== true ? [held] : [],
+    slots: REQUEST_SLOTS,
+    models: server.isEngine === true && server.isEmpty !== true
+      ? [loadedModel]
+      : [],
     orderCount: 0,
   };
 }
 
 /**
- * Describes a service of engines.
- * @param id The service.
- * @param adapterSlots How many adapters fit on an engine.
- * @returns The service, as configurations have it.
+ * Builds the configuration of an engine service.
+ * @param id The id of the service.
+ * @param adapterSlots The number of adapters that fit on an engine.
+ * @returns The configuration of the service.
  */
 export function standInEngines(
   id: ServiceId,
@@ -64,8 +66,8 @@
     engine: {
       models: [{
         model: STAND_IN_MODEL,
-        megabytes: MEGABYTES,
-        adapterMegabytes: MEGABYTES,
+        megabytes: MODEL_MEGABYTES,
+        adapterMegabytes: MODEL_MEGABYTES,
       }],
       megabytes: ENGINE_MEGABYTES,
       adapterSlots,
--- a/packages/bench/src/relay/stand_in_settings.ts
+++ b/packages/bench/src/relay/stand_in_settings.ts
@@ -1,10 +1,10 @@
 import type { Duration } from "@foxtailwind/core";
 
 /**
- * Writes the settings of a relay on stand-ins: free ports of loopback.
- * @param id The node.
- * @param grace From a planned stop's begin to its end by force.
- * @returns INI.
+ * Builds the settings of a relay that listens on free loopback ports.
+ * @param id The id of the node.
+ * @param grace The time from the begin of a planned stop to a forced stop.
+ * @returns The settings as INI text.
  */
 export function standInSettings(id: string, grace: Duration): string {
   return `
--- a/packages/bench/src/relay/stand_in_wire.ts
+++ b/packages/bench/src/relay/stand_in_wire.ts
@@ -12,13 +12,13 @@
 
 type Headers = Readonly<Record<string, string | string[] | undefined>>;
 
-/** The one model of the stand-ins of engines. */
+/** The only model of the stand-in engines. */
 export const STAND_IN_MODEL = modelId("m");
 
-/** The requests a second that a server takes from all nodes together. */
-export const LIMIT_HEADER = "x-limit";
+/** Names the requests per second that a server accepts from all nodes. */
+export const REQUEST_LIMIT_HEADER = "x-limit";
 
-/** A wire of the stand-ins: headers that begin with `x-`. */
+/** A caller protocol that uses headers with the prefix `x-`. */
 export class StandInWire extends RelayWire {
   override readRequest(
     headers: IncomingHttpHeaders,
@@ -45,22 +45,27 @@
     });
   }
 
-  override sendHeaders(raw: readonly string[], terms: SendTerms): string[] {
-    const kept: string[] = [];
-    for (let index = 0; index < raw.length; index += 2) {
-      const name = (raw[index] ?? "").toLowerCase();
-      if (name.startsWith("x-")) kept.push(name, raw[index + 1] ?? "");
+  override sendHeaders(
+    rawHeaders: readonly string[],
+    terms: SendTerms,
+  ): string[] {
+    const headers: string[] = [];
+    for (let index = 0; index < rawHeaders.length; index += 2) {
+      const name = (rawHeaders[index] ?? "").toLowerCase();
+      if (name.startsWith("x-")) {
+        headers.push(name, rawHeaders[index + 1] ?? "");
+      }
     }
-    kept.push("x-server", terms.server, "x-left", String(terms.timeLeft));
+    headers.push("x-server", terms.server, "x-left", String(terms.timeLeft));
     if (terms.resumeAfter !== undefined) {
-      kept.push("x-after", terms.resumeAfter);
+      headers.push("x-after", terms.resumeAfter);
     }
-    return kept;
+    return headers;
   }
 
   override readAnswer(status: number, headers: Headers): AnswerFacts {
     const id = headers["x-id"];
-    const limit = headers[LIMIT_HEADER];
+    const limit = headers[REQUEST_LIMIT_HEADER];
     return {
       ...(typeof id === "string" ? { requestId: id } : {}),
       ...(typeof limit === "string" ? { requestLimit: Number(limit) } : {}),
@@ -71,7 +76,7 @@
   }
 }
 
-/** How the stand-ins ask a node for its readiness and for addresses. */
+/** The protocol of requests for a node's readiness and addresses. */
 export class StandInOperations extends OperationsWire {
   override readonly readinessPath = "/readiness";
   override readonly addressesPath = "/addresses";
--- a/packages/bench/tests/relay/crashing_request_test.ts
+++ b/packages/bench/tests/relay/crashing_request_test.ts
@@ -3,22 +3,22 @@
 import type { RelayDaemon } from "@foxtailwind/node/relay";
 import test, { type ExecutionContext } from "ava";
 import { setTimeout as sleep } from "node:timers/promises";
-import { nodeOf, until, untilOwned } from "./helpers/cluster.ts";
+import { getNode, waitUntil, waitUntilOwned } from "./helpers/cluster.ts";
 
-const CRASHING = "/drafts/crashing";
+const CRASHING_PATH = "/drafts/crashing";
 const ADAPTER = "a1";
-const SERVED = 200;
-const NOT_RUN = 503;
-/** After so many crashes, nodes may not send the request any more. */
-const MOST_CRASHES = 3;
-/** So many repeats may reach servers after that. */
-const MOST_REPEATS = 3;
-/** Below the time that nodes have to learn of the third crash. */
-const LEARNING_MILLISECONDS = 1_500;
-/** How often the request comes again after that, at each node. */
+const HTTP_OK = 200;
+const SERVICE_UNAVAILABLE = 503;
+/** The number of crashes after which nodes must refuse the request. */
+const CRASH_LIMIT = 3;
+/** The number of repeats that may still reach servers after an outage. */
+const MAX_LATER_CRASHES = 3;
+/** Less than the time allowed for nodes to learn of the third crash. */
+const PROPAGATION_MILLISECONDS = 1_500;
+/** How often each node then receives the request again. */
 const LATER_REPEATS = 3;
 
-/** A cluster whose engines a request ends, and how often it has. */
+/** A cluster whose engines a request crashes, with a count of the crashes. */
 class CrashingCluster {
   crashes = 0;
 
@@ -35,129 +35,135 @@
       grace: seconds(6),
     });
     t.teardown(() => cluster.stop());
-    await untilOwned(cluster);
+    await waitUntilOwned(cluster);
     const crashing = new CrashingCluster(cluster);
-    cluster.crashOn(CRASHING, () => {
+    cluster.crashEnginesOn(CRASHING_PATH, () => {
       crashing.crashes += 1;
     });
     return crashing;
   }
 
-  /** Repeats the request at some nodes by turns until it has ended so many. */
-  async crash(nodes: readonly RelayDaemon[], crashes: number): Promise<void> {
+  /** Sends the request to the nodes in turn until a number of crashes. */
+  async crashUntil(
+    nodes: readonly RelayDaemon[],
+    crashes: number,
+  ): Promise<void> {
     for (let turn = 0; this.crashes < crashes; turn += 1) {
       const node = nodes[turn % nodes.length];
-      if (node !== undefined) await this.repeat(node);
+      if (node !== undefined) await this.sendCrashing(node);
       await sleep(20);
     }
   }
 
-  /** Sends the request once more; tells the status, or nothing where broken. */
-  async repeat(node: RelayDaemon): Promise<number | undefined> {
+  /** Sends the request and returns the status, if the answer is not broken. */
+  async sendCrashing(node: RelayDaemon): Promise<number | undefined> {
     try {
-      return (await this.cluster.generate(node, ADAPTER, CRASHING)).status;
+      return (await this.cluster.generate(node, ADAPTER, CRASHING_PATH)).status;
     } catch {
       return undefined;
     }
   }
 
-  /** Waits until a node serves a request. */
-  async untilServed(node: RelayDaemon, path = "/drafts/new"): Promise<void> {
-    await until(async () => {
+  /** Waits until a node serves a request with a path. */
+  async waitUntilServed(
+    node: RelayDaemon,
+    path = "/drafts/new",
+  ): Promise<void> {
+    await waitUntil(async () => {
       const answer = await this.cluster.generate(node, ADAPTER, path);
-      return answer.status === SERVED;
+      return answer.status === HTTP_OK;
     });
   }
 
-  /** Checks that nodes serve others and send the request to no server. */
-  async checkRefused(
+  /** Asserts that nodes serve other requests and refuse the crashing one. */
+  async assertRefused(
     t: ExecutionContext,
     nodes: readonly RelayDaemon[],
   ): Promise<void> {
-    const before = this.crashes;
+    const crashesBefore = this.crashes;
     for (const node of nodes) {
-      await this.untilServed(node);
+      await this.waitUntilServed(node);
       for (let repeat = 0; repeat < LATER_REPEATS; repeat += 1) {
-        t.is(await this.repeat(node), NOT_RUN);
+        t.is(await this.sendCrashing(node), SERVICE_UNAVAILABLE);
       }
     }
-    t.is(this.crashes, before);
+    t.is(this.crashes, crashesBefore);
   }
 }
 
-// Guards against servers that end one after the other under one request that
-// comes again at other nodes.
-test("a request that has ended three servers is sent to no further one by any node", async (t) => {
+// Guards against a request that crashes server after server because its caller
+// repeats it at other nodes.
+test("no node sends a request that has crashed three servers to another server", async (t) => {
   const crashing = await CrashingCluster.start(t, 3);
   const { daemons } = crashing.cluster;
-  await crashing.crash(daemons, MOST_CRASHES);
-  await sleep(LEARNING_MILLISECONDS);
-  await crashing.checkRefused(t, daemons);
+  await crashing.crashUntil(daemons, CRASH_LIMIT);
+  await sleep(PROPAGATION_MILLISECONDS);
+  await crashing.assertRefused(t, daemons);
 });
 
-// Guards against what nodes know of such a request being lost with them.
-test("nodes that start after three crashes refuse the request too", async (t) => {
+// Guards against the knowledge of such a request being lost when nodes stop.
+test("nodes started after three crashes refuse the request too", async (t) => {
   const crashing = await CrashingCluster.start(t, 2);
   const { cluster } = crashing;
   const before = [...cluster.daemons];
-  await crashing.crash(before, MOST_CRASHES);
-  await sleep(LEARNING_MILLISECONDS);
+  await crashing.crashUntil(before, CRASH_LIMIT);
+  await sleep(PROPAGATION_MILLISECONDS);
   await Promise.all(before.map((daemon) => daemon.stop()));
   const later = await cluster.addNode("node-3");
-  await sleep(LEARNING_MILLISECONDS);
-  await crashing.checkRefused(t, [later]);
+  await sleep(PROPAGATION_MILLISECONDS);
+  await crashing.assertRefused(t, [later]);
 });
 
-// Guards against crashes during an outage of the log that only the node knows
-// that has seen them.
+// Guards against crashes during an outage of the log that stay known only to
+// the node that saw them.
 test("a crash seen while the log is down is known to all nodes once it is up", async (t) => {
   const crashing = await CrashingCluster.start(t, 2);
   const { cluster } = crashing;
   cluster.store.isUp = false;
-  await crashing.crash([nodeOf(cluster, 0)], 1);
+  await crashing.crashUntil([getNode(cluster, 0)], 1);
   cluster.store.isUp = true;
-  await crashing.crash([nodeOf(cluster, 1)], MOST_CRASHES);
-  await sleep(LEARNING_MILLISECONDS);
-  await crashing.checkRefused(t, cluster.daemons);
+  await crashing.crashUntil([getNode(cluster, 1)], CRASH_LIMIT);
+  await sleep(PROPAGATION_MILLISECONDS);
+  await crashing.assertRefused(t, cluster.daemons);
 });
 
-// Guards against an engine that starts again during an outage: its new start
-// is unknown, so that two crashes of it may count as one.
+// The start of an engine that restarts during an outage is unknown, so two of
+// its crashes may count as one. Guards against more than three further repeats.
 test("crashes seen while the log is down leave at most three repeats once it is up", async (t) => {
   const crashing = await CrashingCluster.start(t, 2);
   const { cluster } = crashing;
   cluster.store.isUp = false;
-  await crashing.crash([nodeOf(cluster, 0)], MOST_CRASHES);
+  await crashing.crashUntil([getNode(cluster, 0)], CRASH_LIMIT);
   cluster.store.isUp = true;
-  await sleep(LEARNING_MILLISECONDS);
+  await sleep(PROPAGATION_MILLISECONDS);
   for (const node of cluster.daemons) {
-    await crashing.untilServed(node);
+    await crashing.waitUntilServed(node);
     for (let repeat = 0; repeat < LATER_REPEATS; repeat += 1) {
-      await crashing.repeat(node);
-      await sleep(LEARNING_MILLISECONDS);
+      await crashing.sendCrashing(node);
+      await sleep(PROPAGATION_MILLISECONDS);
     }
   }
-  t.true(crashing.crashes - MOST_CRASHES <= MOST_REPEATS);
+  t.true(crashing.crashes - CRASH_LIMIT <= MAX_LATER_CRASHES);
 });
 
-// Guards against requests being refused for a crash that another one caused.
-test("a request that ran beside a crash is served when it comes again", async (t) => {
+// Guards against refusing a request for a crash that another request caused.
+test("a request that ran during another request's crash is served when repeated", async (t) => {
   const crashing = await CrashingCluster.start(t, 2);
   const { cluster } = crashing;
-  for (let crash = 1; crash <= MOST_CRASHES; crash += 1) {
-    const beside = cluster.generate(
-      nodeOf(cluster, 0),
+  for (let crash = 1; crash <= CRASH_LIMIT; crash += 1) {
+    const concurrent = cluster.generate(
+      getNode(cluster, 0),
       ADAPTER,
       `/drafts/${crash}`,
     )
       .catch(() => undefined);
-    await crashing.crash([nodeOf(cluster, 1)], crash);
-    await beside;
+    await crashing.crashUntil([getNode(cluster, 1)], crash);
+    await concurrent;
   }
-  await sleep(LEARNING_MILLISECONDS);
-  for (let crash = 1; crash <= MOST_CRASHES; crash += 1) {
+  await sleep(PROPAGATION_MILLISECONDS);
+  for (let crash = 1; crash <= CRASH_LIMIT; crash += 1) {
     const path = `/drafts/${crash}`;
-    await crashing.untilServed(nodeOf(cluster, crash % 2), path);
+    await crashing.waitUntilServed(getNode(cluster, crash % 2), path);
   }
-  t.is(crashing.crashes, MOST_CRASHES);
+  t.is(crashing.crashes, CRASH_LIMIT);
 });
--- a/packages/bench/tests/relay/helpers/cluster.ts
+++ b/packages/bench/tests/relay/helpers/cluster.ts
@@ -4,13 +4,13 @@
 import type { ExecutionContext } from "ava";
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** Events of each of the stand-ins' streams. */
-export const EVENTS = 5;
+/** The number of events in each stream of a stand-in engine. */
+export const EVENTS_PER_STREAM = 5;
 
 /**
- * Starts a cluster with two engines of three slots; the test's end stops it.
+ * Starts a cluster with two engines of three slots, which stops with the test.
  * @param t The test.
- * @param nodes How many nodes it has.
+ * @param nodes The number of nodes.
  * @returns The cluster.
  */
 export async function startCluster(
@@ -28,34 +28,34 @@
 }
 
 /**
- * Gives a node of a cluster.
+ * Returns a node of a cluster.
  * @param cluster The cluster.
- * @param index Its place among the nodes, from 0.
+ * @param index The zero-based index of the node.
  * @returns The node.
  */
-export function nodeOf(cluster: RelayCluster, index: number): RelayDaemon {
+export function getNode(cluster: RelayCluster, index: number): RelayDaemon {
   const daemon = cluster.daemons[index];
   if (daemon === undefined) throw new RangeError(`There is no node ${index}.`);
   return daemon;
 }
 
 /**
- * Waits for what nodes learn from one another.
- * @param isSo Tells whether they have.
+ * Polls until a condition holds.
+ * @param condition Returns whether it holds.
  */
-export async function until(
-  isSo: () => boolean | Promise<boolean>,
+export async function waitUntil(
+  condition: () => boolean | Promise<boolean>,
 ): Promise<void> {
-  while (!await isSo()) await sleep(20);
+  while (!await condition()) await sleep(20);
 }
 
 /**
  * Waits until each engine has an owner.
  * @param cluster The cluster.
  */
-export async function untilOwned(cluster: RelayCluster): Promise<void> {
-  await until(() => {
-    const owned = cluster.store.claims.map((claim) => claim.engine);
-    return new Set(owned).size === cluster.engines.size;
+export async function waitUntilOwned(cluster: RelayCluster): Promise<void> {
+  await waitUntil(() => {
+    const ownedEngines = cluster.store.claims.map((claim) => claim.engine);
+    return new Set(ownedEngines).size === cluster.engines.size;
   });
 }
--- a/packages/bench/tests/relay/restart_test.ts
+++ b/packages/bench/tests/relay/restart_test.ts
@@ -4,209 +4,220 @@
 import test, { type ExecutionContext } from "ava";
 import { setTimeout as sleep } from "node:timers/promises";
 import {
-  EVENTS,
-  nodeOf,
+  EVENTS_PER_STREAM,
+  getNode,
   startCluster,
-  until,
-  untilOwned,
+  waitUntil,
+  waitUntilOwned,
 } from "./helpers/cluster.ts";
 
 const ENGINE = "engine-1";
-const OTHER = "engine-2";
-const SERVED = 200;
-const NOT_RUN = 503;
+const OTHER_ENGINE = "engine-2";
+const HTTP_OK = 200;
+const SERVICE_UNAVAILABLE = 503;
 
-function engineOf(cluster: RelayCluster, id: string) {
+function getEngine(cluster: RelayCluster, id: string) {
   const engine = cluster.engines.get(id);
   if (engine === undefined) throw new RangeError(`There is no engine ${id}.`);
   return engine;
 }
 
-/** Asks until the answer is whole; what may have run is not asked again. */
-async function serve(
+/** Repeats a request while it has not run, then expects a complete answer. */
+async function generateUntilServed(
   t: ExecutionContext,
   cluster: RelayCluster,
   node: RelayDaemon,
   adapter: string,
 ): Promise<void> {
-  await until(async () => {
+  await waitUntil(async () => {
     const { status, body } = await cluster.generate(node, adapter);
-    if (status === NOT_RUN) return false;
-    t.is(status, SERVED, body);
-    t.is(body.split(`data: ${adapter}\n`).length - 1, EVENTS);
+    if (status === SERVICE_UNAVAILABLE) return false;
+    t.is(status, HTTP_OK, body);
+    t.is(body.split(`data: ${adapter}\n`).length - 1, EVENTS_PER_STREAM);
     return true;
   });
 }
 
-/** Asks for adapters until an engine has run one, and so is in use. */
-async function serveAt(
+/** Requests new adapters until an engine has run one of the requests. */
+async function generateOnEngine(
   t: ExecutionContext,
   cluster: RelayCluster,
   id: string,
-  node = nodeOf(cluster, 0),
+  node = getNode(cluster, 0),
 ): Promise<void> {
-  const engine = engineOf(cluster, id);
-  const before = engine.runs.length;
-  let adapters = 0;
-  await until(async () => {
-    adapters += 1;
-    await serve(t, cluster, node, `${id}-${adapters}`);
-    return engine.runs.length > before;
+  const engine = getEngine(cluster, id);
+  const runsBefore = engine.runs.length;
+  let adapterCount = 0;
+  await waitUntil(async () => {
+    adapterCount += 1;
+    await generateUntilServed(t, cluster, node, `${id}-${adapterCount}`);
+    return engine.runs.length > runsBefore;
   });
 }
 
-/** Waits until an engine that started again has its model again. */
-async function untilLoaded(cluster: RelayCluster, id: string): Promise<void> {
-  await until(() => engineOf(cluster, id).adapters.models.length > 0);
+/** Waits until a restarted engine has loaded its model. */
+async function waitUntilLoaded(
+  cluster: RelayCluster,
+  id: string,
+): Promise<void> {
+  await waitUntil(() => getEngine(cluster, id).adapters.models.length > 0);
 }
 
-/** Gives the place among the nodes of the one that owns the engine. */
-function ownerOf(cluster: RelayCluster): number {
+/** Returns the index of the node that owns {@link ENGINE}. */
+function ownerIndex(cluster: RelayCluster): number {
   const claim = cluster.store.claims.findLast((one) => one.engine === ENGINE);
   return Number(claim?.owner.slice("node-".length)) - 1;
 }
 
-function checkSound(t: ExecutionContext, cluster: RelayCluster): void {
+function assertInvariants(t: ExecutionContext, cluster: RelayCluster): void {
   for (const { id, adapters, runs } of cluster.engines.values()) {
     t.false(adapters.isOverfull, id);
-    t.is(new Set(runs).size, runs.length, "Nothing ran twice.");
+    t.is(new Set(runs).size, runs.length, "No request ran twice.");
   }
-  const all = [...cluster.engines.values()].flatMap((engine) => engine.runs);
-  t.is(new Set(all).size, all.length, "Nothing ran at two engines.");
+  const allRuns = [...cluster.engines.values()].flatMap((engine) =>
+    engine.runs
+  );
+  t.is(new Set(allRuns).size, allRuns.length, "No request ran at two engines.");
 }
 
-async function startOwned(t: ExecutionContext, nodes = 2) {
+async function startOwnedCluster(t: ExecutionContext, nodes = 2) {
   const cluster = await startCluster(t, nodes);
-  await untilOwned(cluster);
+  await waitUntilOwned(cluster);
   return cluster;
 }
 
-test("servers that start again under their ids are used again", async (t) => {
-  const cluster = await startOwned(t);
-  for (const id of [ENGINE, OTHER]) {
-    await serveAt(t, cluster, id);
+test("servers that restart under their ids are used again", async (t) => {
+  const cluster = await startOwnedCluster(t);
+  for (const id of [ENGINE, OTHER_ENGINE]) {
+    await generateOnEngine(t, cluster, id);
     const claims = cluster.store.claims.length;
     cluster.restart(id);
-    await untilLoaded(cluster, id);
-    await serveAt(t, cluster, id);
+    await waitUntilLoaded(cluster, id);
+    await generateOnEngine(t, cluster, id);
     t.is(cluster.store.claims.length, claims, "Its owner stays the same.");
   }
   cluster.restart("lookup-1");
-  t.is((await cluster.lookUp(nodeOf(cluster, 1))).status, SERVED);
-  checkSound(t, cluster);
+  t.is((await cluster.lookUp(getNode(cluster, 1))).status, HTTP_OK);
+  assertInvariants(t, cluster);
 });
 
-test("an engine that starts again before its first entry is read is used at its last start", async (t) => {
-  const cluster = await startOwned(t);
-  await serveAt(t, cluster, ENGINE);
+test("an engine that restarts again before its entry is read is used at its last start", async (t) => {
+  const cluster = await startOwnedCluster(t);
+  await generateOnEngine(t, cluster, ENGINE);
   cluster.restart(ENGINE, { isUnregistered: true });
   cluster.restart(ENGINE, { isUnregistered: true });
   const last = cluster.restart(ENGINE);
-  t.is(engineOf(cluster, ENGINE).adapters.start, last);
-  await untilLoaded(cluster, ENGINE);
-  await serveAt(t, cluster, ENGINE);
-  checkSound(t, cluster);
+  t.is(getEngine(cluster, ENGINE).adapters.start, last);
+  await waitUntilLoaded(cluster, ENGINE);
+  await generateOnEngine(t, cluster, ENGINE);
+  assertInvariants(t, cluster);
 });
 
-test("what runs when its engine starts again is lost, and is not run again", async (t) => {
-  const cluster = await startOwned(t);
-  await serveAt(t, cluster, ENGINE);
-  const engine = engineOf(cluster, ENGINE);
+test("a request running when its engine restarts is lost and not repeated", async (t) => {
+  const cluster = await startOwnedCluster(t);
+  await generateOnEngine(t, cluster, ENGINE);
+  const engine = getEngine(cluster, ENGINE);
   const adapter = [...engine.adapters.held][0] ?? "";
   const before = engine.runs.length;
-  const running = cluster.generate(nodeOf(cluster, 0), adapter)
+  const running = cluster.generate(getNode(cluster, 0), adapter)
     .catch(() => ({ status: 0, body: "" }));
-  await until(() => engine.runs.length > before);
+  await waitUntil(() => engine.runs.length > before);
   cluster.restart(ENGINE);
   const { status, body } = await running;
   const events = body.split("data: ").length - 1;
-  t.false(status === SERVED && events === EVENTS);
-  t.not(status, NOT_RUN, "It may have run.");
-  await untilLoaded(cluster, ENGINE);
-  await serveAt(t, cluster, ENGINE);
-  checkSound(t, cluster);
+  t.false(status === HTTP_OK && events === EVENTS_PER_STREAM);
+  t.not(status, SERVICE_UNAVAILABLE, "It may have run.");
+  await waitUntilLoaded(cluster, ENGINE);
+  await generateOnEngine(t, cluster, ENGINE);
+  assertInvariants(t, cluster);
 });
 
-test("an engine that starts again while its owner changes gets the new owner's orders only", async (t) => {
-  const cluster = await startOwned(t, 3);
-  await serveAt(t, cluster, ENGINE);
-  const before = ownerOf(cluster);
-  const stopped = nodeOf(cluster, before).stop();
+test("an engine that restarts while its owner changes gets only the new owner's orders", async (t) => {
+  const cluster = await startOwnedCluster(t, 3);
+  await generateOnEngine(t, cluster, ENGINE);
+  const before = ownerIndex(cluster);
+  const stopped = getNode(cluster, before).stop();
   cluster.restart(ENGINE);
-  await until(() => ownerOf(cluster) !== before);
+  await waitUntil(() => ownerIndex(cluster) !== before);
   cluster.restart(ENGINE);
-  const node = nodeOf(cluster, (before + 1) % 3);
-  await untilLoaded(cluster, ENGINE);
-  await serve(t, cluster, node, "after-the-change");
+  const node = getNode(cluster, (before + 1) % 3);
+  await waitUntilLoaded(cluster, ENGINE);
+  await generateUntilServed(t, cluster, node, "after-the-change");
   await stopped;
-  await serve(t, cluster, node, "after-the-stop");
-  checkSound(t, cluster);
+  await generateUntilServed(t, cluster, node, "after-the-stop");
+  assertInvariants(t, cluster);
 });
 
-test("an order that has no answer and is carried out after a restart leads past no slot", async (t) => {
-  const cluster = await startOwned(t);
-  await serveAt(t, cluster, ENGINE);
-  const { fates } = engineOf(cluster, ENGINE);
+test("late orders executed after a restart don't exceed the engine's slots", async (t) => {
+  const cluster = await startOwnedCluster(t);
+  await generateOnEngine(t, cluster, ENGINE);
+  const { orderDelivery: fates } = getEngine(cluster, ENGINE);
   fates.nextFates = ["late", "late", "late", "late", "late"];
-  const node = nodeOf(cluster, 0);
+  const node = getNode(cluster, 0);
   const waiting = ["a", "b", "c", "d", "e", "f"].map((adapter) =>
-    serve(t, cluster, node, adapter)
+    generateUntilServed(t, cluster, node, adapter)
   );
-  await until(() => fates.lateCount > 0);
+  await waitUntil(() => fates.lateCount > 0);
   cluster.restart(ENGINE);
   fates.carryOutLateAt = 3;
   await Promise.all(waiting);
   fates.carryOutLate();
   for (const adapter of ["g", "h", "i", "j"]) {
-    await serve(t, cluster, node, adapter);
+    await generateUntilServed(t, cluster, node, adapter);
   }
-  checkSound(t, cluster);
+  assertInvariants(t, cluster);
 });
 
-test("an engine that starts again while it leaves is there to be used", async (t) => {
-  const cluster = await startOwned(t);
-  await serveAt(t, cluster, ENGINE);
-  cluster.leave(ENGINE);
-  await serveAt(t, cluster, OTHER);
+test("an engine that restarts while leaving is used again", async (t) => {
+  const cluster = await startOwnedCluster(t);
+  await generateOnEngine(t, cluster, ENGINE);
+  cluster.markLeaving(ENGINE);
+  await generateOnEngine(t, cluster, OTHER_ENGINE);
   cluster.restart(ENGINE);
-  await untilLoaded(cluster, ENGINE);
-  await serveAt(t, cluster, ENGINE);
-  checkSound(t, cluster);
+  await waitUntilLoaded(cluster, ENGINE);
+  await generateOnEngine(t, cluster, ENGINE);
+  assertInvariants(t, cluster);
 });
 
-test("an engine that starts again while the store is down is used at its new start", async (t) => {
-  const cluster = await startOwned(t);
-  await serveAt(t, cluster, ENGINE);
+test("an engine that restarts during a store outage is used at its new start", async (t) => {
+  const cluster = await startOwnedCluster(t);
+  await generateOnEngine(t, cluster, ENGINE);
   cluster.store.isUp = false;
   cluster.restart(ENGINE);
-  cluster.restart(OTHER);
-  await serveAt(t, cluster, ENGINE);
-  await serveAt(t, cluster, OTHER);
+  cluster.restart(OTHER_ENGINE);
+  await generateOnEngine(t, cluster, ENGINE);
+  await generateOnEngine(t, cluster, OTHER_ENGINE);
   cluster.store.isUp = true;
   await sleep(400);
-  await serveAt(t, cluster, ENGINE);
-  checkSound(t, cluster);
+  await generateOnEngine(t, cluster, ENGINE);
+  assertInvariants(t, cluster);
 });
 
 test("an engine whose clock stepped back is used at its new start", async (t) => {
-  const cluster = await startOwned(t);
-  await serveAt(t, cluster, ENGINE);
+  const cluster = await startOwnedCluster(t);
+  await generateOnEngine(t, cluster, ENGINE);
   cluster.restart(ENGINE, { start: serverStart(1_000) });
-  await untilLoaded(cluster, ENGINE);
-  await serveAt(t, cluster, ENGINE);
+  await waitUntilLoaded(cluster, ENGINE);
+  await generateOnEngine(t, cluster, ENGINE);
   cluster.restart(ENGINE, {
     start: serverStart(500),
     isUnregistered: true,
   });
-  // Others can't tell it from a late word of the owner before its entry.
-  await serveAt(t, cluster, ENGINE, nodeOf(cluster, ownerOf(cluster)));
+  // Without the entry, other nodes can't tell the new start from a delayed
+  // message of the owner.
+  await generateOnEngine(
+    t,
+    cluster,
+    ENGINE,
+    getNode(cluster, ownerIndex(cluster)),
+  );
   cluster.register(ENGINE);
-  await serveAt(t, cluster, ENGINE);
-  checkSound(t, cluster);
+  await generateOnEngine(t, cluster, ENGINE);
+  assertInvariants(t, cluster);
 });
 
-test("an engine whose entry lapses keeps its owner's claim until it is back", async (t) => {
-  const cluster = await startOwned(t);
+test("an engine whose registry entry lapses keeps its owner's claim until it returns", async (t) => {
+  const cluster = await startOwnedCluster(t);
   const claims = cluster.store.claims.length;
   cluster.store.isUp = false;
   cluster.store.unregister(ENGINE);
@@ -214,8 +225,8 @@
   cluster.store.isUp = true;
   await sleep(3_500);
   cluster.restart(ENGINE);
-  await untilLoaded(cluster, ENGINE);
+  await waitUntilLoaded(cluster, ENGINE);
   t.is(cluster.store.claims.length, claims);
-  await serveAt(t, cluster, ENGINE);
-  checkSound(t, cluster);
+  await generateOnEngine(t, cluster, ENGINE);
+  assertInvariants(t, cluster);
 });
--- a/packages/bench/tests/relay/stand_in_restart_test.ts
+++ b/packages/bench/tests/relay/stand_in_restart_test.ts
@@ -8,7 +8,7 @@
 } from "@foxtailwind/core";
 import test from "ava";
 
-function load(adapter: string, expectedOrders: number, fence: number) {
+function loadOrder(adapter: string, expectedOrders: number, fence: number) {
   return {
     kind: "load",
     model: modelId("m"),
@@ -19,11 +19,11 @@
   } as const;
 }
 
-test("an engine's stand-in that starts again has its count, fences and adapters anew", (t) => {
+test("a restarted stand-in engine resets its order count, fence and adapters", (t) => {
   const adapters = new OrderedAdapters(2);
   adapters.start = serverStart(1_000);
   adapters.models = [modelId("m")];
-  t.is(adapters.carryOut(load("a", 0, 7)).kind, "accepted");
+  t.is(adapters.carryOut(loadOrder("a", 0, 7)).kind, "accepted");
   adapters.restart(serverStart(2_000));
   t.deepEqual(adapters.report, {
     start: serverStart(2_000),
@@ -33,15 +33,15 @@
     isBusy: false,
     orderCount: 0,
   });
-  t.is(adapters.carryOut(load("b", 0, 3)).kind, "accepted");
+  t.is(adapters.carryOut(loadOrder("b", 0, 3)).kind, "accepted");
 });
 
-test("an order that is late reaches whichever start the stand-in is in", (t) => {
+test("a late order is executed by the start that is current on its arrival", (t) => {
   const adapters = new OrderedAdapters(2);
   const orders = new FatedOrders(adapters);
   orders.nextFates = ["late", "lost"];
-  t.is(orders.send(load("a", 0, 7)).kind, "unknown");
-  t.is(orders.send(load("b", 0, 7)).kind, "unknown");
+  t.is(orders.send(loadOrder("a", 0, 7)).kind, "unknown");
+  t.is(orders.send(loadOrder("b", 0, 7)).kind, "unknown");
   adapters.restart(serverStart(2_000));
   t.is(orders.lateCount, 1);
   t.deepEqual(orders.carryOutLate(), [{ kind: "accepted" }]);
