--- a/packages/bench/src/faults/double_runs.ts
+++ b/packages/bench/src/faults/booking_audit.ts
@@ -1,14 +1,14 @@
 import * as z from "zod";
 import type { CallRecord } from "./call_record.ts";
 
-/** What the booking service counted against what callers were told. */
+/** Disagreements between the booking service's counts and the callers. */
 export interface BookingAudit {
   readonly calls: number;
-  /** Keys that ran more than once: must be none. */
-  readonly doubled: readonly string[];
-  /** Keys that ran though the caller was told `not_run`: must be none. */
+  /** Keys that ran more than once; must be empty. */
+  readonly ranRepeatedly: readonly string[];
+  /** Keys that ran although the caller got `not_run`; must be empty. */
   readonly ranThoughNotRun: readonly string[];
-  /** Keys that did not run though the caller got an answer: must be none. */
+  /** Keys that never ran although the call succeeded; must be empty. */
   readonly answeredButNotRun: readonly string[];
 }
 
@@ -17,10 +17,10 @@
 });
 
 /**
- * Compares the service's own counts with the callers' records.
- * @param servers The service's `http://` addresses.
+ * Compares the service's run counts with the callers' records.
+ * @param servers The `http://` addresses of the service's backend servers.
  * @param records All requests of the run.
- * @returns What does not agree.
+ * @returns The keys for which the two disagree.
  */
 export async function auditBookings(
   servers: readonly string[],
@@ -37,19 +37,25 @@
   const bookings = records.filter((record) => record.kind === "booking");
   return {
     calls: bookings.length,
-    doubled: keysWhere(bookings, (record) => runsOf(runs, record) > 1),
+    ranRepeatedly: keysWhere(
+      bookings,
+      (record) => runCountOf(runs, record) > 1,
+    ),
     ranThoughNotRun: keysWhere(
       bookings,
-      (record) => record.verdict === "not_run" && runsOf(runs, record) > 0,
+      (record) => record.verdict === "not_run" && runCountOf(runs, record) > 0,
     ),
     answeredButNotRun: keysWhere(
       bookings,
-      (record) => record.verdict === "whole" && runsOf(runs, record) === 0,
+      (record) => record.verdict === "whole" && runCountOf(runs, record) === 0,
     ),
   };
 }
 
-function runsOf(runs: ReadonlyMap<string, number>, record: CallRecord): number {
+function runCountOf(
+  runs: ReadonlyMap<string, number>,
+  record: CallRecord,
+): number {
   return runs.get(record.key) ?? 0;
 }
 
--- a/packages/bench/src/faults/call_record.ts
+++ b/packages/bench/src/faults/call_record.ts
@@ -1,24 +1,24 @@
-/** What one caller saw of one request. */
+/** The outcome of one request as its caller observed it. */
 export interface CallRecord {
   readonly kind: "completion" | "booking";
-  /** The caller's own key; unique. */
+  /** Unique key that the caller chose. */
   readonly key: string;
-  /** The node that the caller talked to. */
+  /** ID of the node that received the request. */
   readonly node: string;
   readonly sentAt: number;
   readonly endedAt: number;
   readonly firstTokenAt?: number;
   readonly verdict: CallVerdict;
-  /** A few words for the report's detail. */
+  /** Status or error text for the detailed report. */
   readonly detail: string;
 }
 
 /**
  * How a request ended for its caller:
- * - `whole`: the whole answer, the right tokens in their order;
- * - `not_run`, `unknown`, `ran`: a typed error that says so;
- * - `cut`: an answer that broke off with no typed error;
- * - `lost`: no answer at all;
+ * - `whole`: a complete response with the right tokens in order;
+ * - `not_run`, `unknown`, `ran`: a typed error with this outcome;
+ * - `cut`: a response that was interrupted without a typed error;
+ * - `lost`: no response, or an error response without a typed outcome;
  * - `misdelivered`: tokens that belong to another request or adapter.
  */
 export type CallVerdict =
--- a/packages/bench/src/faults/engine_process.ts
+++ b/packages/bench/src/faults/engine_process.ts
@@ -1,7 +1,7 @@
 import type { StandInProcess } from "../demo/stand_in_process.ts";
 import { postJson } from "../demo/stand_in_process.ts";
 
-/** What an engine stand-in is started with. */
+/** Settings of an engine stand-in. */
 export interface EnginePlan {
   readonly id: string;
   readonly failureDomain: string;
@@ -10,11 +10,11 @@
   readonly vmList: string;
   readonly adapterSlots: number;
   readonly checksFencing: boolean;
-  /** The settings file's path, written by the caller of {@link start}. */
-  readonly file: string;
+  /** Path of the settings file, which whoever starts the engine writes. */
+  readonly settingsFile: string;
 }
 
-/** An engine stand-in as a process of its own, which may be killed. */
+/** An engine stand-in in a separate process, which may be killed. */
 export class EngineProcess {
   readonly plan: EnginePlan;
   readonly standIn: StandInProcess;
@@ -29,7 +29,7 @@
     return this.standIn.addressOf("engine");
   }
 
-  /** Lists the engine as a live VM. */
+  /** Adds the engine to the VM list as a live VM. */
   async list(): Promise<void> {
     await postJson(`${this.plan.vmList}/standin/vms`, {
       vms: [{
@@ -49,10 +49,10 @@
 }
 
 /**
- * Writes the settings of an engine stand-in's program.
- * @param plan The engine.
- * @param port Its port; 0 takes a free one.
- * @returns INI.
+ * Formats the settings file of an engine stand-in.
+ * @param plan The engine's settings.
+ * @param port The port to listen on; 0 selects a free one.
+ * @returns The settings in INI format.
  */
 export function engineSettingsText(plan: EnginePlan, port: number): string {
   return `[engine.${plan.id}]
--- a/packages/bench/src/faults/fault.ts
+++ b/packages/bench/src/faults/fault.ts
@@ -1,59 +1,65 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import type { FaultCluster } from "./fault_cluster.ts";
 
-/** A fault that the bench brings about, and what it may cost. */
+/** A fault that the benchmark injects, and the failures it permits. */
 export interface Fault {
   readonly name: string;
-  /** The node whose own callers may lose what is in flight, if any. */
-  readonly costsNode?: string;
-  /** How long the fault lasts and its effects are watched. */
-  readonly watchMilliseconds: number;
-  /** Brings the fault about and puts things right again. */
-  readonly strike: (cluster: FaultCluster) => Promise<void>;
+  /**
+   * Comma-separated IDs of the nodes whose callers may lose requests in
+   * flight, if any.
+   */
+  readonly affectedNodes?: string;
+  /** How long the fault and its effects are observed, at least. */
+  readonly observationMilliseconds: number;
+  /** Injects the fault and then restores normal operation. */
+  readonly inject: (cluster: FaultCluster) => Promise<void>;
 }
 
-/** A fault with the time in which it was watched. */
-export interface StruckFault {
+/** A fault with its observation period. */
+export interface InjectedFault {
   readonly fault: Fault;
   readonly from: number;
   readonly to: number;
 }
 
 const PAUSE_MILLISECONDS = 5_000;
-const DOWN_MILLISECONDS = 3_000;
-const WATCH_MILLISECONDS = 15_000;
+const DOWNTIME_MILLISECONDS = 3_000;
+const OBSERVATION_MILLISECONDS = 15_000;
 
 /**
- * Lists the faults of a run.
- * @param logOutageMilliseconds How long the log's outage lasts.
- * @returns The faults in their order.
+ * Lists the faults to inject in a run.
+ * @param logOutageMilliseconds Duration of the log outage.
+ * @returns The faults in the order of injection.
  */
 export function listFaults(logOutageMilliseconds: number): readonly Fault[] {
   return [
-    { ...quietly("none"), watchMilliseconds: WATCH_MILLISECONDS },
+    {
+      ...baseFault("none"),
+      observationMilliseconds: OBSERVATION_MILLISECONDS,
+    },
     stopNode(0),
     killNode(1),
     pauseNode(2),
     killEngine(0),
     pauseEngine(1),
     logOutage(logOutageMilliseconds),
-    logLosesAnswers(),
+    loseAppendAnswers(),
     killTwoNodes(3, 4),
   ];
 }
 
-function quietly(name: string): Fault {
+function baseFault(name: string): Fault {
   return {
     name,
-    watchMilliseconds: WATCH_MILLISECONDS,
-    strike: () => Promise.resolve(),
+    observationMilliseconds: OBSERVATION_MILLISECONDS,
+    inject: () => Promise.resolve(),
   };
 }
 
 function stopNode(index: number): Fault {
   return {
-    ...quietly(`planned stop of node ${index + 1}`),
-    async strike(cluster) {
+    ...baseFault(`planned stop of node ${index + 1}`),
+    async inject(cluster) {
       await nodeAt(cluster, index).program.stop();
       await cluster.restartNode(index);
     },
@@ -62,11 +68,11 @@
 
 function killNode(index: number): Fault {
   return {
-    ...quietly(`kill of node ${index + 1}`),
-    costsNode: `node-${index + 1}`,
-    async strike(cluster) {
+    ...baseFault(`kill of node ${index + 1}`),
+    affectedNodes: `node-${index + 1}`,
+    async inject(cluster) {
       nodeAt(cluster, index).program.signal("SIGKILL");
-      await sleep(DOWN_MILLISECONDS);
+      await sleep(DOWNTIME_MILLISECONDS);
       await cluster.restartNode(index);
     },
   };
@@ -74,9 +80,9 @@
 
 function pauseNode(index: number): Fault {
   return {
-    ...quietly(`pause of node ${index + 1}`),
-    costsNode: `node-${index + 1}`,
-    async strike(cluster) {
+    ...baseFault(`pause of node ${index + 1}`),
+    affectedNodes: `node-${index + 1}`,
+    async inject(cluster) {
       nodeAt(cluster, index).program.signal("SIGSTOP");
       await sleep(PAUSE_MILLISECONDS);
       nodeAt(cluster, index).program.signal("SIGCONT");
@@ -86,10 +92,10 @@
 
 function killEngine(index: number): Fault {
   return {
-    ...quietly(`kill of engine ${index + 1}`),
-    async strike(cluster) {
+    ...baseFault(`kill of engine ${index + 1}`),
+    async inject(cluster) {
       engineAt(cluster, index).standIn.program.signal("SIGKILL");
-      await sleep(DOWN_MILLISECONDS);
+      await sleep(DOWNTIME_MILLISECONDS);
       await cluster.restartEngine(index);
     },
   };
@@ -97,8 +103,8 @@
 
 function pauseEngine(index: number): Fault {
   return {
-    ...quietly(`pause of engine ${index + 1}`),
-    async strike(cluster) {
+    ...baseFault(`pause of engine ${index + 1}`),
+    async inject(cluster) {
       engineAt(cluster, index).standIn.program.signal("SIGSTOP");
       await sleep(PAUSE_MILLISECONDS);
       engineAt(cluster, index).standIn.program.signal("SIGCONT");
@@ -108,9 +114,9 @@
 
 function logOutage(milliseconds: number): Fault {
   return {
-    ...quietly("log outage"),
-    watchMilliseconds: milliseconds + WATCH_MILLISECONDS,
-    async strike(cluster) {
+    ...baseFault("log outage"),
+    observationMilliseconds: milliseconds + OBSERVATION_MILLISECONDS,
+    async inject(cluster) {
       await cluster.setLogFaults({ outage: "refuse" });
       await sleep(milliseconds);
       await cluster.setLogFaults({ outage: "none" });
@@ -118,25 +124,27 @@
   };
 }
 
-function logLosesAnswers(): Fault {
+function loseAppendAnswers(): Fault {
   return {
-    ...quietly("log loses answers after effect"),
-    async strike(cluster) {
-      await cluster.setLogFaults({ loseNextAppendAnswers: LOST_ANSWERS });
+    ...baseFault("log loses answers after effect"),
+    async inject(cluster) {
+      await cluster.setLogFaults({
+        loseNextAppendAnswers: LOST_APPEND_ANSWERS,
+      });
     },
   };
 }
 
-const LOST_ANSWERS = 5;
+const LOST_APPEND_ANSWERS = 5;
 
 function killTwoNodes(first: number, second: number): Fault {
   return {
-    ...quietly(`kill of nodes ${first + 1} and ${second + 1}`),
-    costsNode: `node-${first + 1},node-${second + 1}`,
-    async strike(cluster) {
+    ...baseFault(`kill of nodes ${first + 1} and ${second + 1}`),
+    affectedNodes: `node-${first + 1},node-${second + 1}`,
+    async inject(cluster) {
       nodeAt(cluster, first).program.signal("SIGKILL");
       nodeAt(cluster, second).program.signal("SIGKILL");
-      await sleep(DOWN_MILLISECONDS);
+      await sleep(DOWNTIME_MILLISECONDS);
       await cluster.restartNode(first);
       await cluster.restartNode(second);
     },
--- a/packages/bench/src/faults/fault_caller.ts
+++ b/packages/bench/src/faults/fault_caller.ts
@@ -3,15 +3,15 @@
 import type { CallRecord, CallVerdict } from "./call_record.ts";
 import { TokenChecker } from "../load/token_checker.ts";
 
-const OK = 200;
-const DATA = "data: ";
-const DONE = "[DONE]";
+const HTTP_OK = 200;
+const EVENT_DATA_PREFIX = "data: ";
+const STREAM_END = "[DONE]";
 const ANSWER_TIMEOUT_MILLISECONDS = 90_000;
 
-/** One completion to ask for. */
+/** A completion to request. */
 export interface CompletionPlan {
   readonly key: string;
-  /** IP literal and port, and id, of the node to ask. */
+  /** The node to call: its ID, and its IP literal and port. */
   readonly node: { readonly id: string; readonly http: string };
   readonly className: string;
   /** `adapter@version`. */
@@ -19,13 +19,13 @@
   readonly maximumTokens: number;
 }
 
-/** One call to the booking service that must not run twice. */
+/** A call to the booking service that must not run twice. */
 export interface BookingPlan {
   readonly key: string;
   readonly node: { readonly id: string; readonly http: string };
 }
 
-/** Sends requests and judges the answers, as a strict caller does. */
+/** Sends requests and classifies their responses strictly. */
 export class FaultCaller {
   readonly #agent = new Agent({
     connections: null,
@@ -34,9 +34,9 @@
   });
 
   /**
-   * Asks for a streamed completion.
-   * @param plan What to ask for.
-   * @returns What came of it.
+   * Requests a streamed completion.
+   * @param plan The completion to request.
+   * @returns The outcome of the request.
    */
   async complete(plan: CompletionPlan): Promise<CallRecord> {
     const sentAt = performance.now();
@@ -62,7 +62,9 @@
       reader.status = answer.statusCode;
       for await (const piece of answer.body) reader.read(String(piece));
     } catch (error) {
-      reader.broken = error instanceof Error ? error.message : String(error);
+      reader.connectionError = error instanceof Error
+        ? error.message
+        : String(error);
     }
     return {
       kind: "completion",
@@ -79,8 +81,8 @@
 
   /**
    * Calls the booking service once, marked as not repeatable.
-   * @param plan The call.
-   * @returns What came of it.
+   * @param plan The call to make.
+   * @returns The outcome of the call.
    */
   async book(plan: BookingPlan): Promise<CallRecord> {
     const sentAt = performance.now();
@@ -99,8 +101,8 @@
         body: JSON.stringify({ booking: plan.key }),
       });
       const body = await answer.body.text();
-      verdict = answer.statusCode === OK ? "whole" : outcomeOf(body);
-      detail = answer.statusCode === OK ? "" : body;
+      verdict = answer.statusCode === HTTP_OK ? "whole" : outcomeOf(body);
+      detail = answer.statusCode === HTTP_OK ? "" : body;
     } catch (error) {
       verdict = "lost";
       detail = error instanceof Error ? error.message : String(error);
@@ -116,12 +118,12 @@
     };
   }
 
-  /** Closes the connections. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.#agent.destroy();
   }
 
-  /** The HTTP client, for probes. */
+  /** The HTTP client that sends the requests. */
   get dispatcher(): Dispatcher {
     return this.#agent;
   }
@@ -147,14 +149,15 @@
   error: problemSchema.optional(),
 });
 
+/** Reads one streamed response and classifies its outcome. */
 class AnswerReader {
   status = 0;
-  broken = "";
+  connectionError = "";
   firstTokenAt: number | undefined;
   readonly #checker: TokenChecker;
-  #rest = "";
-  #all = "";
-  #done = false;
+  #incompleteLine = "";
+  #errorBody = "";
+  #streamEnded = false;
   #typedError: CallVerdict | undefined;
 
   constructor(checker: TokenChecker) {
@@ -162,33 +165,35 @@
   }
 
   read(piece: string): void {
-    if (this.status !== OK) {
-      this.#all += piece;
+    if (this.status !== HTTP_OK) {
+      this.#errorBody += piece;
       return;
     }
-    const lines = (this.#rest + piece).split("\n");
-    this.#rest = lines.pop() ?? "";
+    const lines = (this.#incompleteLine + piece).split("\n");
+    this.#incompleteLine = lines.pop() ?? "";
     for (const line of lines) {
-      if (line.startsWith(DATA)) this.#event(line.slice(DATA.length));
+      if (line.startsWith(EVENT_DATA_PREFIX)) {
+        this.#readEvent(line.slice(EVENT_DATA_PREFIX.length));
+      }
     }
   }
 
   verdict(expectedTokens: number): CallVerdict {
     if (this.status === 0) return "lost";
-    if (this.status !== OK) return outcomeOf(this.#all);
+    if (this.status !== HTTP_OK) return outcomeOf(this.#errorBody);
     if (this.#checker.verdict === "misdelivered") return "misdelivered";
     if (this.#typedError !== undefined) return this.#typedError;
-    const whole = this.#done && this.#checker.tokens === expectedTokens;
+    const whole = this.#streamEnded && this.#checker.tokens === expectedTokens;
     return whole ? "whole" : "cut";
   }
 
   detail(): string {
-    return `${this.status} ${this.broken}${this.#all}`.trim();
+    return `${this.status} ${this.connectionError}${this.#errorBody}`.trim();
   }
 
-  #event(data: string): void {
-    if (data === DONE) {
-      this.#done = true;
+  #readEvent(data: string): void {
+    if (data === STREAM_END) {
+      this.#streamEnded = true;
       return;
     }
     const chunk = chunkSchema.parse(JSON.parse(data));
--- a/packages/bench/src/faults/fault_cluster.ts
+++ b/packages/bench/src/faults/fault_cluster.ts
@@ -9,7 +9,7 @@
   engineSettingsText,
 } from "./engine_process.ts";
 
-/** How large a cluster to start. */
+/** Size of the cluster to start. */
 export interface FaultClusterSize {
   readonly nodes: number;
   readonly engines: number;
@@ -18,8 +18,8 @@
 }
 
 /**
- * Daemons, engines and the platform, each in a process of its own, so that
- * faults may strike them one by one.
+ * Nodes, engines and the platform, each in a separate process, so that faults
+ * can be injected into each of them alone.
  */
 export class FaultCluster {
   readonly platform: StandInProcess;
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Starts the platform, the engines and the daemons.
-   * @param size How large.
+   * Starts the platform, the engines and the nodes.
+   * @param size The cluster's size.
    * @returns The running cluster.
    */
   static async start(size: FaultClusterSize): Promise<FaultCluster> {
@@ -58,40 +58,41 @@
     return new FaultCluster(platform, { nodes, engines, folder });
   }
 
-  /** The daemons, the restarted ones in their places. */
+  /** The nodes; a restarted node keeps its index. */
   get nodes(): readonly NodeProcess[] {
     return this.#nodes;
   }
 
-  /** The engines, the restarted ones in their places. */
+  /** The engines; a restarted engine keeps its index. */
   get engines(): readonly EngineProcess[] {
     return this.#engines;
   }
 
   /**
-   * Starts a daemon anew that has ended.
-   * @param index Its place.
+   * Waits for a node's process to exit and starts it again.
+   * @param index The node's index.
    */
   async restartNode(index: number): Promise<void> {
-    const node = at(this.#nodes, index);
+    const node = itemAt(this.#nodes, index);
     await node.program.ended();
     this.#nodes[index] = await node.restart();
   }
 
   /**
-   * Starts an engine anew, cold, at its old address.
-   * @param index Its place.
+   * Waits for an engine's process to exit and starts it again, cold, at
+   * the same address.
+   * @param index The engine's index.
    */
   async restartEngine(index: number): Promise<void> {
-    const { plan, address, standIn } = at(this.#engines, index);
+    const { plan, address, standIn } = itemAt(this.#engines, index);
     await standIn.program.ended();
     const port = Number(new URL(address).port);
     this.#engines[index] = await startEngine(plan, port);
   }
 
   /**
-   * Sets faults of the log service.
-   * @param faults The faults to change.
+   * Changes the injected faults of the log service.
+   * @param faults The faults to change; others stay as they are.
    */
   async setLogFaults(faults: object): Promise<void> {
     const log = this.platform.addressOf("log_service");
@@ -99,8 +100,8 @@
   }
 
   /**
-   * Stops everything.
-   * @returns The daemons' exit codes.
+   * Stops all processes.
+   * @returns The exit codes of the nodes.
    */
   async stop(): Promise<readonly (number | null)[]> {
     const codes = await Promise.all(
@@ -129,9 +130,10 @@
         weightStore: platform.addressOf("weight_store"),
         vmList: platform.addressOf("vm_list"),
         adapterSlots: size.adapterSlots,
-        // Every other engine ignores fencing numbers, as some deployments' do.
+        // Every second engine ignores fencing numbers, as engines of some
+        // deployments do.
         checksFencing: index % 2 === 0,
-        file: path.join(folder, `${id}.ini`),
+        settingsFile: path.join(folder, `${id}.ini`),
       }, 0);
       await engine.list();
       return engine;
@@ -143,12 +145,14 @@
   plan: EnginePlan,
   port: number,
 ): Promise<EngineProcess> {
-  writeFileSync(plan.file, engineSettingsText(plan, port));
-  const standIn = await StandInProcess.start([`--settings=${plan.file}`]);
+  writeFileSync(plan.settingsFile, engineSettingsText(plan, port));
+  const standIn = await StandInProcess.start([
+    `--settings=${plan.settingsFile}`,
+  ]);
   return new EngineProcess(plan, standIn);
 }
 
-function at<Item>(items: readonly Item[], index: number): Item {
+function itemAt<Item>(items: readonly Item[], index: number): Item {
   const item = items[index];
   if (item === undefined) throw new Error(`There is no item ${index}`);
   return item;
--- a/packages/bench/src/faults/fault_load.ts
+++ b/packages/bench/src/faults/fault_load.ts
@@ -8,14 +8,14 @@
 import type { CallRecord } from "./call_record.ts";
 import type { FaultCaller } from "./fault_caller.ts";
 
-/** A load to send until it is stopped. */
+/** Parameters of the load. */
 export interface FaultLoadPlan {
   readonly completionsPerSecond: number;
   readonly bookingsPerSecond: number;
-  /** The share of bookings whose key is free, and so claimed in the log. */
+  /** Share of bookings with an unscoped key, which is claimed in the log. */
   readonly freeKeyShare: number;
   readonly adapters: number;
-  readonly exponent: number;
+  readonly zipfExponent: number;
   readonly seed: number;
 }
 
@@ -23,59 +23,65 @@
 const MINIMUM_TOKENS = 10;
 const MAXIMUM_TOKENS = 60;
 
-/** Sends completions and bookings at random times and keeps the records. */
+/** Sends completions and bookings at random times and records outcomes. */
 export class FaultLoad {
   readonly records: CallRecord[] = [];
   readonly #caller: FaultCaller;
-  readonly #book: AddressBook;
+  readonly #addressBook: AddressBook;
   readonly #plan: FaultLoadPlan;
   readonly #random: RandomGenerator;
   readonly #zipf: ZipfSampler;
-  readonly #calls: Promise<void>[] = [];
+  readonly #pendingCalls: Promise<void>[] = [];
   #stopped = false;
   #sent = 0;
 
   constructor(caller: FaultCaller, book: AddressBook, plan: FaultLoadPlan) {
     this.#caller = caller;
-    this.#book = book;
+    this.#addressBook = book;
     this.#plan = plan;
     this.#random = xoroshiro128plus(plan.seed);
-    this.#zipf = new ZipfSampler(plan.adapters, plan.exponent);
+    this.#zipf = new ZipfSampler(plan.adapters, plan.zipfExponent);
   }
 
-  /** How many requests were sent. */
+  /** Number of requests sent so far. */
   get sent(): number {
     return this.#sent;
   }
 
-  /** Sends until {@link stop}, then waits for the answers. */
+  /** Sends until {@link stop} is called, then waits for the responses. */
   async run(): Promise<void> {
     await Promise.all([
-      this.#arrivals(this.#plan.completionsPerSecond, () => this.#complete()),
-      this.#arrivals(this.#plan.bookingsPerSecond, () => this.#bookSlot()),
+      this.#sendAtRandomTimes(
+        this.#plan.completionsPerSecond,
+        () => this.#complete(),
+      ),
+      this.#sendAtRandomTimes(
+        this.#plan.bookingsPerSecond,
+        () => this.#bookSlot(),
+      ),
     ]);
-    await Promise.all(this.#calls);
+    await Promise.all(this.#pendingCalls);
   }
 
-  /** Sends nothing new. */
+  /** Sends no further requests. */
   stop(): void {
     this.#stopped = true;
   }
 
-  async #arrivals(
+  async #sendAtRandomTimes(
     perSecond: number,
     send: () => Promise<CallRecord>,
   ): Promise<void> {
     let next = performance.now();
     while (!this.#stopped) {
-      await this.#book.refresh(performance.now());
+      await this.#addressBook.refresh(performance.now());
       const gap = -Math.log(1 - uniformFloat64(this.#random));
       next += gap * MILLISECONDS_PER_SECOND / perSecond;
       await sleep(Math.max(0, next - performance.now()));
       this.#sent += 1;
-      this.#calls.push(
+      this.#pendingCalls.push(
         send().then((record) => {
-          if (record.verdict === "lost") this.#book.avoid(record.node);
+          if (record.verdict === "lost") this.#addressBook.avoid(record.node);
           this.records.push(record);
         }),
       );
@@ -86,7 +92,7 @@
     const interactive = uniformFloat64(this.#random) < INTERACTIVE_SHARE;
     return await this.#caller.complete({
       key: `completion-${this.#sent}`,
-      node: this.#book.next(),
+      node: this.#addressBook.next(),
       className: interactive ? "drafting" : "batch-notes",
       adapter: `adapter-${this.#zipf.next(this.#random)}@v1`,
       maximumTokens: uniformInt(
@@ -99,10 +105,10 @@
 
   async #bookSlot(): Promise<CallRecord> {
     const isFree = uniformFloat64(this.#random) < this.#plan.freeKeyShare;
-    const scope = isFree ? "" : this.#book.keyScope;
+    const scope = isFree ? "" : this.#addressBook.keyScope;
     return await this.#caller.book({
       key: `${scope}booking-${this.#plan.seed}-${this.#sent}`,
-      node: this.#book.next(),
+      node: this.#addressBook.next(),
     });
   }
 }
--- a/packages/bench/src/faults/fault_report.ts
+++ b/packages/bench/src/faults/fault_report.ts
@@ -1,15 +1,15 @@
 import Table from "cli-table3";
-import type { FaultCost } from "./audit.ts";
+import type { FaultCost } from "./fault_cost.ts";
 import type { ChangeTiming } from "./configuration_probe.ts";
-import type { BookingAudit } from "./double_runs.ts";
-import type { StruckFault } from "./fault.ts";
+import type { BookingAudit } from "./booking_audit.ts";
+import type { InjectedFault } from "./fault.ts";
 import type { GapProbe } from "./gap_probe.ts";
 
-const PLAIN = { head: [], border: [] };
+const PLAIN_STYLE = { head: [], border: [] };
 
 /**
- * Puts the costs of the faults into a table.
- * @param costs The costs.
+ * Formats the request outcomes during each fault as a table.
+ * @param costs The outcomes for each fault.
  * @returns The table's text.
  */
 export function formatCosts(costs: readonly FaultCost[]): string {
@@ -27,7 +27,7 @@
       "misdelivered",
       "longest first token ms",
     ],
-    style: PLAIN,
+    style: PLAIN_STYLE,
   });
   for (const cost of costs) {
     table.push([
@@ -37,7 +37,7 @@
       cost.notRun,
       cost.unknown,
       cost.ran,
-      cost.ownInFlight,
+      cost.brokenOnAffectedNodes,
       cost.cut,
       cost.lost,
       cost.misdelivered,
@@ -48,49 +48,49 @@
 }
 
 /**
- * Tells the longest gap of any engine for each fault.
- * @param probe What watched the engines.
- * @param faults The faults.
+ * Formats the longest gap of any engine during each fault as a table.
+ * @param probe The probe that polled the engines.
+ * @param faults The injected faults.
  * @returns The table's text.
  */
 export function formatGaps(
   probe: GapProbe,
-  faults: readonly StruckFault[],
+  faults: readonly InjectedFault[],
 ): string {
   const table = new Table({
     head: ["fault", "engine with the longest gap", "gap ms"],
-    style: PLAIN,
+    style: PLAIN_STYLE,
   });
   for (const struck of faults) {
-    const gaps = [...probe.longest(struck.from, struck.to)];
+    const gaps = [...probe.longestGaps(struck.from, struck.to)];
     gaps.sort((left, right) => right.to - right.from - (left.to - left.from));
-    const worst = gaps[0];
+    const longest = gaps[0];
     table.push([
       struck.fault.name,
-      worst?.engine ?? "",
-      worst === undefined ? "" : (worst.to - worst.from).toFixed(0),
+      longest?.engine ?? "",
+      longest === undefined ? "" : (longest.to - longest.from).toFixed(0),
     ]);
   }
   return table.toString();
 }
 
 /**
- * Tells how long changes took to be in force, and what bookings prove.
- * @param timings The changes.
- * @param bookings The bookings.
- * @returns A few lines.
+ * Summarizes how long changes took to apply and the audit of the bookings.
+ * @param timings The timed changes.
+ * @param bookings The audit of the bookings.
+ * @returns The text, in two lines.
  */
-export function formatProofs(
+export function formatChecks(
   timings: readonly ChangeTiming[],
   bookings: BookingAudit,
 ): string {
-  const times = timings.map((timing) => timing.inForceAfterMilliseconds)
+  const times = timings.map((timing) => timing.appliedAfterMilliseconds)
     .sort((left, right) => left - right);
-  const middle = times[Math.floor(times.length / 2)] ?? 0;
+  const median = times[Math.floor(times.length / 2)] ?? 0;
   return [
     `Changes in force everywhere: ${times.length}, median ` +
-    `${middle.toFixed(0)} ms, longest ${(times.at(-1) ?? 0).toFixed(0)} ms.`,
-    `Bookings: ${bookings.calls}; run twice: ${bookings.doubled.length}; ` +
+    `${median.toFixed(0)} ms, longest ${(times.at(-1) ?? 0).toFixed(0)} ms.`,
+    `Bookings: ${bookings.calls}; run twice: ${bookings.ranRepeatedly.length}; ` +
     `run though "not run": ${bookings.ranThoughNotRun.length}; ` +
     `answered but not run: ${bookings.answeredButNotRun.length}.`,
   ].join("\n");
--- a/packages/bench/src/faults/gap_probe.ts
+++ b/packages/bench/src/faults/gap_probe.ts
@@ -1,8 +1,8 @@
 import * as z from "zod";
 import type { FaultCluster } from "./fault_cluster.ts";
 
-const PROBE_MILLISECONDS = 50;
-const PROBE_TIMEOUT_MILLISECONDS = 500;
+const POLL_INTERVAL_MILLISECONDS = 50;
+const READ_TIMEOUT_MILLISECONDS = 500;
 
 const countersSchema = z.object({
   generationsStarted: z.number(),
@@ -10,22 +10,23 @@
   restarts: z.number(),
 });
 
-/** What an engine counted. */
+/** The counters of an engine stand-in. */
 export type EngineCounters = z.output<typeof countersSchema>;
 
+/** The last change of an engine's count of started generations. */
 interface Progress {
-  started: number;
-  since: number;
+  generationsStarted: number;
+  changedAt: number;
 }
 
-/** A time in which an engine started nothing. */
+/** A period in which an engine started no generation. */
 export interface EngineGap {
   readonly engine: string;
   readonly from: number;
   readonly to: number;
 }
 
-/** Watches when each engine starts generations, and so the gaps in service. */
+/** Polls the engines' counters to find gaps between generation starts. */
 export class GapProbe {
   readonly #cluster: FaultCluster;
   readonly #progress = new Map<string, Progress>();
@@ -36,67 +37,73 @@
     this.#cluster = cluster;
   }
 
-  /** Watches until {@link stop}. */
+  /** Polls until {@link stop} is called. */
   start(): void {
-    this.#timer = setInterval(() => void this.#look(), PROBE_MILLISECONDS);
+    this.#timer = setInterval(
+      () => void this.#poll(),
+      POLL_INTERVAL_MILLISECONDS,
+    );
   }
 
-  /** Stops watching. */
+  /** Stops polling. */
   stop(): void {
     clearInterval(this.#timer);
   }
 
   /**
-   * Finds the longest gap of each engine that overlaps a time.
-   * @param from Its start.
-   * @param to Its end.
-   * @returns A gap for each engine that had one.
+   * Finds the longest gap of each engine that overlaps a period.
+   * @param from Start of the period.
+   * @param to End of the period.
+   * @returns One gap for each engine that had any.
    */
-  longest(from: number, to: number): readonly EngineGap[] {
+  longestGaps(from: number, to: number): readonly EngineGap[] {
     const best = new Map<string, EngineGap>();
     for (const gap of this.#gaps) {
       if (gap.to < from || gap.from > to) continue;
       const known = best.get(gap.engine);
-      if (known === undefined || length(gap) > length(known)) {
+      if (known === undefined || durationOf(gap) > durationOf(known)) {
         best.set(gap.engine, gap);
       }
     }
     return [...best.values()];
   }
 
-  async #look(): Promise<void> {
+  async #poll(): Promise<void> {
     await Promise.all(this.#cluster.engines.map(async (engine) => {
       const counters = await readCounters(engine.address);
       if (counters === undefined) return;
-      this.#note(engine.plan.id, counters.generationsStarted);
+      this.#recordProgress(engine.plan.id, counters.generationsStarted);
     }));
   }
 
-  #note(engine: string, started: number): void {
+  #recordProgress(engine: string, started: number): void {
     const now = performance.now();
     const progress = this.#progress.get(engine);
     if (progress === undefined) {
-      this.#progress.set(engine, { started, since: now });
+      this.#progress.set(engine, {
+        generationsStarted: started,
+        changedAt: now,
+      });
       return;
     }
-    if (progress.started === started) return;
-    this.#gaps.push({ engine, from: progress.since, to: now });
-    progress.started = started;
-    progress.since = now;
+    if (progress.generationsStarted === started) return;
+    this.#gaps.push({ engine, from: progress.changedAt, to: now });
+    progress.generationsStarted = started;
+    progress.changedAt = now;
   }
 }
 
 /**
  * Reads an engine's counters.
  * @param address The engine's `http://` address.
- * @returns The counters, or nothing where it does not answer.
+ * @returns The counters, or `undefined` if the engine does not answer.
  */
 export async function readCounters(
   address: string,
 ): Promise<EngineCounters | undefined> {
   try {
     const answer = await fetch(`${address}/standin/counters`, {
-      signal: AbortSignal.timeout(PROBE_TIMEOUT_MILLISECONDS),
+      signal: AbortSignal.timeout(READ_TIMEOUT_MILLISECONDS),
     });
     return countersSchema.parse(await answer.json());
   } catch {
@@ -104,6 +111,6 @@
   }
 }
 
-function length(gap: EngineGap): number {
+function durationOf(gap: EngineGap): number {
   return gap.to - gap.from;
 }
--- a/packages/bench/src/faults/main.ts
+++ b/packages/bench/src/faults/main.ts
@@ -1,6 +1,6 @@
 /**
- * The fault bench: daemons, engines and the platform as processes on loopback,
- * under load, while faults strike them one after another.
+ * The fault benchmark: runs nodes, engines and the platform as processes on
+ * loopback under load and injects faults one after another.
  * @module
  */
 import process from "node:process";
@@ -9,19 +9,19 @@
 import { hideBin } from "yargs/helpers";
 import { publishDemoConfiguration } from "../demo/demo_configuration.ts";
 import { AddressBook } from "../load/address_book.ts";
-import { auditFaults, type FaultCost } from "./audit.ts";
+import { auditFaults, type FaultCost } from "./fault_cost.ts";
 import { ConfigurationProbe } from "./configuration_probe.ts";
-import { auditBookings, type BookingAudit } from "./double_runs.ts";
-import { type Fault, listFaults, type StruckFault } from "./fault.ts";
+import { auditBookings, type BookingAudit } from "./booking_audit.ts";
+import { type Fault, type InjectedFault, listFaults } from "./fault.ts";
 import { FaultCaller } from "./fault_caller.ts";
 import { FaultCluster } from "./fault_cluster.ts";
 import { FaultLoad } from "./fault_load.ts";
-import { formatCosts, formatGaps, formatProofs } from "./fault_report.ts";
+import { formatChecks, formatCosts, formatGaps } from "./fault_report.ts";
 import { GapProbe, readCounters } from "./gap_probe.ts";
 import { readProcessUsage } from "./process_usage.ts";
 
 const SETTLE_MILLISECONDS = 3_000;
-const WARM_MILLISECONDS = 10_000;
+const WARM_UP_MILLISECONDS = 10_000;
 
 const options = await yargs(hideBin(process.argv))
   .scriptName("bench:faults")
@@ -55,40 +55,42 @@
   domains: 3,
   adapterSlots: 48,
 });
-const known = cluster.nodes.map(({ id, http }) => ({ id, http }));
+const nodeAddresses = cluster.nodes.map(({ id, http }) => ({ id, http }));
 await sleep(SETTLE_MILLISECONDS);
 await publishDemoConfiguration(
-  `http://${known[0]?.http ?? ""}`,
+  `http://${nodeAddresses[0]?.http ?? ""}`,
   options.adapters,
 );
 await sleep(SETTLE_MILLISECONDS);
 
 const caller = new FaultCaller();
-const load = new FaultLoad(caller, new AddressBook(known), {
+const load = new FaultLoad(caller, new AddressBook(nodeAddresses), {
   completionsPerSecond: options.completionsPerSecond,
   bookingsPerSecond: options.bookingsPerSecond,
   freeKeyShare: options.freeKeyShare,
   adapters: options.adapters,
-  exponent: 1,
+  zipfExponent: 1,
   seed: options.seed,
 });
-const gaps = new GapProbe(cluster);
-const configuration = new ConfigurationProbe(() => cluster.nodes);
-gaps.start();
+const gapProbe = new GapProbe(cluster);
+const configurationProbe = new ConfigurationProbe(() => cluster.nodes);
+gapProbe.start();
 const loadDone = load.run();
-const configurationDone = configuration.run();
-await sleep(WARM_MILLISECONDS);
+const configurationDone = configurationProbe.run();
+await sleep(WARM_UP_MILLISECONDS);
 
 const usageBefore = cluster.nodes.map(nodeUsage);
-const struck: StruckFault[] = [];
-const chosen = listFaults(options.logOutageSeconds * 1_000)
+const injectedFaults: InjectedFault[] = [];
+const selectedFaults = listFaults(options.logOutageSeconds * 1_000)
   .filter(({ name }) => name.includes(options.only ?? ""));
-for (const fault of chosen) struck.push(await strike(fault));
+for (const fault of selectedFaults) {
+  injectedFaults.push(await injectFault(fault));
+}
 reportUsage();
 
 load.stop();
-configuration.stop();
-gaps.stop();
+configurationProbe.stop();
+gapProbe.stop();
 await Promise.all([loadDone, configurationDone]);
 const bookings = await auditBookings(
   cluster.platform.standIns.filter(({ kind }) => kind === "service")
@@ -105,21 +107,21 @@
 const codes = await cluster.stop();
 await caller.close();
 
-const costs = auditFaults(load.records, struck);
+const costs = auditFaults(load.records, injectedFaults);
 print(formatCosts(costs));
-print(formatGaps(gaps, struck));
-print(formatProofs(configuration.timings, bookings));
+print(formatGaps(gapProbe, injectedFaults));
+print(formatChecks(configurationProbe.timings, bookings));
 print(`Adapters evicted while serving: ${evictedInUse}.`);
 print(`Exit codes of the planned stops at the end: ${codes.join(", ")}.`);
 if (options.detail) printDetail();
-process.exitCode = holds(costs, bookings) && evictedInUse === 0 ? 0 : 1;
+process.exitCode = allChecksPass(costs, bookings) && evictedInUse === 0 ? 0 : 1;
 
-async function strike(fault: Fault): Promise<StruckFault> {
+async function injectFault(fault: Fault): Promise<InjectedFault> {
   print(`Now: ${fault.name}. Sent so far: ${load.sent}.`);
   const from = performance.now();
   await Promise.all([
-    fault.strike(cluster),
-    sleep(fault.watchMilliseconds),
+    fault.inject(cluster),
+    sleep(fault.observationMilliseconds),
   ]);
   return { fault, from, to: performance.now() };
 }
@@ -155,11 +157,14 @@
   }
 }
 
-function holds(costs: readonly FaultCost[], audit: BookingAudit): boolean {
+function allChecksPass(
+  costs: readonly FaultCost[],
+  audit: BookingAudit,
+): boolean {
   const broken = costs.some((cost) =>
     cost.cut + cost.lost + cost.misdelivered > 0
   );
-  const wrong = audit.doubled.length + audit.ranThoughNotRun.length +
+  const wrong = audit.ranRepeatedly.length + audit.ranThoughNotRun.length +
     audit.answeredButNotRun.length;
   return !broken && wrong === 0;
 }
--- a/packages/bench/src/faults/process_usage.ts
+++ b/packages/bench/src/faults/process_usage.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from "node:fs";
 
-/** What a process has used since it started. */
+/** Processor time since a process started, and its resident memory. */
 export interface ProcessUsage {
   readonly processorSeconds: number;
   readonly residentBytes: number;
@@ -13,14 +13,15 @@
 const RESIDENT_PAGES_FIELD = 21;
 
 /**
- * Reads what a process has used, from the kernel's process table.
- * @param processId The process.
- * @returns Its usage; zero where it is gone.
+ * Reads the resource usage of a process from `/proc`.
+ * @param processId The process's ID.
+ * @returns Its usage; all zero if the process no longer exists.
  */
 export function readProcessUsage(processId: number): ProcessUsage {
   try {
     const text = readFileSync(`/proc/${processId}/stat`, "utf8");
-    // The name, in brackets, may hold blanks: the fields count after it.
+    // The name, in parentheses, may contain spaces, so the fields are counted
+    // from its end.
     const fields = text.slice(text.lastIndexOf(")") + 2).split(" ");
     const ticks = Number(fields[USER_TICKS_FIELD]) +
       Number(fields[SYSTEM_TICKS_FIELD]);
