--- a/packages/bench/src/slopes/cluster_cost.ts
+++ b/packages/bench/src/slopes/cluster_cost.ts
@@ -15,14 +15,17 @@
   regionId,
   StandardOwnershipRules,
 } from "@foxtailwind/core";
-import { type Measurement, processorMicroseconds } from "./measurement.ts";
+import {
+  type Measurement,
+  measureProcessorMicroseconds,
+} from "./measurement.ts";
 
 const SIZES = [
-  { nodes: 3, enginesEach: 8 },
-  { nodes: 12, enginesEach: 8 },
-  { nodes: 48, enginesEach: 8 },
-  { nodes: 6, enginesEach: 1 },
-  { nodes: 6, enginesEach: 64 },
+  { nodes: 3, enginesPerNode: 8 },
+  { nodes: 12, enginesPerNode: 8 },
+  { nodes: 48, enginesPerNode: 8 },
+  { nodes: 6, enginesPerNode: 1 },
+  { nodes: 6, enginesPerNode: 64 },
 ];
 const DOMAINS = 3;
 const TICK_MILLISECONDS = 100;
@@ -30,50 +33,52 @@
 const MEASURED_MILLISECONDS = 3_000;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Size of a deployment of cluster agents. */
+/** Number of nodes, and of engines for each node. */
 interface ClusterSize {
   readonly nodes: number;
-  readonly enginesEach: number;
+  readonly enginesPerNode: number;
 }
 
 /**
- * Measures membership and ownership as state machines in one process, with a
- * log and a network without delay, once the view and the tenures are settled.
- * @returns For each size, what a node does in a second.
+ * Measures the membership and ownership state machines in one process, with a
+ * log and a network without delay, after the view and the tenures have settled.
+ * @returns For each size, the messages and processor time a node needs in a
+ * second.
  */
 export function measureCluster(): readonly Measurement[] {
   return SIZES.map(measureSize);
 }
 
 function measureSize(size: ClusterSize): Measurement {
-  const world = new AgentWorld(size);
-  world.run(SETTLE_MILLISECONDS);
-  world.assertSettled();
-  const { messages, bytes } = world;
-  const time = processorMicroseconds(() => {
-    world.run(MEASURED_MILLISECONDS);
+  const cluster = new SimulatedCluster(size);
+  cluster.run(SETTLE_MILLISECONDS);
+  cluster.assertSettled();
+  const { messages, bytes } = cluster;
+  const time = measureProcessorMicroseconds(() => {
+    cluster.run(MEASURED_MILLISECONDS);
   });
   const nodeSeconds = size.nodes * MEASURED_MILLISECONDS /
     MILLISECONDS_PER_SECOND;
   const figures = [
-    { name: "messages sent", value: world.messages - messages, unit: "/s" },
-    { name: "sent as JSON", value: world.bytes - bytes, unit: "B/s" },
+    { name: "messages sent", value: cluster.messages - messages, unit: "/s" },
+    { name: "sent as JSON", value: cluster.bytes - bytes, unit: "B/s" },
     { name: "processor time", value: time, unit: "µs/s" },
   ];
   return {
     subject: "membership and ownership, a node",
-    size: `${size.nodes} nodes, ${size.enginesEach} engines each`,
+    size: `${size.nodes} nodes, ${size.enginesPerNode} engines each`,
     figures: [
       ...figures.map((figure) => ({
         ...figure,
         value: figure.value / nodeSeconds,
       })),
-      { name: "a view record", value: world.viewBytes, unit: "B" },
+      { name: "a view record", value: cluster.viewBytes, unit: "B" },
     ],
   };
 }
 
-class AgentWorld {
+/** Cluster agents that share a simulated log, network and clock. */
+class SimulatedCluster {
   messages = 0;
   bytes = 0;
   readonly #members: readonly Member[];
@@ -82,13 +87,13 @@
   readonly #log: { readonly offset: LogOffset; readonly data: string }[] = [];
   #now = 0;
 
-  constructor({ nodes, enginesEach }: ClusterSize) {
+  constructor({ nodes, enginesPerNode }: ClusterSize) {
     this.#members = Array.from({ length: nodes }, (_, index) => member(index));
     this.#agents = new Map(
       this.#members.map((self) => [self.node, makeAgent(self)]),
     );
     this.#engines = Array.from(
-      { length: nodes * enginesEach },
+      { length: nodes * enginesPerNode },
       (_, index) => ({
         engine: engineId(`engine-${index}`),
         failureDomain: failureDomainId(`domain-${index % DOMAINS}`),
@@ -106,7 +111,7 @@
   run(milliseconds: number): void {
     const end = this.#now + milliseconds;
     for (; this.#now < end; this.#now += TICK_MILLISECONDS) {
-      for (const agent of this.#agents.values()) this.#turn(agent);
+      for (const agent of this.#agents.values()) this.#tickAgent(agent);
     }
   }
 
@@ -120,7 +125,7 @@
     }
   }
 
-  #turn(agent: ClusterAgent): void {
+  #tickAgent(agent: ClusterAgent): void {
     const now = instant(this.#now);
     agent.onLogPage(now, {
       startedAt: now,
--- a/packages/bench/src/slopes/configuration_cost.ts
+++ b/packages/bench/src/slopes/configuration_cost.ts
@@ -8,19 +8,19 @@
   takeSnapshot,
 } from "@foxtailwind/core";
 import {
-  heldMemory,
   type Measurement,
-  processorMicroseconds,
+  measureProcessorMicroseconds,
+  measureRetainedMemory,
 } from "./measurement.ts";
 
 const RECORD_COUNTS = [100, 3_600, 36_000];
 const ADAPTER_COUNTS = [1_000, 10_000, 71_000];
-const ADAPTERS_A_RECORD = 100;
+const ADAPTERS_PER_RECORD = 100;
 const BYTES_PER_KIBIBYTE = 1_024;
 
 /**
- * Measures reading records into a configuration, and its snapshots.
- * @returns For each number of records, then of adapters, what they cost.
+ * Measures reading configuration records, and taking and restoring snapshots.
+ * @returns Costs for each number of records, then for each of adapters.
  */
 export function measureConfiguration(): readonly Measurement[] {
   return [
@@ -35,7 +35,7 @@
     { length: count },
     (_, index) => recordText(index, [adapterChange(index % 1_000, index)]),
   );
-  const time = processorMicroseconds(() => {
+  const time = measureProcessorMicroseconds(() => {
     readAll(reader, texts);
   });
   const bytes = Buffer.byteLength(texts[0] ?? "");
@@ -50,16 +50,16 @@
 }
 
 function measureAdapters(count: number): Measurement {
-  const { held: reader, mebibytes } = heldMemory(() => {
+  const { held: reader, mebibytes } = measureRetainedMemory(() => {
     const filled = new ConfigurationReader();
     readAll(filled, adapterRecords(count));
     return filled;
   });
   let snapshot = takeSnapshot(reader.configuration);
-  const taking = processorMicroseconds(() => {
+  const taking = measureProcessorMicroseconds(() => {
     snapshot = takeSnapshot(reader.configuration);
   });
-  const restoring = processorMicroseconds(() => {
+  const restoring = measureProcessorMicroseconds(() => {
     restoreSnapshot(snapshot.chunks)._unsafeUnwrap();
   });
   const size = snapshot.chunks.reduce(
@@ -79,11 +79,11 @@
 }
 
 function adapterRecords(count: number): readonly string[] {
-  const records = Math.ceil(count / ADAPTERS_A_RECORD);
+  const records = Math.ceil(count / ADAPTERS_PER_RECORD);
   return Array.from({ length: records }, (_, record) => {
-    const first = record * ADAPTERS_A_RECORD;
+    const first = record * ADAPTERS_PER_RECORD;
     const changes = Array.from(
-      { length: Math.min(ADAPTERS_A_RECORD, count - first) },
+      { length: Math.min(ADAPTERS_PER_RECORD, count - first) },
       (__, index) => adapterChange(first + index, 1),
     );
     return recordText(record, changes);
--- a/packages/bench/src/slopes/decision_cost.ts
+++ b/packages/bench/src/slopes/decision_cost.ts
@@ -15,9 +15,9 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { ZipfSampler } from "../load/zipf.ts";
 import {
-  heldMemory,
   type Measurement,
-  processorMicroseconds,
+  measureProcessorMicroseconds,
+  measureRetainedMemory,
 } from "./measurement.ts";
 
 const SIZES = [
@@ -28,7 +28,7 @@
   { engines: 8, adapters: 71_000 },
 ];
 const REQUESTS = 4_000;
-const REQUESTS_PER_SECOND_AN_ENGINE = 11;
+const REQUESTS_PER_SECOND_PER_ENGINE = 11;
 const ZIPF_EXPONENT = 1.1;
 const LOAD_MILLISECONDS = 200;
 const ANSWER_MILLISECONDS = 1_000;
@@ -36,21 +36,21 @@
 const LIMITS = { loadsPerSecond: 7, concurrentLoads: 2 };
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Size of what one node decides about. */
+/** Number of engines and adapters that one node manages. */
 interface DecisionSize {
   readonly engines: number;
   readonly adapters: number;
 }
 
-/** Something that ends at a set time. */
-interface PendingEnd {
+/** An order that completes at a set virtual time. */
+interface PendingCompletion {
   readonly at: number;
   readonly order: DeploymentOrder;
 }
 
 /**
  * Measures the adapter decisions of one node over virtual time.
- * @returns For each size, what a request costs.
+ * @returns For each size, the costs of a request.
  */
 export function measureDecisions(): readonly Measurement[] {
   return SIZES.map(measureSize);
@@ -58,9 +58,9 @@
 
 function measureSize(size: DecisionSize): Measurement {
   let time = 0;
-  const { mebibytes, held } = heldMemory(() => {
-    const run = new DecisionRun(size);
-    time = processorMicroseconds(() => {
+  const { mebibytes, held } = measureRetainedMemory(() => {
+    const run = new DecisionSimulation(size);
+    time = measureProcessorMicroseconds(() => {
       run.run();
     });
     return run;
@@ -77,16 +77,17 @@
   };
 }
 
-class DecisionRun {
+/** Feeds the serving policy with requests and completes its orders. */
+class DecisionSimulation {
   dispatched = 0;
   refused = 0;
   readonly #size: DecisionSize;
   readonly #policy = new AdapterServingPolicy(LIMITS);
   readonly #random = new SeededRandom(1);
-  readonly #ranks = xoroshiro128plus(1);
+  readonly #rankGenerator = xoroshiro128plus(1);
   readonly #zipf: ZipfSampler;
-  readonly #loads: PendingEnd[] = [];
-  readonly #answers: PendingEnd[] = [];
+  readonly #loads: PendingCompletion[] = [];
+  readonly #answers: PendingCompletion[] = [];
   #now = 0;
 
   constructor(size: DecisionSize) {
@@ -102,12 +103,12 @@
   }
 
   run(): void {
-    const rate = this.#size.engines * REQUESTS_PER_SECOND_AN_ENGINE;
+    const rate = this.#size.engines * REQUESTS_PER_SECOND_PER_ENGINE;
     const gap = MILLISECONDS_PER_SECOND / rate;
     for (let index = 0; index < REQUESTS; index += 1) {
       this.#now += -Math.log(1 - this.#random.next()) * gap;
-      this.#endUntilNow(this.#loads);
-      this.#endUntilNow(this.#answers);
+      this.#completeDue(this.#loads);
+      this.#completeDue(this.#answers);
       this.#policy.handle(instant(this.#now), {
         kind: "request_arrived",
         queued: this.#request(index),
@@ -118,11 +119,11 @@
 
   #decide(): void {
     for (const order of this.#policy.decide(instant(this.#now))) {
-      this.#carryOut(order);
+      this.#applyOrder(order);
     }
   }
 
-  #carryOut(order: DeploymentOrder): void {
+  #applyOrder(order: DeploymentOrder): void {
     switch (order.kind) {
       case "dispatch":
         this.dispatched += 1;
@@ -140,17 +141,17 @@
     }
   }
 
-  #endUntilNow(pending: PendingEnd[]): void {
+  #completeDue(pending: PendingCompletion[]): void {
     for (;;) {
       const [first] = pending;
       if (first === undefined || first.at > this.#now) return;
       pending.shift();
-      this.#end(first.order);
+      this.#complete(first.order);
       this.#decide();
     }
   }
 
-  #end(order: DeploymentOrder): void {
+  #complete(order: DeploymentOrder): void {
     const now = instant(this.#now);
     if (order.kind === "load") {
       const { engine, adapter } = order;
@@ -179,7 +180,7 @@
     return {
       request: requestId(`r-${index}`),
       adapter: {
-        adapter: adapterId(`adapter-${this.#zipf.next(this.#ranks)}`),
+        adapter: adapterId(`adapter-${this.#zipf.next(this.#rankGenerator)}`),
         version: adapterVersion("v1"),
       },
       class: classId("drafting"),
--- a/packages/bench/src/slopes/main.ts
+++ b/packages/bench/src/slopes/main.ts
@@ -1,22 +1,22 @@
 /**
- * Measures what each role of a node costs at several sizes, for
- * docs/CAPACITY.md. Run with `--expose-gc`; a subject's name as argument runs
- * just that one.
+ * Measures the cost of each role of a node at several sizes, for
+ * docs/CAPACITY.md. Run with `--expose-gc`; the name of a subject as argument
+ * measures that subject alone.
  * @module
  */
 import process from "node:process";
-import { measureCluster } from "./cluster_slope.ts";
-import { measureConfiguration } from "./configuration_slope.ts";
-import { measureDecisions } from "./decision_slope.ts";
+import { measureCluster } from "./cluster_cost.ts";
+import { measureConfiguration } from "./configuration_cost.ts";
+import { measureDecisions } from "./decision_cost.ts";
 import type { Figure, Measurement } from "./measurement.ts";
-import { countSpread } from "./spread_slope.ts";
-import { measureTelemetry } from "./telemetry_slope.ts";
+import { countMessages } from "./message_counts.ts";
+import { measureTelemetry } from "./telemetry_cost.ts";
 
 const SUBJECTS: ReadonlyMap<string, () => readonly Measurement[]> = new Map([
   ["configuration", measureConfiguration],
   ["decisions", measureDecisions],
   ["cluster", measureCluster],
-  ["spread", countSpread],
+  ["spread", countMessages],
   ["telemetry", measureTelemetry],
 ]);
 
--- a/packages/bench/src/slopes/measurement.ts
+++ b/packages/bench/src/slopes/measurement.ts
@@ -1,38 +1,40 @@
 import process from "node:process";
 
-/** A figure of a measurement. */
+/** One measured value. */
 export interface Figure {
   readonly name: string;
   readonly value: number;
   readonly unit: string;
 }
 
-/** What one size of one subject cost. */
+/** The measured values of one subject at one size. */
 export interface Measurement {
-  /** What was measured, such as "configuration". */
+  /** The measured subject, such as "configuration". */
   readonly subject: string;
-  /** The size, in words, such as "36000 records". */
+  /** The size as text, such as "36000 records". */
   readonly size: string;
   readonly figures: readonly Figure[];
 }
 
 const BYTES_PER_MEBIBYTE = 1_048_576;
 
-/** Collects garbage; the program is run with `--expose-gc`. */
+/** Runs the garbage collector, which requires `--expose-gc`. */
 function collectGarbage(): void {
   const collect = (globalThis as { readonly gc?: () => void }).gc;
-  if (collect === undefined) throw new Error("Cannot measure without gc");
-  // Once frees objects, once more what only they kept.
+  if (collect === undefined) {
+    throw new Error("Cannot measure memory: run Node with --expose-gc");
+  }
+  // The second run frees what only objects freed by the first kept alive.
   collect();
   collect();
 }
 
 /**
- * Measures the processor time of some work.
- * @param work The work.
+ * Measures the processor time of a function.
+ * @param work The function to run.
  * @returns User and system time in microseconds.
  */
-export function processorMicroseconds(work: () => void): number {
+export function measureProcessorMicroseconds(work: () => void): number {
   const before = process.cpuUsage();
   work();
   const { user, system } = process.cpuUsage(before);
@@ -40,11 +42,11 @@
 }
 
 /**
- * Measures the memory that the result of some work holds.
- * @param work Makes the result.
- * @returns The result and its memory in MiB, array buffers included.
+ * Measures the memory that a function's result keeps in use.
+ * @param work Creates the result.
+ * @returns The result and its memory in MiB, including array buffers.
  */
-export function heldMemory<Held>(
+export function measureRetainedMemory<Held>(
   work: () => Held,
 ): { readonly held: Held; readonly mebibytes: number } {
   collectGarbage();
--- a/packages/bench/src/slopes/message_counts.ts
+++ b/packages/bench/src/slopes/message_counts.ts
@@ -15,25 +15,25 @@
   { nodes: 1_500, domains: 17 },
 ];
 
-/** Size of a deployment. */
-interface SpreadSize {
+/** Number of nodes and failure domains of a deployment. */
+interface DeploymentSize {
   readonly nodes: number;
   readonly domains: number;
 }
 
 /**
- * Counts who talks to whom, flat and in two levels, for membership and for
- * configuration.
- * @returns For each size, the counts.
+ * Counts the messages of membership and of configuration distribution, with a
+ * flat topology and with one of two levels.
+ * @returns The counts for each size.
  */
-export function countSpread(): readonly Measurement[] {
+export function countMessages(): readonly Measurement[] {
   return SIZES.flatMap((size) => [
     countHeartbeats(size),
     countConfiguration(size),
   ]);
 }
 
-function countHeartbeats(size: SpreadSize): Measurement {
+function countHeartbeats(size: DeploymentSize): Measurement {
   const members = memberList(size);
   const counts = members.map((self) => heartbeatPeers(members, self).length);
   const sum = counts.reduce((total, count) => total + count, 0);
@@ -54,7 +54,7 @@
   };
 }
 
-function countConfiguration(size: SpreadSize): Measurement {
+function countConfiguration(size: DeploymentSize): Measurement {
   const nodes = memberList(size).map(({ node, failureDomain }) => ({
     id: node,
     failureDomain,
@@ -88,7 +88,7 @@
   };
 }
 
-function memberList({ nodes, domains }: SpreadSize): readonly Member[] {
+function memberList({ nodes, domains }: DeploymentSize): readonly Member[] {
   return Array.from({ length: nodes }, (_, index) => ({
     node: nodeId(`node-${index}`),
     incarnation: incarnationId("1"),
@@ -100,6 +100,6 @@
   }));
 }
 
-function sizeText({ nodes, domains }: SpreadSize): string {
+function sizeText({ nodes, domains }: DeploymentSize): string {
   return `${nodes} nodes, ${domains} failure domains`;
 }
--- a/packages/bench/src/slopes/telemetry_cost.ts
+++ b/packages/bench/src/slopes/telemetry_cost.ts
@@ -15,9 +15,9 @@
 import { exponential } from "../load/exponential.ts";
 import { SeededRandom } from "@foxtailwind/standins";
 import {
-  heldMemory,
   type Measurement,
-  processorMicroseconds,
+  measureProcessorMicroseconds,
+  measureRetainedMemory,
 } from "./measurement.ts";
 
 const ROW_COUNTS = [1, 12, 96];
@@ -30,8 +30,8 @@
 const ADAPTER = { adapter: adapterId("adapter"), version: adapterVersion("1") };
 
 /**
- * Measures what observing requests costs.
- * @returns By traces, and by rows of histograms.
+ * Measures the costs of request telemetry.
+ * @returns Costs for each number of traces, then for each of histogram rows.
  */
 export function measureTelemetry(): readonly Measurement[] {
   return [
@@ -41,14 +41,16 @@
 }
 
 function measureRows(rows: number): Measurement {
-  const { held: telemetry } = heldMemory(() => filledTelemetry(rows));
+  const { held: telemetry } = measureRetainedMemory(() =>
+    telemetryWithRequests(rows)
+  );
   const frames = measureFrames(telemetry);
   let report = telemetry.report(instant(0), "since_start");
-  const reporting = processorMicroseconds(() => {
+  const reporting = measureProcessorMicroseconds(() => {
     report = telemetry.report(instant(0), "since_start");
   });
   const text = JSON.stringify(report);
-  const merging = processorMicroseconds(() => {
+  const merging = measureProcessorMicroseconds(() => {
     new MergedHistograms().add(report);
   });
   const bytes = telemetry.histogramBytes / BYTES_PER_MEBIBYTE;
@@ -68,10 +70,10 @@
 function measureFrames(telemetry: RequestTelemetry): number {
   const requests = Array.from({ length: 1_000 }, (_, index) => {
     const request = requestId(`open-${index}`);
-    arrive(telemetry, { request, row: index, at: 0 });
+    recordArrival(telemetry, { request, row: index, at: 0 });
     return { kind: "frame" as const, request, tokens: 1 };
   });
-  const time = processorMicroseconds(() => {
+  const time = measureProcessorMicroseconds(() => {
     for (let frame = 0; frame < FRAMES; frame += 1) {
       const event = requests[frame % requests.length];
       const at = instant(Math.floor(frame / requests.length) * 26);
@@ -82,11 +84,15 @@
 }
 
 function measureTraces(count: number): Measurement {
-  const { held, mebibytes } = heldMemory(() => {
+  const { held, mebibytes } = measureRetainedMemory(() => {
     const telemetry = new RequestTelemetry(CLOCK_START);
     const random = new SeededRandom(1);
     for (let index = 0; index < count; index += 1) {
-      live(telemetry, { request: requestId(`r-${index}`), row: 0, random });
+      recordRequest(telemetry, {
+        request: requestId(`r-${index}`),
+        row: 0,
+        random,
+      });
     }
     return telemetry;
   });
@@ -101,7 +107,7 @@
   };
 }
 
-function filledTelemetry(rows: number): RequestTelemetry {
+function telemetryWithRequests(rows: number): RequestTelemetry {
   const telemetry = new RequestTelemetry(CLOCK_START);
   const tenants = Math.ceil(rows / CLASSES);
   telemetry.configure({
@@ -111,19 +117,19 @@
   const random = new SeededRandom(1);
   for (let index = 0; index < REQUESTS; index += 1) {
     const request = requestId(`r-${index}`);
-    live(telemetry, { request, row: index % rows, random });
+    recordRequest(telemetry, { request, row: index % rows, random });
   }
   return telemetry;
 }
 
-function live(telemetry: RequestTelemetry, { request, row, random }: {
+function recordRequest(telemetry: RequestTelemetry, { request, row, random }: {
   readonly request: RequestId;
   readonly row: number;
   readonly random: SeededRandom;
 }): void {
   const engine = engineId("engine-1");
   const wait = exponential(random, 300);
-  arrive(telemetry, { request, row, at: 0 });
+  recordArrival(telemetry, { request, row, at: 0 });
   const steps = [
     { kind: "queued", request, engine, ahead: 3 },
     { kind: "load_started", request, engine, adapter: ADAPTER },
@@ -149,7 +155,7 @@
   });
 }
 
-function arrive(telemetry: RequestTelemetry, { request, row, at }: {
+function recordArrival(telemetry: RequestTelemetry, { request, row, at }: {
   readonly request: RequestId;
   readonly row: number;
   readonly at: number;
