--- a/packages/bench/src/overhead/load_plan.ts
+++ b/packages/bench/src/overhead/load_plan.ts
@@ -1,19 +1,19 @@
 import * as z from "zod";
 
 const pacingSchema = z.discriminatedUnion("kind", [
-  /** So many requests at any time, whatever they take. */
+  /** A constant number of requests in flight, however long each takes. */
   z.object({ kind: z.literal("concurrent"), requests: z.number() }),
-  /** So many requests a second, whatever they take. */
+  /** A constant mean rate of requests, however long each takes. */
   z.object({ kind: z.literal("paced"), perSecond: z.number() }),
 ]);
 
-/** What one load generator sends. */
+/** Schema of {@link LoadPlan}. */
 export const loadPlanSchema = z.object({
   /** The node's `http://` address. */
   node: z.string(),
   /** The engines' `http://` addresses. */
   engines: z.array(z.string()).min(1),
-  /** The share of requests that go to an engine directly. */
+  /** Share of requests that go directly to an engine. */
   directShare: z.number().min(0).max(1),
   pacing: pacingSchema,
   warmMilliseconds: z.number(),
@@ -24,34 +24,37 @@
   seed: z.number().int(),
 });
 
-/** What one load generator sends. */
+/** The load that one load generator sends. */
 export type LoadPlan = Readonly<z.infer<typeof loadPlanSchema>>;
 
 const pathResultSchema = z.object({
-  /** Requests that were sent and ended within the measured time. */
+  /**
+   * Complete responses to requests that ended (concurrent) or were sent
+   * (paced) within the measured period.
+   */
   whole: z.number(),
   failed: z.number(),
-  /** Pieces of all whole answers together. */
+  /** Total number of data chunks in the complete responses. */
   pieces: z.number(),
   firstTokenMilliseconds: z.array(z.number()),
   wholeMilliseconds: z.array(z.number()),
 });
 
-/** What came of the requests on one path. */
+/** Outcomes of the requests on one path. */
 export type PathResult = z.infer<typeof pathResultSchema>;
 
-/** What one load generator measured. */
+/** Schema of {@link LoadResult}. */
 export const loadResultSchema = z.object({
   node: pathResultSchema,
   engine: pathResultSchema,
 });
 
-/** What one load generator measured. */
+/** Results of one load generator, by path. */
 export type LoadResult = z.infer<typeof loadResultSchema>;
 
 /**
- * Makes a result with nothing in it.
- * @returns The result.
+ * Creates a result without any requests.
+ * @returns The empty result.
  */
 export function emptyResult(): LoadResult {
   return { node: emptyPath(), engine: emptyPath() };
--- a/packages/bench/src/overhead/load_program.ts
+++ b/packages/bench/src/overhead/load_program.ts
@@ -1,6 +1,6 @@
 /**
- * One load generator of the overhead measurement, as a process of its own:
- * takes its plan as JSON, prints its result as a JSON line.
+ * Load generator of the overhead measurement, run in a separate process: takes
+ * its plan as a JSON argument and prints its result as one line of JSON.
  * @module
  */
 import { randomUUID } from "node:crypto";
@@ -20,7 +20,7 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 const PROMPT = "Draft a short note about the red wine on the wool carpet.";
 const MESSAGES = [{ role: "user", content: PROMPT }];
-const JSON_TYPE = { "content-type": "application/json" };
+const JSON_HEADERS = { "content-type": "application/json" };
 
 const plan = loadPlanSchema.parse(JSON.parse(process.argv[2] ?? ""));
 const random = xoroshiro128plus(plan.seed);
@@ -29,12 +29,12 @@
 const start = performance.now();
 const measureFrom = start + plan.warmMilliseconds;
 const measureUntil = measureFrom + plan.measureMilliseconds;
-let sent = 0;
+let selectionCount = 0;
 
 switch (plan.pacing.kind) {
   case "concurrent":
     await Promise.all(
-      Array.from({ length: plan.pacing.requests }, sendInTurn),
+      Array.from({ length: plan.pacing.requests }, sendSequentially),
     );
     break;
   case "paced":
@@ -44,7 +44,7 @@
 await agent.close();
 process.stdout.write(`${JSON.stringify(result)}\n`);
 
-async function sendInTurn(): Promise<void> {
+async function sendSequentially(): Promise<void> {
   await sleep(uniformFloat64(random) * plan.warmMilliseconds);
   while (performance.now() < measureUntil) await sendOne();
 }
@@ -86,15 +86,15 @@
   return {
     origin: plan.node,
     path: "/v1/chat/completions",
-    headers: { ...JSON_TYPE, "x-foxtailwind-class": plan.className },
+    headers: { ...JSON_HEADERS, "x-foxtailwind-class": plan.className },
     body: JSON.stringify({
       model: nextOf(plan.adapters),
       messages: MESSAGES,
       max_tokens: plan.tokens,
       stream: true,
     }),
-    tokens: plan.tokens,
-    lastText: "[DONE]",
+    expectedTokens: plan.tokens,
+    endText: "[DONE]",
   };
 }
 
@@ -103,7 +103,7 @@
   return {
     origin: nextOf(plan.engines),
     path: "/v1/generate",
-    headers: JSON_TYPE,
+    headers: JSON_HEADERS,
     body: JSON.stringify({
       request: randomUUID(),
       attempt: 1,
@@ -114,12 +114,12 @@
       priority: 0,
       fromSequence: 0,
     }),
-    tokens: plan.tokens,
-    lastText: '"finishReason"',
+    expectedTokens: plan.tokens,
+    endText: '"finishReason"',
   };
 }
 
 function nextOf(values: LoadPlan["adapters"]): string {
-  sent += 1;
-  return values[sent % values.length] ?? "";
+  selectionCount += 1;
+  return values[selectionCount % values.length] ?? "";
 }
--- a/packages/bench/src/overhead/main.ts
+++ b/packages/bench/src/overhead/main.ts
@@ -1,6 +1,7 @@
 /**
- * Measures what a node adds: latency at half load, and requests a second a
- * core, against the same engines asked directly, in one run.
+ * Measures the overhead of a node in one run: its added latency at half load
+ * and its requests per second per core, compared with direct requests to the
+ * same engines.
  * @module
  */
 import process from "node:process";
@@ -16,7 +17,7 @@
 const ADAPTERS = 32;
 const DIRECT_SHARE = 0.2;
 const SETTLE_MILLISECONDS = 2_000;
-const HALF = 0.5;
+const HALF_LOAD_SHARE = 0.5;
 
 const flags = await yargs(hideBin(process.argv))
   .option("seconds", { type: "number", default: 8 })
@@ -50,7 +51,7 @@
 });
 await sleep(SETTLE_MILLISECONDS);
 
-const common: Omit<LoadPlan, "directShare" | "pacing"> = {
+const commonPlan: Omit<LoadPlan, "directShare" | "pacing"> = {
   node: `http://${cluster.node.http}`,
   engines: [...cluster.engines],
   warmMilliseconds: 3_000,
@@ -62,31 +63,31 @@
 };
 const options = {
   generators: flags.generators,
-  nodeProcess: cluster.node.program.processId ?? 0,
+  nodeProcessId: cluster.node.program.processId ?? 0,
 };
-const concurrent = {
+const concurrentPacing = {
   kind: "concurrent",
   requests: flags.concurrency,
 } as const;
 const node = await runPhase(
-  { ...common, directShare: 0, pacing: concurrent },
+  { ...commonPlan, directShare: 0, pacing: concurrentPacing },
   options,
 );
 const direct = await runPhase(
-  { ...common, directShare: 1, pacing: concurrent },
+  { ...commonPlan, directShare: 1, pacing: concurrentPacing },
   options,
 );
-const halfPerSecond = HALF * node.node.whole / node.seconds;
-const half = await runPhase({
-  ...common,
+const halfLoadPerSecond = HALF_LOAD_SHARE * node.node.whole / node.seconds;
+const halfLoad = await runPhase({
+  ...commonPlan,
   directShare: DIRECT_SHARE,
-  pacing: { kind: "paced", perSecond: halfPerSecond / (1 - DIRECT_SHARE) },
+  pacing: { kind: "paced", perSecond: halfLoadPerSecond / (1 - DIRECT_SHARE) },
 }, options);
 process.stdout.write(formatOverhead({
   node,
   direct,
-  half,
-  halfPerSecond,
+  halfLoad,
+  halfLoadPerSecond,
   tokens: flags.tokens,
 }));
 await cluster.stop();
--- a/packages/bench/src/overhead/overhead_cluster.ts
+++ b/packages/bench/src/overhead/overhead_cluster.ts
@@ -4,7 +4,7 @@
 import { listNodes, NodeProcess } from "../demo/node_process.ts";
 import { postJson, StandInProcess } from "../demo/stand_in_process.ts";
 
-/** What to measure. */
+/** Parameters of the cluster to start. */
 export interface OverheadClusterPlan {
   readonly engines: number;
   readonly adapters: readonly string[];
@@ -13,7 +13,7 @@
   readonly engineSettings: readonly string[];
 }
 
-/** One node, and engines that each have a process of their own. */
+/** One node, and engines that each run in a separate process. */
 export class OverheadCluster {
   readonly node: NodeProcess;
   readonly engines: readonly string[];
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Starts the platform, the engines with all adapters in place, and a node.
-   * @param plan What to start.
-   * @returns The running cluster, its configuration published.
+   * Starts the platform, the engines with all adapters loaded, and a node.
+   * @param plan The cluster's parameters.
+   * @returns The running cluster, with its configuration published.
    */
   static async start(plan: OverheadClusterPlan): Promise<OverheadCluster> {
     const folder = mkdtempSync(path.join(tmpdir(), "foxtailwind-overhead-"));
--- a/packages/bench/src/overhead/overhead_phase.ts
+++ b/packages/bench/src/overhead/overhead_phase.ts
@@ -11,26 +11,26 @@
 } from "./load_plan.ts";
 import { processorSeconds } from "./processor_time.ts";
 
-/** One phase: a load from several generators, and the node's use of its core. */
+/** Merged results of all load generators, and the node's processor use. */
 export interface PhaseResult extends LoadResult {
-  /** Cores that the node used while the load was measured. */
+  /** Mean number of cores that the node used in the measured period. */
   readonly nodeCores: number;
   readonly seconds: number;
 }
 
-/** What a phase needs besides the load. */
+/** Options of a phase besides its load. */
 export interface PhaseOptions {
   readonly generators: number;
-  readonly nodeProcess: number;
+  readonly nodeProcessId: number;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
- * Runs one phase.
- * @param plan The whole load, which is shared out over the generators.
- * @param options How many generators, and which process is the node.
- * @returns What was measured.
+ * Runs one phase of the measurement.
+ * @param plan The total load, which is divided among the generators.
+ * @param options The number of generators and the node's process ID.
+ * @returns The merged results.
  */
 export async function runPhase(
   plan: LoadPlan,
@@ -41,10 +41,10 @@
     (_, index) => startGenerator(plan, { index, count: options.generators }),
   );
   await sleep(plan.warmMilliseconds);
-  const before = processorSeconds(options.nodeProcess);
+  const before = processorSeconds(options.nodeProcessId);
   const startedAt = performance.now();
   await sleep(plan.measureMilliseconds);
-  const used = processorSeconds(options.nodeProcess) - before;
+  const used = processorSeconds(options.nodeProcessId) - before;
   const seconds = (performance.now() - startedAt) / MILLISECONDS_PER_SECOND;
   const results = await Promise.all(programs.map(async (program) => {
     const result = loadResultSchema.parse(await program.nextLine());
@@ -64,15 +64,15 @@
   { index, count }: { readonly index: number; readonly count: number },
 ): ChildProgram {
   const folder = path.dirname(fileURLToPath(import.meta.url));
-  const own = { ...plan, pacing: shareOf(plan.pacing, count) };
+  const generatorPlan = { ...plan, pacing: perGenerator(plan.pacing, count) };
   return new ChildProgram(
     `load-${index + 1}`,
     path.join(folder, "load_program.js"),
-    [JSON.stringify({ ...own, seed: plan.seed + index })],
+    [JSON.stringify({ ...generatorPlan, seed: plan.seed + index })],
   );
 }
 
-function shareOf(pacing: LoadPlan["pacing"], count: number) {
+function perGenerator(pacing: LoadPlan["pacing"], count: number) {
   switch (pacing.kind) {
     case "concurrent":
       return { ...pacing, requests: Math.ceil(pacing.requests / count) };
--- a/packages/bench/src/overhead/overhead_report.ts
+++ b/packages/bench/src/overhead/overhead_report.ts
@@ -2,12 +2,12 @@
 import type { PathResult } from "./load_plan.ts";
 import type { PhaseResult } from "./overhead_phase.ts";
 
-/** What the measurement came to. */
-export interface OverheadFigures {
+/** Results of all phases of the measurement. */
+export interface OverheadResults {
   readonly node: PhaseResult;
   readonly direct: PhaseResult;
-  readonly half: PhaseResult;
-  readonly halfPerSecond: number;
+  readonly halfLoad: PhaseResult;
+  readonly halfLoadPerSecond: number;
   readonly tokens: number;
 }
 
@@ -15,12 +15,12 @@
 const TAIL = 0.95;
 
 /**
- * Puts the figures into a table, with their ratios.
- * @param figures The figures.
+ * Formats the results as tables, with the ratios between the two paths.
+ * @param figures The results.
  * @returns The text.
  */
-export function formatOverhead(figures: OverheadFigures): string {
-  const { node, direct, half } = figures;
+export function formatOverhead(figures: OverheadResults): string {
+  const { node, direct, halfLoad } = figures;
   const nodeRate = node.node.whole / node.seconds;
   const directRate = direct.engine.whole / direct.seconds;
   return [
@@ -31,14 +31,14 @@
       (1_000 * node.nodeCores / nodeRate).toFixed(3)
     } ms of the node's core: ` +
     `${(nodeRate / node.nodeCores).toFixed(0)} requests/s a core`,
-    `Half load: ${figures.halfPerSecond.toFixed(0)} requests/s, ` +
-    `${half.nodeCores.toFixed(2)} cores of the node`,
-    halfLoadTable(half),
+    `Half load: ${figures.halfLoadPerSecond.toFixed(0)} requests/s, ` +
+    `${halfLoad.nodeCores.toFixed(2)} cores of the node`,
+    halfLoadTable(halfLoad),
     "",
   ].join("\n");
 }
 
-function fullLoadTable({ node, direct }: OverheadFigures): string {
+function fullLoadTable({ node, direct }: OverheadResults): string {
   const table = plainTable([
     "full load",
     "whole/s",
--- a/packages/bench/src/overhead/processor_time.ts
+++ b/packages/bench/src/overhead/processor_time.ts
@@ -1,15 +1,15 @@
 import { readFileSync } from "node:fs";
 
-/** The kernel counts processor time in hundredths of a second. */
+/** The kernel reports processor time in hundredths of a second. */
 const TICKS_PER_SECOND = 100;
-/** Places of utime and stime after the command's name in the kernel's line. */
+/** Indexes of `utime` and `stime` among the fields after the command name. */
 const USER_FIELD = 11;
 const SYSTEM_FIELD = 12;
 
 /**
- * Reads how much processor time a process has used.
- * @param processId The process.
- * @returns Seconds, those of the kernel on its behalf included.
+ * Reads the processor time that a process has used.
+ * @param processId The process's ID.
+ * @returns User and system time in seconds.
  */
 export function processorSeconds(processId: number): number {
   const line = readFileSync(`/proc/${processId}/stat`, "utf8");
--- a/packages/bench/src/overhead/stream_call.ts
+++ b/packages/bench/src/overhead/stream_call.ts
@@ -1,41 +1,41 @@
 import type { Dispatcher } from "undici";
 
-/** One streamed answer to ask for. */
+/** A request for a streamed response. */
 export interface StreamCall {
   readonly origin: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
-  /** How many tokens a whole answer has. */
-  readonly tokens: number;
-  /** What a whole answer's last bytes hold. */
-  readonly lastText: string;
+  /** Number of tokens in a complete response. */
+  readonly expectedTokens: number;
+  /** Text that the last bytes of a complete response contain. */
+  readonly endText: string;
 }
 
-/** What came of a streamed answer. */
+/** Outcome of a streamed response. */
 export interface StreamOutcome {
   readonly whole: boolean;
   readonly firstTokenMilliseconds: number;
   readonly wholeMilliseconds: number;
-  /** In how many pieces the answer arrived: about one for each write. */
+  /** Number of data chunks received: about one for each write. */
   readonly pieces: number;
 }
 
-const OK = 200;
-/** The stand-in engine puts this into the text of each token, once. */
+const HTTP_OK = 200;
+/** `#`, which the stand-in engine writes exactly once in each token. */
 const TOKEN_MARK = 35;
-const LAST_BYTES = 512;
+const TAIL_BYTES = 512;
 
-/** Counts the tokens of one answer without parsing it: it must be cheap. */
+/** Counts the tokens of a response without parsing it, to stay cheap. */
 class StreamReader implements Dispatcher.DispatchHandler {
   readonly #call: StreamCall;
   readonly #onOutcome: (outcome: StreamOutcome) => void;
   readonly #startedAt = performance.now();
-  #firstAt: number | undefined;
+  #firstTokenAt: number | undefined;
   #status = 0;
   #tokens = 0;
   #pieces = 0;
-  #last = "";
+  #tail = "";
 
   constructor(call: StreamCall, onOutcome: (outcome: StreamOutcome) => void) {
     this.#call = call;
@@ -43,7 +43,7 @@
   }
 
   onRequestStart(): void {
-    // The start was noted before the connection was chosen.
+    // The constructor records the start, before a connection is chosen.
   }
 
   onResponseStart(_controller: unknown, status: number): void {
@@ -51,28 +51,28 @@
   }
 
   onResponseData(_controller: unknown, chunk: Buffer): void {
-    this.#tokens += countMarks(chunk);
+    this.#tokens += countTokenMarks(chunk);
     this.#pieces += 1;
-    if (this.#tokens > 0) this.#firstAt ??= performance.now();
-    this.#last = chunk.subarray(-LAST_BYTES).toString("latin1");
+    if (this.#tokens > 0) this.#firstTokenAt ??= performance.now();
+    this.#tail = chunk.subarray(-TAIL_BYTES).toString("latin1");
   }
 
   onResponseEnd(): void {
-    this.#end(
-      this.#status === OK && this.#tokens === this.#call.tokens &&
-        this.#last.includes(this.#call.lastText),
+    this.#finish(
+      this.#status === HTTP_OK && this.#tokens === this.#call.expectedTokens &&
+        this.#tail.includes(this.#call.endText),
     );
   }
 
   onResponseError(): void {
-    this.#end(false);
+    this.#finish(false);
   }
 
-  #end(whole: boolean): void {
+  #finish(whole: boolean): void {
     const now = performance.now();
     this.#onOutcome({
       whole,
-      firstTokenMilliseconds: (this.#firstAt ?? now) - this.#startedAt,
+      firstTokenMilliseconds: (this.#firstTokenAt ?? now) - this.#startedAt,
       wholeMilliseconds: now - this.#startedAt,
       pieces: this.#pieces,
     });
@@ -80,10 +80,10 @@
 }
 
 /**
- * Asks for a streamed answer.
+ * Requests a streamed response.
  * @param dispatcher The HTTP client.
- * @param call What to ask for.
- * @returns What came of it.
+ * @param call The request to send.
+ * @returns The outcome of the response.
  */
 export function callStream(
   dispatcher: Dispatcher,
@@ -100,12 +100,12 @@
   });
 }
 
-function countMarks(chunk: Buffer): number {
+function countTokenMarks(chunk: Buffer): number {
   let count = 0;
-  let place = chunk.indexOf(TOKEN_MARK);
-  while (place >= 0) {
+  let index = chunk.indexOf(TOKEN_MARK);
+  while (index >= 0) {
     count += 1;
-    place = chunk.indexOf(TOKEN_MARK, place + 1);
+    index = chunk.indexOf(TOKEN_MARK, index + 1);
   }
   return count;
 }
