--- a/packages/bench/src/faults/fault_caller.ts
+++ b/packages/bench/src/faults/fault_caller.ts
@@ -41,7 +41,7 @@
   async complete(plan: CompletionPlan): Promise<CallRecord> {
     const sentAt = performance.now();
     const checker = new TokenChecker(plan.adapter);
-    const reader = new AnswerReader(checker);
+    const reader = new ResponseReader(checker);
     try {
       const answer = await this.#agent.request({
         origin: `http://${plan.node.http}`,
@@ -60,7 +60,7 @@
         }),
       });
       reader.status = answer.statusCode;
-      for await (const piece of answer.body) reader.read(String(piece));
+      for await (const chunk of answer.body) reader.read(String(chunk));
     } catch (error) {
       reader.connectionError = error instanceof Error
         ? error.message
@@ -150,7 +150,7 @@
 });
 
 /** Reads one streamed response and classifies its outcome. */
-class AnswerReader {
+class ResponseReader {
   status = 0;
   connectionError = "";
   firstTokenAt: number | undefined;
@@ -164,12 +164,12 @@
     this.#checker = checker;
   }
 
-  read(piece: string): void {
+  read(chunk: string): void {
     if (this.status !== HTTP_OK) {
-      this.#errorBody += piece;
+      this.#errorBody += chunk;
       return;
     }
-    const lines = (this.#incompleteLine + piece).split("\n");
+    const lines = (this.#incompleteLine + chunk).split("\n");
     this.#incompleteLine = lines.pop() ?? "";
     for (const line of lines) {
       if (line.startsWith(EVENT_DATA_PREFIX)) {
--- a/packages/bench/src/faults/fault_report.ts
+++ b/packages/bench/src/faults/fault_report.ts
@@ -61,12 +61,12 @@
     head: ["fault", "engine with the longest gap", "gap ms"],
     style: PLAIN_STYLE,
   });
-  for (const struck of faults) {
-    const gaps = [...probe.longestGaps(struck.from, struck.to)];
+  for (const injectedFault of faults) {
+    const gaps = [...probe.longestGaps(injectedFault.from, injectedFault.to)];
     gaps.sort((left, right) => right.to - right.from - (left.to - left.from));
     const longest = gaps[0];
     table.push([
-      struck.fault.name,
+      injectedFault.fault.name,
       longest?.engine ?? "",
       longest === undefined ? "" : (longest.to - longest.from).toFixed(0),
     ]);
--- a/packages/bench/src/faults/main.ts
+++ b/packages/bench/src/faults/main.ts
@@ -161,12 +161,13 @@
   costs: readonly FaultCost[],
   audit: BookingAudit,
 ): boolean {
-  const broken = costs.some((cost) =>
+  const hasFailedRequests = costs.some((cost) =>
     cost.cut + cost.lost + cost.misdelivered > 0
   );
-  const wrong = audit.ranRepeatedly.length + audit.ranThoughNotRun.length +
+  const bookingErrors = audit.ranRepeatedly.length +
+    audit.ranThoughNotRun.length +
     audit.answeredButNotRun.length;
-  return !broken && wrong === 0;
+  return !hasFailedRequests && bookingErrors === 0;
 }
 
 function print(text: string): void {
--- a/packages/bench/src/overhead/load_program.ts
+++ b/packages/bench/src/overhead/load_program.ts
@@ -63,15 +63,15 @@
 }
 
 async function sendOne(): Promise<void> {
-  const direct = uniformFloat64(random) < plan.directShare;
+  const isDirect = uniformFloat64(random) < plan.directShare;
   const sentAt = performance.now();
-  const outcome = await callStream(agent, direct ? directCall() : nodeCall());
+  const outcome = await callStream(agent, isDirect ? directCall() : nodeCall());
   const endedAt = performance.now();
   const isMeasured = plan.pacing.kind === "concurrent"
     ? endedAt >= measureFrom && endedAt <= measureUntil
     : sentAt >= measureFrom && sentAt <= measureUntil;
   if (!isMeasured) return;
-  const path: PathResult = direct ? result.engine : result.node;
+  const path: PathResult = isDirect ? result.engine : result.node;
   if (!outcome.whole) {
     path.failed += 1;
     return;
@@ -88,7 +88,7 @@
     path: "/v1/chat/completions",
     headers: { ...JSON_HEADERS, "x-foxtailwind-class": plan.className },
     body: JSON.stringify({
-      model: nextOf(plan.adapters),
+      model: nextInRotation(plan.adapters),
       messages: MESSAGES,
       max_tokens: plan.tokens,
       stream: true,
@@ -99,9 +99,9 @@
 }
 
 function directCall(): StreamCall {
-  const [adapter, version] = nextOf(plan.adapters).split("@");
+  const [adapter, version] = nextInRotation(plan.adapters).split("@");
   return {
-    origin: nextOf(plan.engines),
+    origin: nextInRotation(plan.engines),
     path: "/v1/generate",
     headers: JSON_HEADERS,
     body: JSON.stringify({
@@ -119,7 +119,7 @@
   };
 }
 
-function nextOf(values: LoadPlan["adapters"]): string {
+function nextInRotation(values: LoadPlan["adapters"]): string {
   selectionCount += 1;
   return values[selectionCount % values.length] ?? "";
 }
--- a/packages/bench/src/overhead/overhead_report.ts
+++ b/packages/bench/src/overhead/overhead_report.ts
@@ -11,8 +11,8 @@
   readonly tokens: number;
 }
 
-const MEDIAN = 0.5;
-const TAIL = 0.95;
+const MEDIAN_SHARE = 0.5;
+const P95_SHARE = 0.95;
 
 /**
  * Formats the results as tables, with the ratios between the two paths.
@@ -25,7 +25,9 @@
   const directRate = direct.engine.whole / direct.seconds;
   return [
     fullLoadTable(figures),
-    `Through the node to directly at full load: ${ratio(nodeRate, directRate)}`,
+    `Through the node to directly at full load: ${
+      formatRatio(nodeRate, directRate)
+    }`,
     `A request of ${figures.tokens} tokens takes ` +
     `${
       (1_000 * node.nodeCores / nodeRate).toFixed(3)
@@ -89,31 +91,33 @@
     name,
     String(path.whole),
     String(path.failed),
-    ...timesOf(path).map((time) => time.toFixed(2)),
+    ...latencyQuantiles(path).map((time) => time.toFixed(2)),
   ];
 }
 
 function differenceRow({ node, engine }: PhaseResult): string[] {
-  const direct = timesOf(engine);
-  const added = timesOf(node).map((time, place) => time - (direct[place] ?? 0));
+  const direct = latencyQuantiles(engine);
+  const added = latencyQuantiles(node).map((time, index) =>
+    time - (direct[index] ?? 0)
+  );
   return ["added", "", "", ...added.map((time) => time.toFixed(2))];
 }
 
-function timesOf(path: PathResult): readonly number[] {
+function latencyQuantiles(path: PathResult): readonly number[] {
   return [path.firstTokenMilliseconds, path.wholeMilliseconds].flatMap(
     (times) => {
       const sorted = [...times].sort((left, right) => left - right);
-      return [quantile(sorted, MEDIAN), quantile(sorted, TAIL)];
+      return [quantile(sorted, MEDIAN_SHARE), quantile(sorted, P95_SHARE)];
     },
   );
 }
 
 function quantile(sorted: readonly number[], share: number): number {
-  const place = Math.floor(share * sorted.length);
-  return sorted[Math.min(sorted.length - 1, place)] ?? Number.NaN;
+  const index = Math.floor(share * sorted.length);
+  return sorted[Math.min(sorted.length - 1, index)] ?? Number.NaN;
 }
 
-function ratio(left: number, right: number): string {
+function formatRatio(left: number, right: number): string {
   return (left / right).toFixed(3);
 }
 
--- a/packages/bench/src/slopes/decision_cost.ts
+++ b/packages/bench/src/slopes/decision_cost.ts
@@ -58,7 +58,7 @@
 
 function measureSize(size: DecisionSize): Measurement {
   let time = 0;
-  const { mebibytes, held } = measureRetainedMemory(() => {
+  const { mebibytes, held: simulation } = measureRetainedMemory(() => {
     const run = new DecisionSimulation(size);
     time = measureProcessorMicroseconds(() => {
       run.run();
@@ -71,8 +71,12 @@
     figures: [
       { name: "processor time a request", value: time / REQUESTS, unit: "µs" },
       { name: "memory", value: mebibytes, unit: "MiB" },
-      { name: "dispatched", value: held.dispatched, unit: `of ${REQUESTS}` },
-      { name: "refused", value: held.refused, unit: `of ${REQUESTS}` },
+      {
+        name: "dispatched",
+        value: simulation.dispatched,
+        unit: `of ${REQUESTS}`,
+      },
+      { name: "refused", value: simulation.refused, unit: `of ${REQUESTS}` },
     ],
   };
 }
