--- a/packages/bench/src/overhead/overhead_report.ts
+++ b/packages/bench/src/overhead/overhead_report.ts
@@ -2,43 +2,45 @@
 import type { PathResult } from "./load_plan.ts";
 import type { PhaseResult } from "./overhead_phase.ts";
 
-/** What the measurement came to. */
-export interface OverheadFigures {
+/** Results of all phases of the measurement. */
+export interface OverheadResults {
   readonly node: PhaseResult;
   readonly direct: PhaseResult;
-  readonly half: PhaseResult;
-  readonly halfPerSecond: number;
+  readonly halfLoad: PhaseResult;
+  readonly halfLoadPerSecond: number;
   readonly tokens: number;
 }
 
-const MEDIAN = 0.5;
-const TAIL = 0.95;
+const MEDIAN_SHARE = 0.5;
+const P95_SHARE = 0.95;
 
 /**
- * Puts the figures into a table, with their ratios.
- * @param figures The figures.
+ * Formats the results as tables, with the ratios between the two paths.
+ * @param figures The results.
  * @returns The text.
  */
-export function formatOverhead(figures: OverheadFigures): string {
-  const { node, direct, half } = figures;
+export function formatOverhead(figures: OverheadResults): string {
+  const { node, direct, halfLoad } = figures;
   const nodeRate = node.node.whole / node.seconds;
   const directRate = direct.engine.whole / direct.seconds;
   return [
     fullLoadTable(figures),
-    `Through the node to directly at full load: ${ratio(nodeRate, directRate)}`,
+    `Through the node to directly at full load: ${
+      formatRatio(nodeRate, directRate)
+    }`,
     `A request of ${figures.tokens} tokens takes ` +
     `${
       (1_000 * node.nodeCores / nodeRate).toFixed(3)
     } ms of the node's core: ` +
     `${(nodeRate / node.nodeCores).toFixed(0)} requests/s a core`,
-    `Half load: ${figures.halfPerSecond.toFixed(0)} requests/s, ` +
-    `${half.nodeCores.toFixed(2)} cores of the node`,
-    halfLoadTable(half),
+    `Half load: ${figures.halfLoadPerSecond.toFixed(0)} requests/s, ` +
+    `${halfLoad.nodeCores.toFixed(2)} cores of the node`,
+    halfLoadTable(halfLoad),
     "",
   ].join("\n");
 }
 
-function fullLoadTable({ node, direct }: OverheadFigures): string {
+function fullLoadTable({ node, direct }: OverheadResults): string {
   const table = plainTable([
     "full load",
     "whole/s",
@@ -89,31 +91,33 @@
     name,
     String(path.whole),
     String(path.failed),
-    ...timesOf(path).map((time) => time.toFixed(2)),
+    ...latencyQuantiles(path).map((time) => time.toFixed(2)),
   ];
 }
 
 function differenceRow({ node, engine }: PhaseResult): string[] {
-  const direct = timesOf(engine);
-  const added = timesOf(node).map((time, place) => time - (direct[place] ?? 0));
+  const direct = latencyQuantiles(engine);
+  const added = latencyQuantiles(node).map((time, index) =>
+    time - (direct[index] ?? 0)
+  );
   return ["added", "", "", ...added.map((time) => time.toFixed(2))];
 }
 
-function timesOf(path: PathResult): readonly number[] {
+function latencyQuantiles(path: PathResult): readonly number[] {
   return [path.firstTokenMilliseconds, path.wholeMilliseconds].flatMap(
     (times) => {
       const sorted = [...times].sort((left, right) => left - right);
-      return [quantile(sorted, MEDIAN), quantile(sorted, TAIL)];
+      return [quantile(sorted, MEDIAN_SHARE), quantile(sorted, P95_SHARE)];
     },
   );
 }
 
 function quantile(sorted: readonly number[], share: number): number {
-  const place = Math.floor(share * sorted.length);
-  return sorted[Math.min(sorted.length - 1, place)] ?? Number.NaN;
+  const index = Math.floor(share * sorted.length);
+  return sorted[Math.min(sorted.length - 1, index)] ?? Number.NaN;
 }
 
-function ratio(left: number, right: number): string {
+function formatRatio(left: number, right: number): string {
   return (left / right).toFixed(3);
 }
 
