--- a/packages/bench/src/demo/child_program.ts
+++ b/packages/bench/src/demo/child_program.ts
@@ -3,13 +3,14 @@
 import process from "node:process";
 import { createInterface } from "node:readline";
 
-// None may outlive the measurement that started it, however that ends.
-const running = new Set<ChildProcess>();
+// Kills the remaining children so that none outlives the measurement that
+// started it, however that ends.
+const runningChildren = new Set<ChildProcess>();
 process.once("exit", () => {
-  for (const child of running) child.kill("SIGKILL");
+  for (const child of runningChildren) child.kill("SIGKILL");
 });
 
-/** A program that measurements start, and that speaks in JSON lines. */
+/** A child process that prints JSON lines. */
 export class ChildProgram {
   readonly name: string;
   readonly #child: ChildProcess;
@@ -17,54 +18,60 @@
 
   /**
    * Starts a program of this repository.
-   * @param name What to call it in errors.
+   * @param name The name of the program in error messages.
    * @param script The path of its entry script.
-   * @param parameters Its command line.
-   * @param flags Flags of the runtime that runs it.
+   * @param commandArguments The command-line arguments of the script.
+   * @param runtimeFlags The flags of the Node.js executable.
    */
   constructor(
     name: string,
     script: string,
-    parameters: readonly string[],
-    flags: readonly string[] = [],
+    commandArguments: readonly string[],
+    runtimeFlags: readonly string[] = [],
   ) {
     this.name = name;
-    const child = spawn(process.execPath, [...flags, script, ...parameters], {
+    const child = spawn(process.execPath, [
+      ...runtimeFlags,
+      script,
+      ...commandArguments,
+    ], {
       stdio: ["ignore", "pipe", "inherit"],
     });
     this.#child = child;
-    running.add(child);
-    child.once("exit", () => running.delete(child));
+    runningChildren.add(child);
+    child.once("exit", () => runningChildren.delete(child));
     this.#lines = createInterface({ input: child.stdout })
       [Symbol.asyncIterator]();
   }
 
-  /** The process's id. */
+  /** The process ID; absent if the process could not be spawned. */
   get processId(): number | undefined {
     return this.#child.pid;
   }
 
   /**
-   * Reads the next line of output.
+   * Reads the next line of standard output.
    * @returns The line, parsed as JSON.
    */
   async nextLine(): Promise<unknown> {
     const next = await this.#lines.next();
-    if (next.done === true) throw new Error(`${this.name} ended too early`);
+    if (next.done === true) {
+      throw new Error(`${this.name} closed its output before printing a line`);
+    }
     return JSON.parse(next.value);
   }
 
   /**
-   * Sends a signal.
-   * @param signal The signal's name.
+   * Sends a signal to the process.
+   * @param signal The name of the signal.
    */
   signal(signal: NodeJS.Signals): void {
     this.#child.kill(signal);
   }
 
   /**
-   * Waits for the program's end.
-   * @returns The exit code, or nothing where a signal ended it.
+   * Waits until the process exits.
+   * @returns The exit code, or null if a signal ended the process.
    */
   async ended(): Promise<number | null> {
     if (this.#child.exitCode === null && this.#child.signalCode === null) {
@@ -74,8 +81,8 @@
   }
 
   /**
-   * Asks the program to stop and waits.
-   * @returns The exit code.
+   * Sends SIGTERM and waits until the process exits.
+   * @returns The exit code, or null if a signal ended the process.
    */
   async stop(): Promise<number | null> {
     this.signal("SIGTERM");
--- a/packages/bench/src/demo/demo_cluster.ts
+++ b/packages/bench/src/demo/demo_cluster.ts
@@ -5,58 +5,66 @@
 import { type NodeProcess, startNodes } from "./node_process.ts";
 import { type StandInAddress, StandInProcess } from "./stand_in_process.ts";
 
-/** How large a cluster to start. */
-export interface DemoClusterSize {
-  readonly nodes: number;
-  readonly engines: number;
-  readonly domains: number;
-  readonly services: readonly string[];
-  /** More flags of the stand-ins' program. */
+/** The size of the cluster and the flags of its stand-ins. */
+export interface DemoClusterOptions {
+  readonly nodeCount: number;
+  readonly engineCount: number;
+  readonly failureDomainCount: number;
+  readonly serviceNames: readonly string[];
+  /** Additional command-line flags of the stand-in program. */
   readonly standInFlags: readonly string[];
 }
 
-/** Daemons and stand-ins as separate processes on loopback. */
+/** Daemons and stand-ins that run as separate processes on loopback. */
 export class DemoCluster {
   readonly nodes: readonly NodeProcess[];
   readonly #standIns: StandInProcess;
-  readonly #folder: string;
+  readonly #settingsDirectory: string;
 
   private constructor(
     nodes: readonly NodeProcess[],
     standIns: StandInProcess,
-    folder: string,
+    settingsDirectory: string,
   ) {
     this.nodes = nodes;
     this.#standIns = standIns;
-    this.#folder = folder;
+    this.#settingsDirectory = settingsDirectory;
   }
 
   /**
-   * Starts stand-ins, then daemons, and lists the daemons as VMs.
-   * @param size How large.
+   * Starts the stand-ins, then the daemons, and adds the daemons to the VM
+   * list.
+   * @param options The size of the cluster.
    * @returns The running cluster.
    */
-  static async start(size: DemoClusterSize): Promise<DemoCluster> {
-    const folder = mkdtempSync(path.join(tmpdir(), "foxtailwind-demo-"));
-    const standIns = await StandInProcess.start(standInParameters(size));
-    const nodes = await startNodes({ ...size, platform: standIns, folder });
-    return new DemoCluster(nodes, standIns, folder);
+  static async start(options: DemoClusterOptions): Promise<DemoCluster> {
+    const settingsDirectory = mkdtempSync(
+      path.join(tmpdir(), "foxtailwind-demo-"),
+    );
+    const standIns = await StandInProcess.start(standInArguments(options));
+    const nodes = await startNodes({
+      nodes: options.nodeCount,
+      domains: options.failureDomainCount,
+      platform: standIns,
+      folder: settingsDirectory,
+    });
+    return new DemoCluster(nodes, standIns, settingsDirectory);
   }
 
-  /** The stand-ins and where they listen. */
+  /** The stand-ins and their addresses. */
   get standIns(): readonly StandInAddress[] {
     return this.#standIns.standIns;
   }
 
-  /** The process that the stand-ins share. */
+  /** The process that runs all stand-ins. */
   get standInProgram(): ChildProgram {
     return this.#standIns.program;
   }
 
   /**
-   * Finds a stand-in's address.
-   * @param kind Its kind.
-   * @returns `http://` with IP literal and port.
+   * Returns the address of the first stand-in of a kind.
+   * @param kind The kind of stand-in.
+   * @returns An `http://` URL with IP literal and port.
    */
   addressOf(kind: string): string {
     return this.#standIns.addressOf(kind);
@@ -66,17 +74,17 @@
   async stop(): Promise<void> {
     await Promise.all(this.nodes.map((node) => node.program.stop()));
     await this.#standIns.program.stop();
-    rmSync(this.#folder, { recursive: true });
+    rmSync(this.#settingsDirectory, { recursive: true });
   }
 }
 
-function standInParameters(size: DemoClusterSize): readonly string[] {
+function standInArguments(options: DemoClusterOptions): readonly string[] {
   return [
     "--domains",
-    String(size.domains),
+    String(options.failureDomainCount),
     "--engines",
-    String(size.engines),
-    ...size.services.map((service) => `--services=${service}`),
-    ...size.standInFlags,
+    String(options.engineCount),
+    ...options.serviceNames.map((service) => `--services=${service}`),
+    ...options.standInFlags,
   ];
 }
--- a/packages/bench/src/demo/demo_load.ts
+++ b/packages/bench/src/demo/demo_load.ts
@@ -10,16 +10,16 @@
 import { ZipfSampler } from "../load/zipf.ts";
 import { DEMO_CLASSES, type DemoClass } from "./demo_configuration.ts";
 
-/** A load to send. */
-export interface DemoLoad {
-  /** The nodes that a caller knows, and asks for addresses. */
+/** The load to generate. */
+export interface DemoLoadOptions {
+  /** The nodes that a caller knows initially and asks for addresses. */
   readonly nodes: readonly NamedNode[];
-  readonly adapters: number;
-  readonly exponent: number;
+  readonly adapterCount: number;
+  readonly zipfExponent: number;
   readonly requestsPerSecond: number;
   readonly durationMilliseconds: number;
   readonly seed: number;
-  /** Called after each answer. */
+  /** Called after each response. */
   readonly onProgress: (sent: number, ended: number) => void;
 }
 
@@ -27,50 +27,52 @@
 const PROMPT = "Draft a short note about the stain on the wool carpet.";
 
 /**
- * Sends a skewed load at random times, whatever the answers take.
- * @param load The load.
- * @returns What came of each request.
+ * Sends an open-loop load: Poisson arrivals, independent of response times,
+ * over adapters drawn from a Zipf distribution.
+ * @param options The load to generate.
+ * @returns The outcome of each request.
  */
 export async function sendDemoLoad(
-  load: DemoLoad,
+  options: DemoLoadOptions,
 ): Promise<readonly CompletionOutcome[]> {
-  const random = xoroshiro128plus(load.seed);
-  const zipf = new ZipfSampler(load.adapters, load.exponent);
+  const random = xoroshiro128plus(options.seed);
+  const zipf = new ZipfSampler(options.adapterCount, options.zipfExponent);
   const agent = new Agent({ connections: null });
   const outcomes: CompletionOutcome[] = [];
   const calls: Promise<void>[] = [];
-  const book = new AddressBook(load.nodes);
-  const end = performance.now() + load.durationMilliseconds;
-  let next = performance.now();
-  while (next < end) {
-    await sleep(Math.max(0, next - performance.now()));
-    await book.refresh(performance.now());
-    const chosen = chooseClass(uniformFloat64(random));
+  const addressBook = new AddressBook(options.nodes);
+  const endAt = performance.now() + options.durationMilliseconds;
+  let nextSendAt = performance.now();
+  while (nextSendAt < endAt) {
+    await sleep(Math.max(0, nextSendAt - performance.now()));
+    await addressBook.refresh(performance.now());
+    const requestClass = chooseClass(uniformFloat64(random));
     const call = callCompletion(agent, {
-      baseUrl: `http://${book.next().http}`,
-      className: chosen.name,
+      baseUrl: `http://${addressBook.next().http}`,
+      className: requestClass.name,
       tenant: `tenant-${calls.length % 5}`,
       adapter: `adapter-${zipf.next(random)}@v1`,
       prompt: PROMPT,
-      maximumTokens: chosen.maximumTokens,
+      maximumTokens: requestClass.maximumTokens,
     });
     calls.push(call.then((outcome) => {
       outcomes.push(outcome);
-      load.onProgress(calls.length, outcomes.length);
+      options.onProgress(calls.length, outcomes.length);
     }));
-    const gap = -Math.log(1 - uniformFloat64(random));
-    next += gap * MILLISECONDS_PER_SECOND / load.requestsPerSecond;
+    const exponentialDraw = -Math.log(1 - uniformFloat64(random));
+    nextSendAt += exponentialDraw * MILLISECONDS_PER_SECOND /
+      options.requestsPerSecond;
   }
   await Promise.all(calls);
   await agent.close();
   return outcomes;
 }
 
-function chooseClass(drawn: number): DemoClass {
-  let rest = drawn;
-  for (const entry of DEMO_CLASSES) {
-    rest -= entry.share;
-    if (rest < 0) return entry;
+function chooseClass(uniformDraw: number): DemoClass {
+  let remaining = uniformDraw;
+  for (const demoClass of DEMO_CLASSES) {
+    remaining -= demoClass.loadShare;
+    if (remaining < 0) return demoClass;
   }
   return DEMO_CLASSES[0] as DemoClass;
 }
--- a/packages/bench/src/demo/demo_report.ts
+++ b/packages/bench/src/demo/demo_report.ts
@@ -1,19 +1,19 @@
 import Table from "cli-table3";
 import type { CompletionOutcome } from "../load/completion_call.ts";
 import { DEMO_CLASSES } from "./demo_configuration.ts";
-import type { DemoMeasures } from "./demo_measures.ts";
+import type { DemoMetrics } from "./demo_metrics.ts";
 
 const OK = 200;
 
 /**
- * Puts the outcomes of a load into a table, a row a class.
- * @param outcomes The outcomes.
- * @param measures What the nodes measured.
- * @returns The table's text.
+ * Formats the outcomes of a load as a table with a row per class.
+ * @param outcomes The outcomes of all requests.
+ * @param metrics The metrics that the nodes recorded.
+ * @returns The table and a line with the mean batch fill.
  */
 export function formatDemoReport(
   outcomes: readonly CompletionOutcome[],
-  measures: DemoMeasures,
+  metrics: DemoMetrics,
 ): string {
   const table = new Table({
     head: [
@@ -28,30 +28,41 @@
     ],
     style: { head: [], border: [] },
   });
-  for (const entry of DEMO_CLASSES) {
-    const own = outcomes.filter((outcome) => outcome.className === entry.name);
-    const times = own.flatMap((outcome) => outcome.firstTokenMilliseconds ?? [])
+  for (const demoClass of DEMO_CLASSES) {
+    const classOutcomes = outcomes.filter((outcome) =>
+      outcome.className === demoClass.name
+    );
+    const firstTokenTimes = classOutcomes.flatMap((outcome) =>
+      outcome.firstTokenMilliseconds ?? []
+    )
       .sort((left, right) => left - right);
-    const within = times.filter((time) => time <= entry.firstTokenMilliseconds);
+    const timesWithinTarget = firstTokenTimes.filter((time) =>
+      time <= demoClass.firstTokenMilliseconds
+    );
     table.push([
-      entry.name,
-      own.length,
-      own.filter((outcome) => outcome.whole).length,
-      own.filter((outcome) => outcome.status !== OK).length,
-      quantile(times, 0.5).toFixed(0),
-      quantile(times, 0.95).toFixed(0),
-      `${(100 * within.length / Math.max(1, own.length)).toFixed(1)}%`,
-      (measures.stallSeconds.get(entry.name) ?? 0).toFixed(0),
+      demoClass.name,
+      classOutcomes.length,
+      classOutcomes.filter((outcome) => outcome.whole).length,
+      classOutcomes.filter((outcome) => outcome.status !== OK).length,
+      quantile(firstTokenTimes, 0.5).toFixed(0),
+      quantile(firstTokenTimes, 0.95).toFixed(0),
+      `${
+        (100 * timesWithinTarget.length / Math.max(1, classOutcomes.length))
+          .toFixed(1)
+      }%`,
+      (metrics.loadStallSeconds.get(demoClass.name) ?? 0).toFixed(0),
     ]);
   }
-  const fill = `Mean batch fill: ${measures.batchFill.toFixed(1)}%.`;
-  return `${table.toString()}\n${fill}`;
+  const batchFillLine = `Mean batch fill: ${
+    metrics.meanBatchFillPercent.toFixed(1)
+  }%.`;
+  return `${table.toString()}\n${batchFillLine}`;
 }
 
-function quantile(sorted: readonly number[], share: number): number {
+function quantile(sorted: readonly number[], probability: number): number {
   const index = Math.min(
     sorted.length - 1,
-    Math.floor(share * sorted.length),
+    Math.floor(probability * sorted.length),
   );
   return sorted[index] ?? 0;
 }
--- a/packages/bench/src/demo/node_process.ts
+++ b/packages/bench/src/demo/node_process.ts
@@ -5,105 +5,110 @@
 import { programPath } from "./program_path.ts";
 import { postJson, type StandInProcess } from "./stand_in_process.ts";
 
-/** What a daemon is started with. */
-export interface NodePlan {
+/** Options of a daemon process. */
+export interface NodeProcessOptions {
   readonly id: string;
   readonly failureDomain: string;
-  /** `http://` addresses of the platform's services. */
+  /** The `http://` URL of the platform's log service. */
   readonly log: string;
+  /** The `http://` URL of the VM list. */
   readonly vmList: string;
+  /** The `http://` URL of the weight store. */
   readonly weightStore: string;
-  /** Where its settings file goes. */
+  /** The directory of the settings file. */
   readonly folder: string;
 }
 
-const readyLine = z.object({
+const readyLineSchema = z.object({
   ready: z.object({ http: z.string(), grpc: z.string() }),
 });
 
-/** Those in the first line of the daemon's entry script. */
+/** The same flags as in the first line of the daemon's entry script. */
 const RUNTIME_FLAGS = ["--max-semi-space-size=64"];
-const ANY_PORT = "127.0.0.1:0";
+const FREE_LOOPBACK_PORT = "127.0.0.1:0";
 
-/** A daemon as a process of its own. */
+/** A daemon that runs as a separate process. */
 export class NodeProcess {
   readonly id: string;
   readonly failureDomain: string;
-  /** IP literal and port of its HTTP interface. */
+  /** IP literal and port of the HTTP interface. */
   readonly http: string;
-  /** IP literal and port of its interface for peers. */
+  /** IP literal and port of the gRPC interface for peers. */
   readonly grpc: string;
   readonly program: ChildProgram;
-  readonly #plan: NodePlan;
+  readonly #options: NodeProcessOptions;
 
   private constructor(
-    plan: NodePlan,
+    options: NodeProcessOptions,
     program: ChildProgram,
-    ready: { readonly http: string; readonly grpc: string },
+    addresses: { readonly http: string; readonly grpc: string },
   ) {
-    this.id = plan.id;
-    this.failureDomain = plan.failureDomain;
-    this.http = ready.http;
-    this.grpc = ready.grpc;
+    this.id = options.id;
+    this.failureDomain = options.failureDomain;
+    this.http = addresses.http;
+    this.grpc = addresses.grpc;
     this.program = program;
-    this.#plan = plan;
+    this.#options = options;
   }
 
   /**
    * Starts a daemon and waits until it is ready.
-   * @param plan What to start it with.
-   * @param listen Its addresses; by default free ports.
+   * @param options The options of the daemon.
+   * @param listen The addresses to listen on; by default free ports on
+   * loopback.
    * @returns The running daemon.
    */
   static async start(
-    plan: NodePlan,
-    listen = { http: ANY_PORT, grpc: ANY_PORT },
+    options: NodeProcessOptions,
+    listen = { http: FREE_LOOPBACK_PORT, grpc: FREE_LOOPBACK_PORT },
   ): Promise<NodeProcess> {
-    const file = path.join(plan.folder, `${plan.id}.ini`);
-    writeFileSync(file, settingsText(plan, listen));
+    const settingsFile = path.join(options.folder, `${options.id}.ini`);
+    writeFileSync(settingsFile, formatSettings(options, listen));
     const program = new ChildProgram(
-      plan.id,
+      options.id,
       programPath("@foxtailwind/node"),
-      ["--settings", file],
+      ["--settings", settingsFile],
       RUNTIME_FLAGS,
     );
-    const { ready } = readyLine.parse(await program.nextLine());
-    return new NodeProcess(plan, program, ready);
+    const { ready } = readyLineSchema.parse(await program.nextLine());
+    return new NodeProcess(options, program, ready);
   }
 
   /**
-   * Starts the daemon anew at the same addresses, after it ended.
+   * Restarts the daemon at the same addresses after it has exited.
    * @returns The running daemon.
    */
   async restart(): Promise<NodeProcess> {
-    return await NodeProcess.start(this.#plan, {
+    return await NodeProcess.start(this.#options, {
       http: this.http,
       grpc: this.grpc,
     });
   }
 }
 
-/** How many daemons to start, and where. */
-export interface NodesPlan {
+/** Options for starting several daemons. */
+export interface NodesOptions {
   readonly nodes: number;
   readonly domains: number;
-  /** The stand-ins of the platform. */
+  /** The stand-ins for the platform's services. */
   readonly platform: StandInProcess;
-  /** Where the settings files go. */
+  /** The directory of the settings files. */
   readonly folder: string;
 }
 
 /**
- * Starts daemons, spread evenly over the failure domains, and lists them as
- * live entry VMs.
- * @param plan How many, and where.
+ * Starts daemons, distributed evenly over the failure domains, and publishes
+ * them on the VM list as live entry VMs.
+ * @param options The number of daemons and their environment.
  * @returns The running daemons.
  */
-export async function startNodes(plan: NodesPlan): Promise<NodeProcess[]> {
-  const { domains, platform, folder } = plan;
+export async function startNodes(
+  options: NodesOptions,
+): Promise<NodeProcess[]> {
+  const { domains, platform, folder } = options;
   const vmList = platform.addressOf("vm_list");
   const nodes = await Promise.all(
-    Array.from({ length: plan.nodes }, (_, index) =>
+    Array.from({ length: options.nodes }, (_, index) =>
       NodeProcess.start({
         id: `node-${index + 1}`,
         failureDomain: `domain-${index % domains + 1}`,
@@ -118,9 +123,9 @@
 }
 
 /**
- * Lists daemons as live entry VMs.
- * @param vmList The VM list stand-in's `http://` address.
- * @param nodes The daemons.
+ * Publishes daemons on the VM list as live entry VMs.
+ * @param vmList The `http://` URL of the VM list stand-in.
+ * @param nodes The daemons to publish.
  */
 export async function listNodes(
   vmList: string,
@@ -141,23 +146,23 @@
   };
 }
 
-function settingsText(
-  plan: NodePlan,
+function formatSettings(
+  options: NodeProcessOptions,
   listen: { readonly http: string; readonly grpc: string },
 ): string {
   return `[node]
-id = ${plan.id}
+id = ${options.id}
 region = region-1
-failure_domain = ${plan.failureDomain}
+failure_domain = ${options.failureDomain}
 
 [listen]
 http = ${listen.http}
 grpc = ${listen.grpc}
 
 [platform]
-log = ${plan.log}
-vm_list = ${plan.vmList}
-weight_store = ${plan.weightStore}
+log = ${options.log}
+vm_list = ${options.vmList}
+weight_store = ${options.weightStore}
 
 [logs]
 level = warn
--- a/packages/bench/src/demo/program_path.ts
+++ b/packages/bench/src/demo/program_path.ts
@@ -2,11 +2,11 @@
 import { fileURLToPath } from "node:url";
 
 /**
- * Finds the compiled entry script of a package's program.
- * @param name The package's name.
- * @returns The script's path.
+ * Resolves the compiled entry script of a package.
+ * @param packageName The name of the package.
+ * @returns The path of the script.
  */
-export function programPath(name: string): string {
-  const entry = fileURLToPath(import.meta.resolve(name));
+export function programPath(packageName: string): string {
+  const entry = fileURLToPath(import.meta.resolve(packageName));
   return path.join(path.dirname(entry), "main.js");
 }
--- a/packages/bench/src/demo/stand_in_process.ts
+++ b/packages/bench/src/demo/stand_in_process.ts
@@ -2,21 +2,21 @@
 import { ChildProgram } from "./child_program.ts";
 import { programPath } from "./program_path.ts";
 
-/** A stand-in's address, as its program prints it. */
+/** The address of a stand-in, as printed by the stand-in program. */
 export interface StandInAddress {
   readonly kind: string;
   readonly id: string;
-  /** `http://` with IP literal and port. */
+  /** An `http://` URL with IP literal and port. */
   readonly address: string;
 }
 
-const standInLine = z.object({
+const standInLineSchema = z.object({
   kind: z.string(),
   id: z.string().default(""),
   address: z.string().default(""),
 });
 
-/** Stand-ins that share a process. */
+/** A process that runs several stand-ins. */
 export class StandInProcess {
   readonly program: ChildProgram;
   readonly standIns: readonly StandInAddress[];
@@ -30,51 +30,55 @@
   }
 
   /**
-   * Starts the stand-ins' program and waits until all listen.
-   * @param parameters Its command line.
+   * Starts the stand-in program and waits until all stand-ins listen.
+   * @param commandArguments The command-line arguments of the program.
    * @returns The running stand-ins.
    */
-  static async start(parameters: readonly string[]): Promise<StandInProcess> {
+  static async start(
+    commandArguments: readonly string[],
+  ): Promise<StandInProcess> {
     const program = new ChildProgram(
       "foxtailwind-standins",
       programPath("@foxtailwind/standins"),
-      parameters,
+      commandArguments,
     );
-    const found: StandInAddress[] = [];
+    const addresses: StandInAddress[] = [];
     for (;;) {
-      const line = standInLine.parse(await program.nextLine());
-      if (line.kind === "ready") return new StandInProcess(program, found);
-      found.push(line);
+      const line = standInLineSchema.parse(await program.nextLine());
+      if (line.kind === "ready") return new StandInProcess(program, addresses);
+      addresses.push(line);
     }
   }
 
   /**
-   * Finds a stand-in's address.
-   * @param kind Its kind.
-   * @returns `http://` with IP literal and port.
+   * Returns the address of the first stand-in of a kind.
+   * @param kind The kind of stand-in.
+   * @returns An `http://` URL with IP literal and port.
    */
   addressOf(kind: string): string {
     const found = this.standIns.find((standIn) => standIn.kind === kind);
     if (found === undefined) {
-      throw new Error(`No stand-in of kind ${kind} runs`);
+      throw new Error(`no stand-in of kind ${kind} is running`);
     }
     return found.address;
   }
 }
 
 /**
- * Sends JSON to a stand-in.
- * @param url The whole address.
+ * Posts JSON to a URL and throws unless the status is 2xx.
+ * @param url The full URL.
  * @param body The value to send.
  */
 export async function postJson(url: string, body: unknown): Promise<void> {
-  const answer = await fetch(url, {
+  const response = await fetch(url, {
     method: "POST",
     headers: { "content-type": "application/json" },
     body: JSON.stringify(body),
   });
-  if (!answer.ok) {
-    throw new Error(`${url} answered ${answer.status}: ${await answer.text()}`);
+  if (!response.ok) {
+    throw new Error(
+      `${url} answered ${response.status}: ${await response.text()}`,
+    );
   }
-  await answer.arrayBuffer();
+  await response.arrayBuffer();
 }
--- a/packages/bench/src/services/main.ts
+++ b/packages/bench/src/services/main.ts
@@ -1,12 +1,15 @@
 /**
- * Measures the routing to plain services against its baselines, in virtual
- * time, over several seeds.
+ * Compares the routing of calls to plain services with its baselines, in
+ * virtual time, over several seeds.
  * @module
  */
 import process from "node:process";
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
-import { measureServices, type ServiceFigures } from "./measure_services.ts";
+import {
+  measureServicePolicy,
+  type ServiceMeasurement,
+} from "./service_measurement.ts";
 import { NAMED_POLICIES } from "./service_policies.ts";
 import { formatServiceReport } from "./service_report.ts";
 import { SERVICE_SCENARIOS } from "./service_scenarios.ts";
@@ -20,12 +23,12 @@
   .strict()
   .parse();
 
-const figures: ServiceFigures[] = [];
+const measurements: ServiceMeasurement[] = [];
 for (const scenario of SERVICE_SCENARIOS) {
-  for (const named of NAMED_POLICIES) {
+  for (const namedPolicy of NAMED_POLICIES) {
     for (let seed = 1; seed <= options.seeds; seed += 1) {
-      figures.push(measureServices(scenario, named, seed));
+      measurements.push(measureServicePolicy(scenario, namedPolicy, seed));
     }
   }
 }
-process.stdout.write(`${formatServiceReport(figures)}\n`);
+process.stdout.write(`${formatServiceReport(measurements)}\n`);
--- a/packages/bench/src/services/model_node.ts
+++ b/packages/bench/src/services/model_node.ts
@@ -14,16 +14,16 @@
   ServiceRouter,
   type ServiceServerView,
 } from "@foxtailwind/core";
-import { failed, type ModelServer } from "./model_server.ts";
+import { failedAttempt, type ModelServer } from "./model_server.ts";
 import type { Timeline } from "./timeline.ts";
 
-/** What a call came to. */
-export type CallEnd =
+/** The outcome of a call. */
+export type CallOutcome =
   | { readonly kind: "answered"; readonly status: number }
   | { readonly kind: "failed"; readonly failure: Failure };
 
-/** What a node works with. */
-export interface ModelNodeParts {
+/** The dependencies of a node. */
+export interface ModelNodeOptions {
   readonly timeline: Timeline;
   readonly failureDomain: FailureDomainId;
   readonly random: RandomSource;
@@ -32,153 +32,158 @@
   readonly servers: ReadonlyMap<BackendServerId, ModelServer>;
 }
 
-interface HeldCall {
-  readonly onEnd: (end: CallEnd) => void;
+interface PendingCall {
+  readonly onOutcome: (outcome: CallOutcome) => void;
   readonly results: Map<number, AttemptResult>;
 }
 
-const SAME_DOMAIN_MILLISECONDS = 0.1;
-const OTHER_DOMAIN_MILLISECONDS = 1.2;
-const SHORTEST_WAKE_MILLISECONDS = 0.01;
+const SAME_DOMAIN_DELAY_MILLISECONDS = 0.1;
+const OTHER_DOMAIN_DELAY_MILLISECONDS = 1.2;
+const MIN_WAKE_DELAY_MILLISECONDS = 0.01;
 
-/** A node that carries its router's orders out in virtual time. */
+/** A simulated node that executes its router's orders in virtual time. */
 export class ModelNode {
   readonly router: ServiceRouter;
-  readonly #parts: ModelNodeParts;
-  readonly #held = new Map<RequestId, HeldCall>();
-  readonly #open = new Set<string>();
+  readonly #options: ModelNodeOptions;
+  readonly #pendingCalls = new Map<RequestId, PendingCall>();
+  readonly #openAttemptKeys = new Set<string>();
   #wakeAt: Instant | undefined;
 
-  /** @param parts What the node works with. */
-  constructor(parts: ModelNodeParts) {
-    this.#parts = parts;
-    const { failureDomain, random, policy } = parts;
+  /** @param options The dependencies of the node. */
+  constructor(options: ModelNodeOptions) {
+    this.#options = options;
+    const { failureDomain, random, policy } = options;
     this.router = new ServiceRouter({
       service: serviceId("booking"),
       failureDomain,
       random,
       policy,
     });
-    this.router.setTarget(parts.target);
+    this.router.setTarget(options.target);
   }
 
-  /** How many attempts have not ended. */
+  /** The number of attempts that have not ended. */
   get openAttempts(): number {
-    return this.#open.size;
+    return this.#openAttemptKeys.size;
   }
 
   /**
-   * Takes the list's latest word.
-   * @param views The servers.
+   * Applies the latest server list.
+   * @param views The servers on the list.
    */
   updateServers(views: readonly ServiceServerView[]): void {
-    this.router.updateServers(this.#parts.timeline.now, views);
-    this.#act();
+    this.router.updateServers(this.#options.timeline.now, views);
+    this.#executeDecisions();
   }
 
   /**
-   * Takes a call.
+   * Submits a call to the router.
    * @param call The call, and whether it may be repeated.
-   * @param onEnd Gets what it came to.
+   * @param onOutcome Called with the outcome.
    */
   submit(
     call: { readonly id: RequestId; readonly repeatable: boolean },
-    onEnd: (end: CallEnd) => void,
+    onOutcome: (outcome: CallOutcome) => void,
   ): void {
-    this.#held.set(call.id, { onEnd, results: new Map() });
-    this.router.submit(this.#parts.timeline.now, {
+    this.#pendingCalls.set(call.id, {
+      onOutcome,
+      results: new Map(),
+    });
+    this.router.submit(this.#options.timeline.now, {
       call: call.id,
       repeatable: call.repeatable,
     });
-    this.#act();
+    this.#executeDecisions();
   }
 
   /**
-   * Gives a call up whose caller has left.
-   * @param id The call.
+   * Cancels a call whose caller has disconnected.
+   * @param id The ID of the call.
    */
   cancel(id: RequestId): void {
     this.router.cancel(id);
-    this.#act();
-    this.#held.delete(id);
+    this.#executeDecisions();
+    this.#pendingCalls.delete(id);
   }
 
-  #act(): void {
-    const { timeline } = this.#parts;
-    for (const order of this.router.decide(timeline.now)) this.#carryOut(order);
-    this.#planWake();
+  #executeDecisions(): void {
+    const { timeline } = this.#options;
+    for (const order of this.router.decide(timeline.now)) this.#execute(order);
+    this.#scheduleWake();
   }
 
-  #planWake(): void {
-    const { timeline } = this.#parts;
+  #scheduleWake(): void {
+    const { timeline } = this.#options;
     const wake = this.router.nextDecisionAt();
     if (wake === undefined) return;
     if (this.#wakeAt !== undefined && this.#wakeAt <= wake) return;
     this.#wakeAt = wake;
     timeline.after(
-      Math.max(SHORTEST_WAKE_MILLISECONDS, wake - timeline.now),
+      Math.max(MIN_WAKE_DELAY_MILLISECONDS, wake - timeline.now),
       () => {
         if (this.#wakeAt !== wake) return;
         this.#wakeAt = undefined;
-        this.#act();
+        this.#executeDecisions();
       },
     );
   }
 
-  #carryOut(order: ServiceOrder): void {
-    const held = this.#held.get(order.call);
+  #execute(order: ServiceOrder): void {
+    const pendingCall = this.#pendingCalls.get(order.call);
     switch (order.kind) {
       case "dispatch":
         this.#send(order);
         break;
       case "abandon":
-        this.#settle(order, failed("cancelled", "unknown"));
+        this.#endAttempt(order, failedAttempt("cancelled", "unknown"));
         break;
       case "answer": {
-        const result = held?.results.get(order.attempt);
-        this.#held.delete(order.call);
-        if (result?.kind !== "answered") throw new Error("No answer is kept");
-        held?.onEnd({ kind: "answered", status: result.status });
+        const result = pendingCall?.results.get(order.attempt);
+        this.#pendingCalls.delete(order.call);
+        if (result?.kind !== "answered") {
+          throw new Error("the answered attempt has no stored response");
+        }
+        pendingCall?.onOutcome({ kind: "answered", status: result.status });
         break;
       }
       case "fail":
-        this.#held.delete(order.call);
-        held?.onEnd({ kind: "failed", failure: order.failure });
+        this.#pendingCalls.delete(order.call);
+        pendingCall?.onOutcome({ kind: "failed", failure: order.failure });
         break;
     }
   }
 
   #send(order: Extract<ServiceOrder, { readonly kind: "dispatch" }>): void {
-    const { timeline, servers } = this.#parts;
-    this.#open.add(keyOf(order));
+    const { timeline, servers } = this.#options;
+    this.#openAttemptKeys.add(attemptKey(order));
     const server = servers.get(order.server);
-    const delay = this.#delayTo(server);
+    const delay = this.#networkDelayTo(server);
     timeline.after(delay, () => {
       server?.receive(order.call, (result) => {
         timeline.after(delay, () => {
-          this.#settle(order, result);
+          this.#endAttempt(order, result);
         });
       });
     });
     timeline.after(order.timeout, () => {
-      this.#settle(order, failed("timeout", "unknown"));
+      this.#endAttempt(order, failedAttempt("timeout", "unknown"));
     });
   }
 
-  #settle(attempt: AttemptReference, result: AttemptResult): void {
-    if (!this.#open.delete(keyOf(attempt))) return;
-    this.#held.get(attempt.call)?.results.set(attempt.attempt, result);
-    this.router.attemptEnded(this.#parts.timeline.now, attempt, result);
-    this.#act();
+  #endAttempt(attempt: AttemptReference, result: AttemptResult): void {
+    if (!this.#openAttemptKeys.delete(attemptKey(attempt))) return;
+    this.#pendingCalls.get(attempt.call)?.results.set(attempt.attempt, result);
+    this.router.attemptEnded(this.#options.timeline.now, attempt, result);
+    this.#executeDecisions();
   }
 
-  #delayTo(server: ModelServer | undefined): number {
-    return server?.size.failureDomain === this.#parts.failureDomain
-      ? SAME_DOMAIN_MILLISECONDS
-      : OTHER_DOMAIN_MILLISECONDS;
+  #networkDelayTo(server: ModelServer | undefined): number {
+    return server?.options.failureDomain === this.#options.failureDomain
+      ? SAME_DOMAIN_DELAY_MILLISECONDS
+      : OTHER_DOMAIN_DELAY_MILLISECONDS;
   }
 }
 
-function keyOf({ call, attempt }: AttemptReference): string {
+function attemptKey({ call, attempt }: AttemptReference): string {
   return `${call}/${attempt}`;
 }
--- a/packages/bench/src/services/model_server.ts
+++ b/packages/bench/src/services/model_server.ts
@@ -9,46 +9,46 @@
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import type { Timeline } from "./timeline.ts";
 
-/** What may be wrong with a server. */
+/** Faults that a model server simulates. */
 export interface ModelServerFaults {
-  /** Multiplies the time that a call takes. */
+  /** The factor by which the service time is multiplied. */
   slowness: number;
-  /** The share of calls that run and are answered at once with status 500. */
+  /** The share of calls that run and soon get a response with status 500. */
   failShare: number;
-  /** The share of calls that are stated as not run. */
+  /** The share of calls that are refused and reported as not run. */
   refuseShare: number;
   /** The share of calls whose connection is lost before they run. */
   dropShare: number;
-  /** The share of calls that run, but whose answer is lost. */
+  /** The share of calls that run but whose response is lost. */
   loseShare: number;
-  /** Calls are taken and run, but never answered. */
+  /** Whether calls are accepted and run but never answered. */
   isHanging: boolean;
-  /** No connection is accepted. */
+  /** Whether all connections are refused. */
   isClosed: boolean;
-  /** Each answer says that the server is leaving. */
+  /** Whether each response says that the server is leaving. */
   isLeaving: boolean;
 }
 
-/** A server's size. */
-export interface ModelServerSize {
+/** The identity and capacity of a model server. */
+export interface ModelServerOptions {
   readonly id: BackendServerId;
   readonly failureDomain: FailureDomainId;
-  /** Calls that run at once; more of them queue. */
+  /** How many calls run concurrently; further calls wait in a queue. */
   readonly workers: number;
-  /** The mean time of a call while it runs, in milliseconds. */
-  readonly meanMilliseconds: number;
+  /** The mean time that a call runs, without queueing, in milliseconds. */
+  readonly meanServiceTimeMilliseconds: number;
 }
 
-type Answer = (result: AttemptResult) => void;
+type ResultCallback = (result: AttemptResult) => void;
 
-const QUICK_MILLISECONDS = 0.2;
+const ERROR_RESPONSE_MILLISECONDS = 0.2;
 const OK = 200;
 const INTERNAL_ERROR = 500;
 const UNAVAILABLE = 503;
 
-/** A server of a plain service as a small function of time. */
+/** A simulated backend server of a plain service, in virtual time. */
 export class ModelServer {
-  readonly size: ModelServerSize;
+  readonly options: ModelServerOptions;
   readonly faults: ModelServerFaults = {
     slowness: 1,
     failShare: 0,
@@ -59,76 +59,86 @@
     isClosed: false,
     isLeaving: false,
   };
+  /** How many times each call ran. */
   readonly runs = new Map<RequestId, number>();
-  /** How many calls came here, whatever became of them. */
+  /** How many calls arrived, whatever their outcome. */
   received = 0;
   readonly #timeline: Timeline;
   readonly #random: RandomSource;
   readonly #queue: (() => void)[] = [];
-  #running = 0;
+  #runningCalls = 0;
 
   /**
-   * @param size The server's size.
-   * @param timeline Virtual time.
-   * @param random Draws times and faults.
+   * @param options The identity and capacity of the server.
+   * @param timeline The virtual clock.
+   * @param random The random source for service times and faults.
    */
-  constructor(size: ModelServerSize, timeline: Timeline, random: RandomSource) {
-    this.size = size;
+  constructor(
+    options: ModelServerOptions,
+    timeline: Timeline,
+    random: RandomSource,
+  ) {
+    this.options = options;
     this.#timeline = timeline;
     this.#random = random;
   }
 
   /**
-   * Takes a call.
-   * @param call The call.
-   * @param answer Gets what comes back, if anything does.
+   * Receives a call.
+   * @param call The ID of the call.
+   * @param onResult Called with the result, unless the call hangs.
    */
-  receive(call: RequestId, answer: Answer): void {
+  receive(call: RequestId, onResult: ResultCallback): void {
     const { faults } = this;
     this.received += 1;
     if (faults.isClosed) {
-      answer(failed("unavailable", "not_run"));
-    } else if (this.#happens(faults.dropShare)) {
-      answer(failed("unavailable", "unknown"));
-    } else if (this.#happens(faults.refuseShare)) {
-      answer(this.#answered(UNAVAILABLE, "not_run"));
-    } else if (this.#happens(faults.failShare)) {
+      onResult(failedAttempt("unavailable", "not_run"));
+    } else if (this.#drawBoolean(faults.dropShare)) {
+      onResult(failedAttempt("unavailable", "unknown"));
+    } else if (this.#drawBoolean(faults.refuseShare)) {
+      onResult(this.#answeredResult(UNAVAILABLE, "not_run"));
+    } else if (this.#drawBoolean(faults.failShare)) {
       this.#countRun(call);
-      this.#timeline.after(QUICK_MILLISECONDS, () => {
-        answer(this.#answered(INTERNAL_ERROR));
+      this.#timeline.after(ERROR_RESPONSE_MILLISECONDS, () => {
+        onResult(this.#answeredResult(INTERNAL_ERROR));
       });
     } else {
       this.#queue.push(() => {
-        this.#run(call, answer);
+        this.#run(call, onResult);
       });
-      this.#startNext();
+      this.#startQueuedCalls();
     }
   }
 
-  #startNext(): void {
-    while (this.#running < this.size.workers) {
-      const start = this.#queue.shift();
-      if (start === undefined) return;
-      this.#running += 1;
-      start();
+  #startQueuedCalls(): void {
+    while (this.#runningCalls < this.options.workers) {
+      const startCall = this.#queue.shift();
+      if (startCall === undefined) return;
+      this.#runningCalls += 1;
+      startCall();
     }
   }
 
-  #run(call: RequestId, answer: Answer): void {
+  #run(call: RequestId, onResult: ResultCallback): void {
     this.#countRun(call);
-    const isLost = this.#happens(this.faults.loseShare);
+    const isLost = this.#drawBoolean(this.faults.loseShare);
     const { isHanging } = this.faults;
-    this.#timeline.after(this.#drawTime(), () => {
-      this.#running -= 1;
-      this.#startNext();
+    this.#timeline.after(this.#drawServiceTime(), () => {
+      this.#runningCalls -= 1;
+      this.#startQueuedCalls();
       if (isHanging) return;
-      answer(isLost ? failed("unavailable", "unknown") : this.#answered(OK));
+      onResult(
+        isLost
+          ? failedAttempt("unavailable", "unknown")
+          : this.#answeredResult(OK),
+      );
     });
   }
 
-  /** Half of the time is fixed, half is exponential. */
-  #drawTime(): number {
-    const mean = this.size.meanMilliseconds * this.faults.slowness;
+  /** Half of the mean is fixed, the other half is exponential. */
+  #drawServiceTime(): number {
+    const mean = this.options.meanServiceTimeMilliseconds *
+      this.faults.slowness;
     const exponential = -Math.log(1 - uniformFloat64(this.#random));
     return mean * (0.5 + 0.5 * exponential);
   }
@@ -137,11 +147,11 @@
     this.runs.set(call, (this.runs.get(call) ?? 0) + 1);
   }
 
-  #happens(share: number): boolean {
+  #drawBoolean(share: number): boolean {
     return share > 0 && uniformFloat64(this.#random) < share;
   }
 
-  #answered(status: number, statedOutcome?: "not_run"): AttemptResult {
+  #answeredResult(status: number, statedOutcome?: "not_run"): AttemptResult {
     return {
       kind: "answered",
       status,
@@ -152,12 +162,12 @@
 }
 
 /**
- * Makes the result of an attempt that got no answer.
- * @param reason Why.
- * @param outcome What is known of the run.
+ * Creates the result of an attempt that got no response.
+ * @param reason Why there was no response.
+ * @param outcome Whether the call ran, as far as is known.
  * @returns The result.
  */
-export function failed(
+export function failedAttempt(
   reason: Failure["reason"],
   outcome: Failure["outcome"],
 ): AttemptResult {
@@ -167,7 +177,7 @@
       reason,
       step: "call_service",
       peer: "model",
-      message: "The model server gave no answer.",
+      message: "The model server sent no response.",
       outcome,
     },
   };
--- a/packages/bench/src/services/model_world.ts
+++ b/packages/bench/src/services/model_world.ts
@@ -11,12 +11,12 @@
 } from "@foxtailwind/core";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
-import { type CallEnd, ModelNode } from "./model_node.ts";
+import { type CallOutcome, ModelNode } from "./model_node.ts";
 import { ModelServer } from "./model_server.ts";
 import { Timeline } from "./timeline.ts";
 
-/** The size of a world. */
-export interface ModelWorldSize {
+/** The size, policy and latency target of a simulation. */
+export interface ModelWorldOptions {
   readonly seed: number;
   readonly nodes: number;
   readonly servers: number;
@@ -27,95 +27,95 @@
   readonly policy: ServicePolicy;
 }
 
-/** What came of one call. */
+/** The outcome of one call. */
 export interface CallReport {
   readonly id: ReturnType<typeof requestId>;
   readonly repeatable: boolean;
   readonly milliseconds: number;
-  readonly end: CallEnd;
+  readonly end: CallOutcome;
 }
 
-/** How long after a change the VM list shows it. */
+/** The delay from a change to its appearance on the VM list. */
 export const LIST_LAG_MILLISECONDS = 1_000;
 
-/** Nodes before the servers of one service, in virtual time. */
+/** A simulation of nodes and the servers of one service, in virtual time. */
 export class ModelWorld {
   readonly timeline = new Timeline();
   readonly random: RandomSource;
   readonly nodes: readonly ModelNode[];
   readonly servers: ReadonlyMap<BackendServerId, ModelServer>;
   readonly #views = new Map<BackendServerId, ServiceServerView>();
-  #calls = 0;
+  #callCount = 0;
 
-  /** @param size The size, the seed and the policy. */
-  constructor(size: ModelWorldSize) {
-    this.random = randomSource(size.seed);
-    this.servers = this.#makeServers(size);
+  /** @param options The size, the seed and the policy. */
+  constructor(options: ModelWorldOptions) {
+    this.random = randomSource(options.seed);
+    this.servers = this.#createServers(options);
     const { timeline, servers } = this;
-    const { policy, target } = size;
+    const { policy, target } = options;
     this.nodes = Array.from(
-      { length: size.nodes },
+      { length: options.nodes },
       (_, index) =>
         new ModelNode({
           timeline,
           servers,
           policy,
           target,
-          failureDomain: failureDomainId(`domain-${index % size.domains}`),
-          random: randomSource(size.seed * 1_000 + index),
+          failureDomain: failureDomainId(`domain-${index % options.domains}`),
+          random: randomSource(options.seed * 1_000 + index),
         }),
     );
-    this.publishList();
+    this.publishServerList();
   }
 
-  /** Tells all nodes what the list now shows. */
-  publishList(): void {
+  /** Passes the current server list to all nodes. */
+  publishServerList(): void {
     const views = [...this.#views.values()];
     for (const node of this.nodes) node.updateServers(views);
   }
 
   /**
-   * Shows a server as leaving on the list, after its lag.
-   * @param id The server.
+   * Marks a server as leaving on the VM list, after the list's lag.
+   * @param id The ID of the server.
    */
   listAsLeaving(id: BackendServerId): void {
     this.timeline.after(LIST_LAG_MILLISECONDS, () => {
       const view = this.#views.get(id);
       if (view === undefined) return;
       this.#views.set(id, { ...view, leaving: true });
-      this.publishList();
+      this.publishServerList();
     });
   }
 
   /**
-   * Takes a server off the list, or puts it back, after the list's lag.
-   * @param id The server.
-   * @param isListed Whether the list shows it.
+   * Adds a server to the VM list or removes it, after the list's lag.
+   * @param id The ID of the server.
+   * @param isListed Whether the list contains the server.
    */
   setListed(id: BackendServerId, isListed: boolean): void {
     this.timeline.after(LIST_LAG_MILLISECONDS, () => {
       const server = this.servers.get(id);
       if (server === undefined) return;
-      const { failureDomain } = server.size;
+      const { failureDomain } = server.options;
       const view = { server: id, failureDomain, leaving: false };
       if (isListed) this.#views.set(id, view);
       else this.#views.delete(id);
-      this.publishList();
+      this.publishServerList();
     });
   }
 
   /**
-   * Makes a call through a node drawn at random.
-   * @param repeatable Whether it may be repeated.
-   * @param onReport Gets what came of it.
-   * @returns Gives the call up.
+   * Makes a call through a randomly chosen node.
+   * @param repeatable Whether the call may run more than once.
+   * @param onReport Called with the outcome.
+   * @returns A function that cancels the call.
    */
   call(
     repeatable: boolean,
     onReport: (report: CallReport) => void,
   ): () => void {
-    this.#calls += 1;
-    const id = requestId(`call-${this.#calls}`);
+    this.#callCount += 1;
+    const id = requestId(`call-${this.#callCount}`);
     const node = this.nodes[uniformInt(this.random, 0, this.nodes.length - 1)];
     const startedAt = this.timeline.now;
     node?.submit({ id, repeatable }, (end) => {
@@ -128,25 +128,33 @@
   }
 
   /**
-   * Draws by chance.
-   * @param share From 0 to 1.
-   * @returns Whether it happens.
+   * Draws a random boolean.
+   * @param share The probability of true, 0 to 1.
+   * @returns The boolean.
    */
   happens(share: number): boolean {
     return uniformFloat64(this.random) < share;
   }
 
-  #makeServers(
-    size: ModelWorldSize,
+  #createServers(
+    options: ModelWorldOptions,
   ): ReadonlyMap<BackendServerId, ModelServer> {
     const servers = new Map<BackendServerId, ModelServer>();
-    for (let index = 0; index < size.servers; index += 1) {
+    for (let index = 0; index < options.servers; index += 1) {
       const id = backendServerId(`server-${index}`);
-      const failureDomain = failureDomainId(`domain-${index % size.domains}`);
-      const { workers, meanMilliseconds } = size;
-      const random = randomSource(size.seed * 2_000 + index);
-      const own = { id, failureDomain, workers, meanMilliseconds };
-      servers.set(id, new ModelServer(own, this.timeline, random));
+      const failureDomain = failureDomainId(
+        `domain-${index % options.domains}`,
+      );
+      const { workers, meanMilliseconds: meanServiceTimeMilliseconds } =
+        options;
+      const random = randomSource(options.seed * 2_000 + index);
+      const serverOptions = {
+        id,
+        failureDomain,
+        workers,
+        meanServiceTimeMilliseconds,
+      };
+      servers.set(id, new ModelServer(serverOptions, this.timeline, random));
       this.#views.set(id, { server: id, failureDomain, leaving: false });
     }
     return servers;
--- a/packages/bench/src/services/service_policies.ts
+++ b/packages/bench/src/services/service_policies.ts
@@ -8,20 +8,20 @@
   UnlimitedConcurrency,
 } from "@foxtailwind/core";
 
-/** A way to route, and what to call it in reports. */
+/** A routing policy and its name in reports. */
 export interface NamedPolicy {
   readonly name: string;
   readonly policy: ServicePolicy;
 }
 
-const PLAIN = {
+const BASELINE_POLICY = {
   limit: () => new UnlimitedConcurrency(),
   retries: false,
   hedging: false,
   ejection: false,
 };
 
-/** The daemon's policy, its variants, and the baselines. */
+/** The daemon's policy, its variants and the baselines. */
 export const NAMED_POLICIES: readonly NamedPolicy[] = [
   { name: "foxtailwind", policy: SERVICE_POLICY },
   {
@@ -35,14 +35,14 @@
   { name: "no hedging", policy: { ...SERVICE_POLICY, hedging: false } },
   {
     name: "two choices only",
-    policy: { ...PLAIN, chooser: () => new PowerOfTwoChooser() },
+    policy: { ...BASELINE_POLICY, chooser: () => new PowerOfTwoChooser() },
   },
   {
     name: "round robin",
-    policy: { ...PLAIN, chooser: () => new RoundRobinChooser() },
+    policy: { ...BASELINE_POLICY, chooser: () => new RoundRobinChooser() },
   },
   {
     name: "random",
-    policy: { ...PLAIN, chooser: () => new RandomChooser() },
+    policy: { ...BASELINE_POLICY, chooser: () => new RandomChooser() },
   },
 ];
--- a/packages/bench/src/services/service_report.ts
+++ b/packages/bench/src/services/service_report.ts
@@ -1,9 +1,12 @@
 import Table from "cli-table3";
-import type { ServiceFigures } from "./measure_services.ts";
+import type { ServiceMeasurement } from "./service_measurement.ts";
 
-type Figure = Exclude<keyof ServiceFigures, "scenario" | "policy" | "seed">;
+type MeasurementField = Exclude<
+  keyof ServiceMeasurement,
+  "scenario" | "policy" | "seed"
+>;
 
-const HEAD = [
+const COLUMN_TITLES = [
   "scenario",
   "policy",
   "p50 ms",
@@ -16,42 +19,51 @@
 ];
 
 /**
- * Puts figures into a table, a row for each scenario and policy.
- * @param figures The figures of all seeds.
- * @returns The table's text.
+ * Formats measurements as a table with a row per scenario and policy.
+ * @param measurements The measurements of all seeds.
+ * @returns The table as text.
  */
 export function formatServiceReport(
-  figures: readonly ServiceFigures[],
+  measurements: readonly ServiceMeasurement[],
 ): string {
-  const table = new Table({ head: HEAD, style: { head: [], border: [] } });
-  const groups = new Map<string, ServiceFigures[]>();
-  for (const one of figures) {
-    const key = `${one.scenario}/${one.policy}`;
-    groups.set(key, [...(groups.get(key) ?? []), one]);
+  const table = new Table({
+    head: COLUMN_TITLES,
+    style: { head: [], border: [] },
+  });
+  const groups = new Map<string, ServiceMeasurement[]>();
+  for (const measurement of measurements) {
+    const key = `${measurement.scenario}/${measurement.policy}`;
+    groups.set(key, [...(groups.get(key) ?? []), measurement]);
   }
-  for (const group of groups.values()) table.push(rowOf(group));
+  for (const group of groups.values()) table.push(formatRow(group));
   return table.toString();
 }
 
-function rowOf(group: readonly ServiceFigures[]): string[] {
-  const worst = Math.max(...group.map((one) => one.p99Milliseconds));
+function formatRow(group: readonly ServiceMeasurement[]): string[] {
+  const worstP99 = Math.max(
+    ...group.map((measurement) => measurement.p99Milliseconds),
+  );
   return [
     group[0]?.scenario ?? "",
     group[0]?.policy ?? "",
     mean(group, "medianMilliseconds").toFixed(1),
-    `${mean(group, "p99Milliseconds").toFixed(1)} (${worst.toFixed(1)})`,
-    percent(mean(group, "withinTarget")),
-    percent(mean(group, "errors")),
-    percent(mean(group, "refused")),
-    mean(group, "faultyRuns").toFixed(1),
-    mean(group, "runsEach").toFixed(3),
+    `${mean(group, "p99Milliseconds").toFixed(1)} (${worstP99.toFixed(1)})`,
+    formatPercent(mean(group, "withinTargetShare")),
+    formatPercent(mean(group, "errorShare")),
+    formatPercent(mean(group, "refusedShare")),
+    mean(group, "faultyRunsPerThousandCalls").toFixed(1),
+    mean(group, "runsPerCall").toFixed(3),
   ];
 }
 
-function mean(group: readonly ServiceFigures[], name: Figure): number {
-  return group.reduce((sum, one) => sum + one[name], 0) / group.length;
+function mean(
+  group: readonly ServiceMeasurement[],
+  field: MeasurementField,
+): number {
+  return group.reduce((sum, measurement) => sum + measurement[field], 0) /
+    group.length;
 }
 
-function percent(share: number): string {
+function formatPercent(share: number): string {
   return (share * 100).toFixed(3);
 }
--- a/packages/bench/src/services/timeline.ts
+++ b/packages/bench/src/services/timeline.ts
@@ -1,38 +1,38 @@
 import { type Instant, instant } from "@foxtailwind/core";
 
-interface Entry {
+interface ScheduledAction {
   readonly at: number;
-  readonly order: number;
+  readonly sequence: number;
   readonly run: () => void;
 }
 
-/** Virtual time: actions that run in their order, without waiting. */
+/** A virtual clock that runs scheduled actions in order without waiting. */
 export class Timeline {
   #now = 0;
-  #count = 0;
-  /** A binary heap, the earliest entry first. */
-  readonly #heap: Entry[] = [];
+  #scheduledCount = 0;
+  /** A binary min-heap with the earliest action at the root. */
+  readonly #heap: ScheduledAction[] = [];
 
-  /** The present virtual time. */
+  /** The current virtual time. */
   get now(): Instant {
     return instant(this.#now);
   }
 
   /**
-   * Plans an action.
-   * @param delay Milliseconds from now.
-   * @param run The action.
+   * Schedules an action.
+   * @param delay The delay in milliseconds; a negative one counts as 0.
+   * @param run The action to run.
    */
   after(delay: number, run: () => void): void {
-    this.#count += 1;
+    this.#scheduledCount += 1;
     const at = this.#now + Math.max(0, delay);
-    this.#heap.push({ at, order: this.#count, run });
+    this.#heap.push({ at, sequence: this.#scheduledCount, run });
     this.#siftUp(this.#heap.length - 1);
   }
 
   /**
-   * Runs the next action.
-   * @returns Whether there was one.
+   * Advances the clock to the next action and runs it.
+   * @returns Whether there was an action to run.
    */
   step(): boolean {
     const next = this.#heap[0];
@@ -62,28 +62,28 @@
     for (;;) {
       const left = index * 2 + 1;
       const right = left + 1;
-      let least = index;
-      if (this.#isBefore(left, least)) least = left;
-      if (this.#isBefore(right, least)) least = right;
-      if (least === index) return;
-      this.#swap(index, least);
-      index = least;
+      let smallest = index;
+      if (this.#isBefore(left, smallest)) smallest = left;
+      if (this.#isBefore(right, smallest)) smallest = right;
+      if (smallest === index) return;
+      this.#swap(index, smallest);
+      index = smallest;
     }
   }
 
   #isBefore(left: number, right: number): boolean {
-    const one = this.#heap[left];
-    const other = this.#heap[right];
-    if (one === undefined || other === undefined) return false;
-    return one.at < other.at ||
-      (one.at === other.at && one.order < other.order);
+    const first = this.#heap[left];
+    const second = this.#heap[right];
+    if (first === undefined || second === undefined) return false;
+    return first.at < second.at ||
+      (first.at === second.at && first.sequence < second.sequence);
   }
 
   #swap(left: number, right: number): void {
-    const one = this.#heap[left];
-    const other = this.#heap[right];
-    if (one === undefined || other === undefined) return;
-    this.#heap[left] = other;
-    this.#heap[right] = one;
+    const first = this.#heap[left];
+    const second = this.#heap[right];
+    if (first === undefined || second === undefined) return;
+    this.#heap[left] = second;
+    this.#heap[right] = first;
   }
 }
