--- a/packages/bench/src/reading/drawn_prompts.ts
+++ b/packages/bench/src/reading/drawn_prompts.ts
@@ -1,31 +1,41 @@
 import { SeededRandom } from "@foxtailwind/standins";
 import { exponential } from "../load/exponential.ts";
-import { type ArrivingPrompt, TOKENS_A_MILLISECOND } from "./reading_engine.ts";
+import {
+  type ArrivingPrompt,
+  PREFILL_TOKENS_PER_MILLISECOND,
+} from "./reading_engine.ts";
 
-/** Mean tokens of a prompt by the users' newest sheet, less what engines keep. */
-const MEAN_TOKENS = 930;
-/** The longest prompt of that sheet's engines, in tokens. */
-const MOST_TOKENS = 3_790;
+/**
+ * Mean prompt tokens to prefill: the mean of the users' newest data sheet
+ * minus the tokens that engines already hold.
+ */
+const MEAN_PREFILL_TOKENS = 930;
+/** The longest prompt of the engines in that data sheet, in tokens. */
+const MAX_PROMPT_TOKENS = 3_790;
 const DURATION_MILLISECONDS = 30_000;
 
 /**
- * Draws prompts that come at random, as many as fill a share of the time in
- * which an engine of normal speed could read.
- * @param share The share, 0 to 1.
- * @param seed What the draw begins with.
- * @returns The prompts of half a minute.
+ * Draws prompts with random arrivals whose prefill takes a given share of the
+ * time of an engine of normal speed.
+ * @param prefillLoad The share of the time, 0 to 1.
+ * @param seed The seed of the random source.
+ * @returns The prompts that arrive in 30 seconds.
  */
 export function drawPrompts(
-  share: number,
+  prefillLoad: number,
   seed: number,
 ): readonly ArrivingPrompt[] {
   const random = new SeededRandom(seed);
-  const apart = MEAN_TOKENS / (TOKENS_A_MILLISECOND * share);
+  const meanInterarrivalMilliseconds = MEAN_PREFILL_TOKENS /
+    (PREFILL_TOKENS_PER_MILLISECOND * prefillLoad);
   const prompts: ArrivingPrompt[] = [];
-  for (let at = 0; at < DURATION_MILLISECONDS;) {
-    at += exponential(random, apart);
-    const tokens = Math.min(MOST_TOKENS, exponential(random, MEAN_TOKENS));
-    prompts.push({ at, tokens: Math.ceil(tokens) });
+  for (let arrivedAt = 0; arrivedAt < DURATION_MILLISECONDS;) {
+    arrivedAt += exponential(random, meanInterarrivalMilliseconds);
+    const tokens = Math.min(
+      MAX_PROMPT_TOKENS,
+      exponential(random, MEAN_PREFILL_TOKENS),
+    );
+    prompts.push({ arrivedAt, tokens: Math.ceil(tokens) });
   }
   return prompts;
 }
--- a/packages/bench/src/reading/mod.ts
+++ b/packages/bench/src/reading/mod.ts
@@ -1,5 +1,6 @@
 /**
- * A model of one engine that reads prompts, and an experiment on it.
+ * A simulation of one engine's prefill and an experiment that compares
+ * policies on it.
  * @module
  */
 export * from "./drawn_prompts.ts";
--- a/packages/bench/src/reading/prompt_gates.ts
+++ b/packages/bench/src/reading/prompt_gates.ts
@@ -1,52 +1,54 @@
 import { instant, milliseconds, PrefillQueue } from "@foxtailwind/core";
 import {
   type ArrivingPrompt,
+  PREFILL_TOKENS_PER_MILLISECOND,
   PromptGate,
-  TOKENS_A_MILLISECOND,
 } from "./reading_engine.ts";
 
-/** The time in which first events are wanted, in milliseconds. */
+/** The latency target of first events, in milliseconds. */
 export const TARGET_MILLISECONDS = 800;
 
-/** Gives an engine each prompt at once. */
+/** Passes each prompt to the engine immediately. */
 export class OpenGate extends PromptGate {
-  #given: ArrivingPrompt[] = [];
+  #waitingPrompts: ArrivingPrompt[] = [];
 
   override add(prompt: ArrivingPrompt): void {
-    this.#given.push(prompt);
+    this.#waitingPrompts.push(prompt);
   }
 
   override take(): readonly ArrivingPrompt[] {
-    return this.#given.splice(0);
+    return this.#waitingPrompts.splice(0);
   }
 }
 
-/** Gives an engine its prompts as its owner does. */
+/** Passes prompts to the engine as the engine's owner does. */
 export class SpacedGate extends PromptGate {
   readonly #queue = new PrefillQueue<ArrivingPrompt>();
-  readonly #speed: number;
+  readonly #slowdown: number;
 
-  /** @param speed How many times slower than normal the engine is. */
-  constructor(speed = 1) {
+  /** @param slowdown How many times slower than normal the engine is. */
+  constructor(slowdown = 1) {
     super();
-    this.#speed = speed;
+    this.#slowdown = slowdown;
   }
 
   override add(prompt: ArrivingPrompt): void {
-    const { at, tokens } = prompt;
+    const { arrivedAt, tokens } = prompt;
     this.#queue.add(prompt, {
-      prefillTime: milliseconds(this.#speed * tokens / TOKENS_A_MILLISECOND),
-      deadline: instant(at + TARGET_MILLISECONDS),
+      prefillTime: milliseconds(
+        this.#slowdown * tokens / PREFILL_TOKENS_PER_MILLISECOND,
+      ),
+      deadline: instant(arrivedAt + TARGET_MILLISECONDS),
       needsBreak: true,
     });
   }
 
   override take(now: number): readonly ArrivingPrompt[] {
-    const taken: ArrivingPrompt[] = [];
+    const releasedPrompts: ArrivingPrompt[] = [];
     for (;;) {
       const prompt = this.#queue.next(instant(now));
-      if (prompt === undefined) return taken;
-      taken.push(prompt);
+      if (prompt === undefined) return releasedPrompts;
+      releasedPrompts.push(prompt);
     }
   }
 }
--- a/packages/bench/src/reading/reading_engine.ts
+++ b/packages/bench/src/reading/reading_engine.ts
@@ -1,82 +1,87 @@
-/** A step of an engine of normal speed that reads nothing: the users' sheet. */
-const STEP_MILLISECONDS = 10.5;
-/** Prompt tokens that it reads in a millisecond: the users' sheet. */
-export const TOKENS_A_MILLISECOND = 19.2;
-/** The most prompt tokens of a step, by the settings of the users' engines. */
-const TOKENS_A_STEP = 2_048;
-/** Tokens that an event of a stream holds: the users' sheet. */
-const EVENT_TOKENS = 3;
+/**
+ * Duration of a step without prefill on an engine of normal speed, from the
+ * users' data sheet.
+ */
+const DECODE_STEP_MILLISECONDS = 10.5;
+/**
+ * Prefill rate of an engine of normal speed, from the users' data sheet.
+ */
+export const PREFILL_TOKENS_PER_MILLISECOND = 19.2;
+/** Maximum prompt tokens per step in the settings of the users' engines. */
+const MAX_PREFILL_TOKENS_PER_STEP = 2_048;
+/** Tokens per stream event, from the users' data sheet. */
+const TOKENS_PER_EVENT = 3;
 
-/** A prompt as it comes to an engine's owner. */
+/** A prompt that arrives at the owner of an engine. */
 export interface ArrivingPrompt {
-  /** In milliseconds. */
-  readonly at: number;
+  /** The arrival time, in milliseconds. */
+  readonly arrivedAt: number;
   readonly tokens: number;
 }
 
-/** What became of the prompts, and of a stream that ran all the while. */
-export interface ReadingRun {
-  /** From each prompt's arrival to its first token, in milliseconds. */
+/** The latencies of the prompts and of a stream that ran concurrently. */
+export interface PrefillRun {
+  /** The time from each prompt's arrival to its first token, in milliseconds. */
   readonly waits: readonly number[];
-  /** Between two events of the stream, in milliseconds. */
+  /** The times between consecutive stream events, in milliseconds. */
   readonly pauses: readonly number[];
 }
 
-/** Decides when an engine gets the prompts that have come. */
+/** Decides when arrived prompts are passed to an engine. */
 export abstract class PromptGate {
   /**
-   * Takes a prompt that has come.
-   * @param prompt The prompt.
+   * Adds a prompt that has arrived.
+   * @param prompt The prompt to hold until it is passed to the engine.
    */
   abstract add(prompt: ArrivingPrompt): void;
 
   /**
-   * Gives the prompts that the engine gets now.
+   * Removes and returns the prompts to pass to the engine now.
    * @param now The present time, in milliseconds.
-   * @returns The prompts.
+   * @returns The prompts for the engine.
    */
   abstract take(now: number): readonly ArrivingPrompt[];
 }
 
 /**
- * Runs one engine, which reads prompts in pieces between the tokens of a
- * stream, until it has read all.
- * @param prompts The prompts, by their arrival.
- * @param gate Decides when the engine gets them.
- * @param speed How many times slower than normal the engine is.
- * @returns What became of them.
+ * Runs one engine, which interleaves chunked prefill with the tokens of a
+ * stream, until it has processed all prompts.
+ * @param prompts The prompts in the order of arrival.
+ * @param gate Decides when prompts are passed to the engine.
+ * @param slowdown How many times slower than normal the engine is.
+ * @returns The latencies of the prompts and of the stream.
  */
 export function runEngine(
   prompts: readonly ArrivingPrompt[],
   gate: PromptGate,
-  speed = 1,
-): ReadingRun {
-  const engine = new ReadingEngine(speed);
-  const coming = [...prompts];
+  slowdown = 1,
+): PrefillRun {
+  const engine = new PrefillEngine(slowdown);
+  const upcoming = [...prompts];
   while (engine.waits.length < prompts.length) {
-    while (coming[0] !== undefined && coming[0].at <= engine.now) {
-      gate.add(coming[0]);
-      coming.shift();
+    while (upcoming[0] !== undefined && upcoming[0].arrivedAt <= engine.now) {
+      gate.add(upcoming[0]);
+      upcoming.shift();
     }
-    engine.give(gate.take(engine.now));
+    engine.enqueue(gate.take(engine.now));
     engine.step();
   }
   return engine;
 }
 
-/** An engine that runs one stream and reads prompts, as a function of time. */
-class ReadingEngine implements ReadingRun {
+/** A simulated engine that runs one stream and processes prompts. */
+class PrefillEngine implements PrefillRun {
   readonly waits: number[] = [];
   readonly pauses: number[] = [];
-  /** Tokens that are left of each prompt, in the order of their coming. */
-  readonly #unread = new Map<ArrivingPrompt, number>();
-  readonly #speed: number;
+  /** The tokens left of each prompt, in the order in which they were passed. */
+  readonly #remainingTokens = new Map<ArrivingPrompt, number>();
+  readonly #slowdown: number;
   #now = 0;
   #streamTokens = 0;
-  #eventAt = 0;
+  #lastEventAt = 0;
 
-  constructor(speed: number) {
-    this.#speed = speed;
+  constructor(slowdown: number) {
+    this.#slowdown = slowdown;
   }
 
   /** The present time, in milliseconds. */
@@ -84,35 +89,48 @@
     return this.#now;
   }
 
-  /** Takes prompts that it is to read. */
-  give(prompts: readonly ArrivingPrompt[]): void {
-    for (const prompt of prompts) this.#unread.set(prompt, prompt.tokens);
+  /** Adds prompts to process. */
+  enqueue(prompts: readonly ArrivingPrompt[]): void {
+    for (const prompt of prompts) {
+      this.#remainingTokens.set(prompt, prompt.tokens);
+    }
   }
 
-  /** Reads pieces of prompts, and generates a token of what runs. */
+  /** Processes prompt chunks and generates a token of the stream. */
   step(): void {
-    const { tokens, ended } = this.#read();
-    this.#now += this.#speed *
-      (STEP_MILLISECONDS + tokens / TOKENS_A_MILLISECOND);
-    for (const prompt of ended) this.waits.push(this.#now - prompt.at);
+    const { tokens, completed } = this.#prefillChunks();
+    this.#now += this.#slowdown *
+      (DECODE_STEP_MILLISECONDS + tokens / PREFILL_TOKENS_PER_MILLISECOND);
+    for (const prompt of completed) {
+      this.waits.push(this.#now - prompt.arrivedAt);
+    }
     this.#streamTokens += 1;
-    if (this.#streamTokens % EVENT_TOKENS > 0) return;
-    this.pauses.push(this.#now - this.#eventAt);
-    this.#eventAt = this.#now;
+    if (this.#streamTokens % TOKENS_PER_EVENT > 0) return;
+    this.pauses.push(this.#now - this.#lastEventAt);
+    this.#lastEventAt = this.#now;
   }
 
-  /** Reads what fits in a step; gives its tokens, and the prompts it ends. */
-  #read(): { readonly tokens: number; readonly ended: ArrivingPrompt[] } {
-    const ended: ArrivingPrompt[] = [];
+  /**
+   * Processes the prompt tokens that fit in one step. Returns their number and
+   * the completed prompts.
+   */
+  #prefillChunks(): {
+    readonly tokens: number;
+    readonly completed: ArrivingPrompt[];
+  } {
+    const completed: ArrivingPrompt[] = [];
     let tokens = 0;
-    for (const [prompt, left] of this.#unread) {
-      const piece = Math.min(TOKENS_A_STEP - tokens, left);
-      tokens += piece;
-      this.#unread.set(prompt, left - piece);
-      if (piece === left) ended.push(prompt);
-      if (tokens === TOKENS_A_STEP) break;
+    for (const [prompt, remainingTokens] of this.#remainingTokens) {
+      const chunkTokens = Math.min(
+        MAX_PREFILL_TOKENS_PER_STEP - tokens,
+        remainingTokens,
+      );
+      tokens += chunkTokens;
+      this.#remainingTokens.set(prompt, remainingTokens - chunkTokens);
+      if (chunkTokens === remainingTokens) completed.push(prompt);
+      if (tokens === MAX_PREFILL_TOKENS_PER_STEP) break;
     }
-    for (const prompt of ended) this.#unread.delete(prompt);
-    return { tokens, ended };
+    for (const prompt of completed) this.#remainingTokens.delete(prompt);
+    return { tokens, completed };
   }
 }
--- a/packages/bench/src/reading/reading_experiment.ts
+++ b/packages/bench/src/reading/reading_experiment.ts
@@ -3,64 +3,65 @@
 import { OpenGate, SpacedGate, TARGET_MILLISECONDS } from "./prompt_gates.ts";
 import { type PromptGate, runEngine } from "./reading_engine.ts";
 
-/** The longest pause between two events that is not late, in milliseconds. */
+/** Pauses between events that are longer than this are late. */
 export const LONGEST_PAUSE_MILLISECONDS = 300;
-/** How many times slower than normal the users' slow engines are. */
-const SLOW = 1.3;
+/** How many times slower the users' slow engines are than normal ones. */
+const SLOW_ENGINE_SLOWDOWN = 1.3;
 
-/** A way of giving an engine its prompts. */
-export interface ReadingPolicy {
+/** A policy that decides when an engine gets its prompts. */
+export interface PrefillPolicy {
   readonly name: string;
-  readonly create: (speed: number) => PromptGate;
+  readonly create: (slowdown: number) => PromptGate;
 }
 
-/** The policies that are compared: the baseline, and the product's own. */
-export const READING_POLICIES: readonly ReadingPolicy[] = [
+/** The policies to compare: the baseline and this project's own. */
+export const PREFILL_POLICIES: readonly PrefillPolicy[] = [
   { name: "at once", create: () => new OpenGate() },
-  { name: "spaced", create: (speed) => new SpacedGate(speed) },
+  { name: "spaced", create: (slowdown) => new SpacedGate(slowdown) },
 ];
 
-/** How one policy fared under one load, over all seeds. */
-export interface ReadingOutcome {
+/** The results of one policy under one load, over all seeds. */
+export interface PrefillOutcome {
   readonly policy: string;
-  /** The share of a normal engine's time that prompts fill. */
-  readonly load: number;
+  /** The share of a normal engine's time that prefill takes. */
+  readonly prefillLoad: number;
   readonly isSlow: boolean;
-  /** Shares of events, and of first events, that came late. */
-  readonly pauses: Spread;
-  readonly firstEvents: Spread;
+  /** The share of pauses between events that were too long. */
+  readonly latePauseShare: Spread;
+  /** The share of first events that missed the target. */
+  readonly lateFirstEventShare: Spread;
 }
 
-/** What an experiment runs. */
-export interface ReadingExperiment {
+/** The loads and seeds of an experiment. */
+export interface PrefillExperiment {
   readonly loads: readonly number[];
   readonly seeds: readonly number[];
 }
 
 /**
- * Runs all policies on the same prompts, on a normal and on a slow engine.
- * @param experiment What to run.
- * @returns How each policy fared under each load.
+ * Runs all policies on the same prompts, on a normal and a slow engine.
+ * @param experiment The loads and seeds.
+ * @returns The results of each policy under each load and engine speed.
  */
-export function runReadingExperiment(
-  { loads, seeds }: ReadingExperiment,
-): readonly ReadingOutcome[] {
-  return [1, SLOW].flatMap((speed) =>
+export function runPrefillExperiment(
+  { loads, seeds }: PrefillExperiment,
+): readonly PrefillOutcome[] {
+  return [1, SLOW_ENGINE_SLOWDOWN].flatMap((slowdown) =>
     loads.flatMap((load) =>
-      READING_POLICIES.map(({ name, create }): ReadingOutcome => {
+      PREFILL_POLICIES.map(({ name, create }): PrefillOutcome => {
         const runs = seeds.map((seed) =>
-          runEngine(drawPrompts(load, seed), create(speed), speed)
+          runEngine(drawPrompts(load, seed), create(slowdown), slowdown)
         );
         return {
           policy: name,
-          load,
-          isSlow: speed === SLOW,
-          pauses: spread(
+          prefillLoad: load,
+          isSlow: slowdown === SLOW_ENGINE_SLOWDOWN,
+          latePauseShare: spread(
             runs.map(({ pauses }) =>
               lateShare(pauses, LONGEST_PAUSE_MILLISECONDS)
             ),
           ),
-          firstEvents: spread(
+          lateFirstEventShare: spread(
             runs.map(({ waits }) => lateShare(waits, TARGET_MILLISECONDS)),
           ),
         };
@@ -70,7 +71,7 @@
 }
 
 /**
- * Gives the share of times over a limit.
+ * Computes the share of times that exceed a limit.
  * @param times The times, in milliseconds.
  * @param limit The limit, in milliseconds.
  * @returns The share, 0 to 1.
--- a/packages/bench/src/reading/reading_report.ts
+++ b/packages/bench/src/reading/reading_report.ts
@@ -1,56 +1,70 @@
 import Table from "cli-table3";
 import { linePlot, type Spread } from "../policy/mod.ts";
-import { READING_POLICIES, type ReadingOutcome } from "./reading_experiment.ts";
+import { PREFILL_POLICIES, type PrefillOutcome } from "./reading_experiment.ts";
 
 const PERCENT = 100;
 
 /**
- * Puts outcomes into a table: mean [minimum to maximum] over seeds.
- * @param outcomes The outcomes.
- * @returns The text.
+ * Formats outcomes as a table: mean [minimum to maximum] over seeds.
+ * @param outcomes The outcomes of the experiment.
+ * @returns The table as text.
  */
-export function readingTable(outcomes: readonly ReadingOutcome[]): string {
+export function formatPrefillTable(
+  outcomes: readonly PrefillOutcome[],
+): string {
   const table = new Table({
     head: ["engine", "load", "policy", "late pauses %", "late first events %"],
     style: { head: [], border: [] },
   });
-  for (const { policy, load, isSlow, pauses, firstEvents } of outcomes) {
+  for (
+    const {
+      policy,
+      prefillLoad,
+      isSlow,
+      latePauseShare,
+      lateFirstEventShare,
+    } of outcomes
+  ) {
     table.push([
       engineName(isSlow),
-      String(load),
+      String(prefillLoad),
       policy,
-      formatShare(pauses),
-      formatShare(firstEvents),
+      formatShare(latePauseShare),
+      formatShare(lateFirstEventShare),
     ]);
   }
   return table.toString();
 }
 
 /**
- * Draws what is late over the load, for each kind of engine.
- * @param outcomes The outcomes.
- * @param loads The loads, in their order and as far apart as the first two.
+ * Plots the late shares over the load, for each kind of engine.
+ * @param outcomes The outcomes of the experiment.
+ * @param loads The loads in ascending order, evenly spaced.
  * @returns An HTML page.
  */
-export function readingPage(
-  outcomes: readonly ReadingOutcome[],
+export function formatPrefillPage(
+  outcomes: readonly PrefillOutcome[],
   loads: readonly number[],
 ): string {
   const plots = [false, true].map((isSlow) =>
     linePlot({
       title: `${engineName(isSlow)} engine: late, in 100 of their kind`,
-      lines: READING_POLICIES.flatMap(({ name }) => {
-        const own = outcomes.filter((one) =>
-          one.policy === name && one.isSlow === isSlow
+      lines: PREFILL_POLICIES.flatMap(({ name }) => {
+        const policyOutcomes = outcomes.filter((outcome) =>
+          outcome.policy === name && outcome.isSlow === isSlow
         );
         return [
           {
             name: `${name}: pauses`,
-            values: own.map(({ pauses }) => PERCENT * pauses.mean),
+            values: policyOutcomes.map(({ latePauseShare }) =>
+              PERCENT * latePauseShare.mean
+            ),
           },
           {
             name: `${name}: first events`,
-            values: own.map(({ firstEvents }) => PERCENT * firstEvents.mean),
+            values: policyOutcomes.map(({ lateFirstEventShare }) =>
+              PERCENT * lateFirstEventShare.mean
+            ),
           },
         ];
       }),
@@ -70,7 +84,7 @@
 }
 
 function formatShare({ mean, minimum, maximum }: Spread): string {
-  const [middle, least, most] = [mean, minimum, maximum]
+  const [meanText, minimumText, maximumText] = [mean, minimum, maximum]
     .map((share) => (PERCENT * share).toFixed(2));
-  return `${middle} [${least} to ${most}]`;
+  return `${meanText} [${minimumText} to ${maximumText}]`;
 }
