--- a/packages/bench/src/demo/child_program.ts
+++ b/packages/bench/src/demo/child_program.ts
@@ -73,7 +73,7 @@
    * Waits until the process exits.
    * @returns The exit code, or null if a signal ended the process.
    */
-  async ended(): Promise<number | null> {
+  async waitForExit(): Promise<number | null> {
     if (this.#child.exitCode === null && this.#child.signalCode === null) {
       await once(this.#child, "exit");
     }
@@ -86,6 +86,6 @@
    */
   async stop(): Promise<number | null> {
     this.signal("SIGTERM");
-    return await this.ended();
+    return await this.waitForExit();
   }
 }
--- a/packages/bench/src/demo/demo_cluster.ts
+++ b/packages/bench/src/demo/demo_cluster.ts
@@ -46,7 +46,7 @@
       nodes: options.nodeCount,
       domains: options.failureDomainCount,
       platform: standIns,
-      folder: settingsDirectory,
+      settingsDirectory: settingsDirectory,
     });
     return new DemoCluster(nodes, standIns, settingsDirectory);
   }
--- a/packages/bench/src/demo/demo_load.ts
+++ b/packages/bench/src/demo/demo_load.ts
@@ -2,10 +2,10 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { setTimeout as sleep } from "node:timers/promises";
 import { Agent } from "undici";
-import { AddressBook, type NamedNode } from "../load/address_book.ts";
+import { AddressBook, type NodeEndpoint } from "../load/address_book.ts";
 import {
-  callCompletion,
   type CompletionOutcome,
+  requestCompletion,
 } from "../load/completion_call.ts";
 import { ZipfSampler } from "../load/zipf.ts";
 import { DEMO_CLASSES, type DemoClass } from "./demo_configuration.ts";
@@ -13,7 +13,7 @@
 /** The load to generate. */
 export interface DemoLoadOptions {
   /** The nodes that a caller knows initially and asks for addresses. */
-  readonly nodes: readonly NamedNode[];
+  readonly nodes: readonly NodeEndpoint[];
   readonly adapterCount: number;
   readonly zipfExponent: number;
   readonly requestsPerSecond: number;
@@ -47,7 +47,7 @@
     await sleep(Math.max(0, nextSendAt - performance.now()));
     await addressBook.refresh(performance.now());
     const requestClass = chooseClass(uniformFloat64(random));
-    const call = callCompletion(agent, {
+    const call = requestCompletion(agent, {
       baseUrl: `http://${addressBook.next().http}`,
       className: requestClass.name,
       tenant: `tenant-${calls.length % 5}`,
--- a/packages/bench/src/demo/node_process.ts
+++ b/packages/bench/src/demo/node_process.ts
@@ -16,7 +16,7 @@
   /** The `http://` URL of the weight store. */
   readonly weightStore: string;
   /** The directory of the settings file. */
-  readonly folder: string;
+  readonly settingsDirectory: string;
 }
 
 const readyLineSchema = z.object({
@@ -62,7 +62,10 @@
     options: NodeProcessOptions,
     listen = { http: FREE_LOOPBACK_PORT, grpc: FREE_LOOPBACK_PORT },
   ): Promise<NodeProcess> {
-    const settingsFile = path.join(options.folder, `${options.id}.ini`);
+    const settingsFile = path.join(
+      options.settingsDirectory,
+      `${options.id}.ini`,
+    );
     writeFileSync(settingsFile, formatSettings(options, listen));
     const program = new ChildProgram(
       options.id,
@@ -93,7 +96,7 @@
   /** The stand-ins for the platform's services. */
   readonly platform: StandInProcess;
   /** The directory of the settings files. */
-  readonly folder: string;
+  readonly settingsDirectory: string;
 }
 
 /**
@@ -105,7 +108,7 @@
 export async function startNodes(
   options: NodesOptions,
 ): Promise<NodeProcess[]> {
-  const { domains, platform, folder } = options;
+  const { domains, platform, settingsDirectory: folder } = options;
   const vmList = platform.addressOf("vm_list");
   const nodes = await Promise.all(
     Array.from({ length: options.nodes }, (_, index) =>
@@ -115,7 +118,7 @@
         log: platform.addressOf("log_service"),
         vmList,
         weightStore: platform.addressOf("weight_store"),
-        folder,
+        settingsDirectory: folder,
       })),
   );
   await listNodes(vmList, nodes);
--- a/packages/bench/src/demo/relay_demo.ts
+++ b/packages/bench/src/demo/relay_demo.ts
@@ -42,7 +42,7 @@
   const resultsAfterStop = await sendRound(cluster);
   const engines = [...cluster.engines.values()];
   const runs = engines.flatMap((engine) => engine.runs);
-  const isOverfull = engines.some((engine) => engine.adapters.isOverfull);
+  const isOverfull = engines.some((engine) => engine.adapters.hasExceededSlots);
   await cluster.stop();
   const results = [
     ...resultsBeforeStop,
--- a/packages/bench/src/faults/fault_caller.ts
+++ b/packages/bench/src/faults/fault_caller.ts
@@ -183,7 +183,8 @@
     if (this.status !== HTTP_OK) return outcomeOf(this.#errorBody);
     if (this.#checker.verdict === "misdelivered") return "misdelivered";
     if (this.#typedError !== undefined) return this.#typedError;
-    const whole = this.#streamEnded && this.#checker.tokens === expectedTokens;
+    const whole = this.#streamEnded &&
+      this.#checker.tokenCount === expectedTokens;
     return whole ? "whole" : "cut";
   }
 
--- a/packages/bench/src/faults/fault_cluster.ts
+++ b/packages/bench/src/faults/fault_cluster.ts
@@ -54,7 +54,11 @@
       "--services=booking",
     ]);
     const engines = await startEngines(size, platform, folder);
-    const nodes = await startNodes({ ...size, platform, folder });
+    const nodes = await startNodes({
+      ...size,
+      platform,
+      settingsDirectory: folder,
+    });
     return new FaultCluster(platform, { nodes, engines, folder });
   }
 
@@ -74,7 +78,7 @@
    */
   async restartNode(index: number): Promise<void> {
     const node = itemAt(this.#nodes, index);
-    await node.program.ended();
+    await node.program.waitForExit();
     this.#nodes[index] = await node.restart();
   }
 
@@ -85,7 +89,7 @@
    */
   async restartEngine(index: number): Promise<void> {
     const { plan, address, standIn } = itemAt(this.#engines, index);
-    await standIn.program.ended();
+    await standIn.program.waitForExit();
     const port = Number(new URL(address).port);
     this.#engines[index] = await startEngine(plan, port);
   }
--- a/packages/bench/src/faults/fault_load.ts
+++ b/packages/bench/src/faults/fault_load.ts
@@ -81,7 +81,7 @@
       this.#sent += 1;
       this.#pendingCalls.push(
         send().then((record) => {
-          if (record.verdict === "lost") this.#addressBook.avoid(record.node);
+          if (record.verdict === "lost") this.#addressBook.exclude(record.node);
           this.records.push(record);
         }),
       );
--- a/packages/bench/src/load/address_book.ts
+++ b/packages/bench/src/load/address_book.ts
@@ -1,7 +1,7 @@
 import * as z from "zod";
 
 /** A node that callers may send requests to. */
-export interface NamedNode {
+export interface NodeEndpoint {
   readonly id: string;
   /** IP literal and port. */
   readonly http: string;
@@ -21,14 +21,14 @@
  * that does not answer is excluded until the next successful refresh.
  */
 export class AddressBook {
-  readonly #bootstrapNodes: readonly NamedNode[];
-  #current: readonly NamedNode[];
+  readonly #bootstrapNodes: readonly NodeEndpoint[];
+  #current: readonly NodeEndpoint[];
   #expiresAt = 0;
   #turnCount = 0;
   #keyScope = "";
 
   /** @param known The nodes in the caller's settings, used first and as a fallback. */
-  constructor(known: readonly NamedNode[]) {
+  constructor(known: readonly NodeEndpoint[]) {
     this.#bootstrapNodes = known;
     this.#current = known;
   }
@@ -39,7 +39,7 @@
   }
 
   /** Returns the next node in round-robin order. */
-  next(): NamedNode {
+  next(): NodeEndpoint {
     this.#turnCount += 1;
     const node = this.#current[this.#turnCount % this.#current.length] ??
       this.#bootstrapNodes[0];
@@ -51,7 +51,7 @@
    * Excludes a node that did not answer, unless it is the last one.
    * @param id The id of the node.
    */
-  avoid(id: string): void {
+  exclude(id: string): void {
     const remaining = this.#current.filter((node) => node.id !== id);
     if (remaining.length > 0) this.#current = remaining;
   }
@@ -79,7 +79,7 @@
 }
 
 async function fetchAddresses(
-  node: NamedNode,
+  node: NodeEndpoint,
 ): Promise<z.output<typeof answerSchema> | undefined> {
   try {
     const response = await fetch(`http://${node.http}/v1/addresses`, {
--- a/packages/bench/src/load/completion_call.ts
+++ b/packages/bench/src/load/completion_call.ts
@@ -33,7 +33,7 @@
  * @param call The parameters of the request.
  * @returns The outcome.
  */
-export async function callCompletion(
+export async function requestCompletion(
   dispatcher: Dispatcher,
   call: CompletionCall,
 ): Promise<CompletionOutcome> {
@@ -85,7 +85,7 @@
   }
 
   get tokens(): number {
-    return this.#checker.tokens;
+    return this.#checker.tokenCount;
   }
 
   get rightAdapter(): boolean {
--- a/packages/bench/src/load/exponential.ts
+++ b/packages/bench/src/load/sample_exponential.ts
@@ -6,6 +6,6 @@
  * @param mean The mean of the distribution, in any unit.
  * @returns The sample, in the unit of the mean.
  */
-export function exponential(random: SeededRandom, mean: number): number {
+export function sampleExponential(random: SeededRandom, mean: number): number {
   return -Math.log(1 - random.next()) * mean;
 }
--- a/packages/bench/src/load/token_checker.ts
+++ b/packages/bench/src/load/token_checker.ts
@@ -17,7 +17,7 @@
   }
 
   /** The number of tokens received. */
-  get tokens(): number {
+  get tokenCount(): number {
     return this.#tokenCount;
   }
 
--- a/packages/bench/src/overhead/overhead_cluster.ts
+++ b/packages/bench/src/overhead/overhead_cluster.ts
@@ -53,7 +53,7 @@
       log: platform.addressOf("log_service"),
       vmList,
       weightStore: platform.addressOf("weight_store"),
-      folder,
+      settingsDirectory: folder,
     });
     await listNodes(vmList, [node]);
     await publish(`http://${node.http}`, plan);
--- a/packages/bench/src/overhead/overhead_phase.ts
+++ b/packages/bench/src/overhead/overhead_phase.ts
@@ -48,7 +48,7 @@
   const seconds = (performance.now() - startedAt) / MILLISECONDS_PER_SECOND;
   const results = await Promise.all(programs.map(async (program) => {
     const result = loadResultSchema.parse(await program.nextLine());
-    await program.ended();
+    await program.waitForExit();
     return result;
   }));
   const merged = results.reduce(merge, emptyResult());
--- a/packages/bench/src/reading/drawn_prompts.ts
+++ b/packages/bench/src/reading/drawn_prompts.ts
@@ -1,5 +1,5 @@
 import { SeededRandom } from "@foxtailwind/standins";
-import { exponential } from "../load/exponential.ts";
+import { sampleExponential } from "../load/sample_exponential.ts";
 import {
   type ArrivingPrompt,
   PREFILL_TOKENS_PER_MILLISECOND,
@@ -30,10 +30,10 @@
     (PREFILL_TOKENS_PER_MILLISECOND * prefillLoad);
   const prompts: ArrivingPrompt[] = [];
   for (let arrivedAt = 0; arrivedAt < DURATION_MILLISECONDS;) {
-    arrivedAt += exponential(random, meanInterarrivalMilliseconds);
+    arrivedAt += sampleExponential(random, meanInterarrivalMilliseconds);
     const tokens = Math.min(
       MAX_PROMPT_TOKENS,
-      exponential(random, MEAN_PREFILL_TOKENS),
+      sampleExponential(random, MEAN_PREFILL_TOKENS),
     );
     prompts.push({ arrivedAt, tokens: Math.ceil(tokens) });
   }
--- a/packages/bench/src/reading/prompt_gates.ts
+++ b/packages/bench/src/reading/prompt_gates.ts
@@ -6,10 +6,10 @@
 } from "./reading_engine.ts";
 
 /** The latency target of first events, in milliseconds. */
-export const TARGET_MILLISECONDS = 800;
+export const FIRST_EVENT_TARGET_MILLISECONDS = 800;
 
 /** Passes each prompt to the engine immediately. */
-export class OpenGate extends PromptGate {
+export class ImmediateGate extends PromptGate {
   #waitingPrompts: ArrivingPrompt[] = [];
 
   override add(prompt: ArrivingPrompt): void {
@@ -38,7 +38,7 @@
       prefillTime: milliseconds(
         this.#slowdown * tokens / PREFILL_TOKENS_PER_MILLISECOND,
       ),
-      deadline: instant(arrivedAt + TARGET_MILLISECONDS),
+      deadline: instant(arrivedAt + FIRST_EVENT_TARGET_MILLISECONDS),
       needsBreak: true,
     });
   }
--- a/packages/bench/src/reading/reading_engine.ts
+++ b/packages/bench/src/reading/reading_engine.ts
@@ -22,7 +22,7 @@
 /** The latencies of the prompts and of a stream that ran concurrently. */
 export interface PrefillRun {
   /** The time from each prompt's arrival to its first token, in milliseconds. */
-  readonly waits: readonly number[];
+  readonly firstTokenDelays: readonly number[];
   /** The times between consecutive stream events, in milliseconds. */
   readonly pauses: readonly number[];
 }
@@ -58,7 +58,7 @@
 ): PrefillRun {
   const engine = new PrefillEngine(slowdown);
   const upcoming = [...prompts];
-  while (engine.waits.length < prompts.length) {
+  while (engine.firstTokenDelays.length < prompts.length) {
     while (upcoming[0] !== undefined && upcoming[0].arrivedAt <= engine.now) {
       gate.add(upcoming[0]);
       upcoming.shift();
@@ -71,7 +71,7 @@
 
 /** A simulated engine that runs one stream and processes prompts. */
 class PrefillEngine implements PrefillRun {
-  readonly waits: number[] = [];
+  readonly firstTokenDelays: number[] = [];
   readonly pauses: number[] = [];
   /** The tokens left of each prompt, in the order in which they were passed. */
   readonly #remainingTokens = new Map<ArrivingPrompt, number>();
@@ -102,7 +102,7 @@
     this.#now += this.#slowdown *
       (DECODE_STEP_MILLISECONDS + tokens / PREFILL_TOKENS_PER_MILLISECOND);
     for (const prompt of completed) {
-      this.waits.push(this.#now - prompt.arrivedAt);
+      this.firstTokenDelays.push(this.#now - prompt.arrivedAt);
     }
     this.#streamTokens += 1;
     if (this.#streamTokens % TOKENS_PER_EVENT > 0) return;
--- a/packages/bench/src/reading/reading_experiment.ts
+++ b/packages/bench/src/reading/reading_experiment.ts
@@ -1,10 +1,14 @@
 import { mean, type Spread, spread } from "../policy/mod.ts";
 import { drawPrompts } from "./drawn_prompts.ts";
-import { OpenGate, SpacedGate, TARGET_MILLISECONDS } from "./prompt_gates.ts";
+import {
+  FIRST_EVENT_TARGET_MILLISECONDS,
+  ImmediateGate,
+  SpacedGate,
+} from "./prompt_gates.ts";
 import { type PromptGate, runEngine } from "./reading_engine.ts";
 
 /** Pauses between events that are longer than this are late. */
-export const LONGEST_PAUSE_MILLISECONDS = 300;
+export const MAX_PAUSE_MILLISECONDS = 300;
 /** How many times slower the users' slow engines are than normal ones. */
 const SLOW_ENGINE_SLOWDOWN = 1.3;
 
@@ -16,7 +20,7 @@
 
 /** The policies to compare: the baseline and this project's own. */
 export const PREFILL_POLICIES: readonly PrefillPolicy[] = [
-  { name: "at once", create: () => new OpenGate() },
+  { name: "at once", create: () => new ImmediateGate() },
   { name: "spaced", create: (slowdown) => new SpacedGate(slowdown) },
 ];
 
@@ -57,12 +61,12 @@
           prefillLoad: load,
           isSlow: slowdown === SLOW_ENGINE_SLOWDOWN,
           latePauseShare: spread(
-            runs.map(({ pauses }) =>
-              lateShare(pauses, LONGEST_PAUSE_MILLISECONDS)
-            ),
+            runs.map(({ pauses }) => lateShare(pauses, MAX_PAUSE_MILLISECONDS)),
           ),
           lateFirstEventShare: spread(
-            runs.map(({ waits }) => lateShare(waits, TARGET_MILLISECONDS)),
+            runs.map(({ firstTokenDelays: waits }) =>
+              lateShare(waits, FIRST_EVENT_TARGET_MILLISECONDS)
+            ),
           ),
         };
       })
--- a/packages/bench/src/relay/mod.ts
+++ b/packages/bench/src/relay/mod.ts
@@ -2,8 +2,8 @@
  * In-memory stand-ins of a relay's dependencies, and a cluster that uses them.
  * @module
  */
-export * from "./fated_orders.ts";
-export * from "./ordered_adapters.ts";
+export * from "./scripted_order_delivery.ts";
+export * from "./stand_in_engine_state.ts";
 export * from "./relay_cluster.ts";
 export * from "./stand_in_configuration.ts";
 export * from "./stand_in_engine.ts";
--- a/packages/bench/src/relay/relay_cluster.ts
+++ b/packages/bench/src/relay/relay_cluster.ts
@@ -14,7 +14,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { request as send } from "undici";
 import {
-  STAND_IN_ENGINES as ENGINES,
+  STAND_IN_ENGINE_SERVICE as ENGINES,
   STAND_IN_HOST as HOST,
   STAND_IN_LOOKUP_SERVICE as LOOKUPS,
   standInConfiguration,
--- a/packages/bench/src/relay/fated_orders.ts
+++ b/packages/bench/src/relay/scripted_order_delivery.ts
@@ -1,27 +1,27 @@
 import type { EngineOrder, OrderResult } from "@foxtailwind/node/relay";
-import type { OrderedAdapters } from "./ordered_adapters.ts";
+import type { StandInEngineState } from "./stand_in_engine_state.ts";
 
 /** What happens to an order and its answer in transit. */
-export type OrderFate =
+export type DeliveryOutcome =
   | "answered"
   /** Executed at once, but the answer is lost. */
   | "answer_lost"
-  /** Executed only by {@link FatedOrders.carryOutLate}. */
+  /** Executed only by {@link ScriptedOrderDelivery.executeLate}. */
   | "late"
   /** Never executed. */
   | "lost";
 
 /** Delivers orders to a stand-in engine with scripted losses and delays. */
-export class FatedOrders {
-  readonly #adapters: OrderedAdapters;
+export class ScriptedOrderDelivery {
+  readonly #adapters: StandInEngineState;
   readonly #lateOrders: EngineOrder[] = [];
   /** The outcomes of the next orders; all later orders are answered. */
-  nextFates: OrderFate[] = [];
+  nextOutcomes: DeliveryOutcome[] = [];
   /** The accepted order count at which late orders are executed, if any. */
-  carryOutLateAt: number | undefined;
+  executeLateAtCount: number | undefined;
 
   /** @param adapters The adapter state of the engine, which executes orders. */
-  constructor(adapters: OrderedAdapters) {
+  constructor(adapters: StandInEngineState) {
     this.#adapters = adapters;
   }
 
@@ -36,21 +36,23 @@
    * @returns The result that the sender sees; `unknown` without an answer.
    */
   send(order: EngineOrder): OrderResult {
-    const fate = this.nextFates.shift() ?? "answered";
-    if (fate === "late") this.#lateOrders.push(order);
-    if (fate === "late" || fate === "lost") return { kind: "unknown" };
-    const result = this.#adapters.carryOut(order);
-    if (this.#adapters.count === this.carryOutLateAt) this.carryOutLate();
-    return fate === "answer_lost" ? { kind: "unknown" } : result;
+    const outcome = this.nextOutcomes.shift() ?? "answered";
+    if (outcome === "late") this.#lateOrders.push(order);
+    if (outcome === "late" || outcome === "lost") return { kind: "unknown" };
+    const result = this.#adapters.execute(order);
+    if (this.#adapters.orderCount === this.executeLateAtCount) {
+      this.executeLate();
+    }
+    return outcome === "answer_lost" ? { kind: "unknown" } : result;
   }
 
   /**
    * Executes the late orders, even if the engine has restarted since.
    * @returns The engine's result for each order.
    */
-  carryOutLate(): readonly OrderResult[] {
+  executeLate(): readonly OrderResult[] {
     return this.#lateOrders.splice(0).map((order) =>
-      this.#adapters.carryOut(order)
+      this.#adapters.execute(order)
     );
   }
 }
--- a/packages/bench/src/relay/stand_in_configuration.ts
+++ b/packages/bench/src/relay/stand_in_configuration.ts
@@ -4,10 +4,10 @@
   seconds,
   serviceId,
 } from "@foxtailwind/core";
-import { standInEngines } from "./stand_in_server.ts";
+import { standInEngineService } from "./stand_in_server.ts";
 
 /** The id of the stand-in engine service. */
-export const STAND_IN_ENGINES = serviceId("engines");
+export const STAND_IN_ENGINE_SERVICE = serviceId("engines");
 /** The id of the stand-in lookup service, which has no engines. */
 export const STAND_IN_LOOKUP_SERVICE = serviceId("lookups");
 /** The host of the stand-in routes. */
@@ -40,7 +40,7 @@
         pathPrefix: "/drafts/",
         repeatable: false,
         streams: true,
-        targets: [{ service: STAND_IN_ENGINES, weight: 1 }],
+        targets: [{ service: STAND_IN_ENGINE_SERVICE, weight: 1 }],
       },
       {
         ...routeDefaults,
@@ -53,7 +53,7 @@
     ],
     services: [
       { id: STAND_IN_LOOKUP_SERVICE, connectionLimit: 50 },
-      standInEngines(STAND_IN_ENGINES, slots),
+      standInEngineService(STAND_IN_ENGINE_SERVICE, slots),
     ],
     limits: {
       headerBytes: 8_192,
--- a/packages/bench/src/relay/stand_in_engine.ts
+++ b/packages/bench/src/relay/stand_in_engine.ts
@@ -18,8 +18,8 @@
 } from "node:http";
 import type { AddressInfo } from "node:net";
 import { setTimeout as sleep } from "node:timers/promises";
-import { FatedOrders } from "./fated_orders.ts";
-import { OrderedAdapters } from "./ordered_adapters.ts";
+import { ScriptedOrderDelivery } from "./scripted_order_delivery.ts";
+import { StandInEngineState } from "./stand_in_engine_state.ts";
 import { REQUEST_LIMIT_HEADER, STAND_IN_MODEL } from "./stand_in_wire.ts";
 
 const MISDIRECTED = 421;
@@ -31,8 +31,8 @@
 /** An HTTP engine that streams events for the adapters loaded by orders. */
 export class StandInEngine {
   readonly id: string;
-  readonly adapters: OrderedAdapters;
-  readonly orderDelivery: FatedOrders;
+  readonly adapters: StandInEngineState;
+  readonly orderDelivery: ScriptedOrderDelivery;
   /** The ids of the requests that it ran, in order. */
   readonly runs: string[] = [];
   /** The path of the requests that crash the engine when they begin to run. */
@@ -55,10 +55,10 @@
    */
   constructor(id: string, slots: number, start: ServerStart) {
     this.id = id;
-    this.adapters = new OrderedAdapters(slots);
+    this.adapters = new StandInEngineState(slots);
     this.adapters.models = [STAND_IN_MODEL];
     this.adapters.start = start;
-    this.orderDelivery = new FatedOrders(this.adapters);
+    this.orderDelivery = new ScriptedOrderDelivery(this.adapters);
     this.#server.on("connection", (socket) => {
       if (this.#isDown) socket.resetAndDestroy();
     });
@@ -109,7 +109,7 @@
     if (this.requestLimit !== undefined) {
       response.setHeader(REQUEST_LIMIT_HEADER, String(this.requestLimit));
     }
-    if (!this.adapters.held.has(adapter)) {
+    if (!this.adapters.loadedAdapters.has(adapter)) {
       response.writeHead(MISDIRECTED, { "x-not-run": "1" }).end();
       return;
     }
--- a/packages/bench/src/relay/ordered_adapters.ts
+++ b/packages/bench/src/relay/stand_in_engine_state.ts
@@ -6,21 +6,21 @@
 } from "@foxtailwind/node/relay";
 
 /** The adapter state of a stand-in engine, with order counts and fencing. */
-export class OrderedAdapters {
+export class StandInEngineState {
   /** The number of adapters that fit. */
   readonly slots: number;
   /** The loaded adapters. */
-  readonly held = new Set<AdapterId>();
+  readonly loadedAdapters = new Set<AdapterId>();
   /** Adapters used by running requests, which can't be unloaded. */
-  readonly inUse = new Set<AdapterId>();
+  readonly adaptersInUse = new Set<AdapterId>();
   models: readonly ModelId[] = [];
   /** The server start that reports name, if any. */
   start: ServerStart | undefined;
   /** The number of orders accepted since the start. */
-  count = 0;
+  orderCount = 0;
   highestFence = 0;
   /** Whether an order ever loaded more adapters than fit. */
-  isOverfull = false;
+  hasExceededSlots = false;
 
   /** @param slots The number of adapters that fit. */
   constructor(slots: number) {
@@ -32,21 +32,21 @@
    * @param order The order.
    * @returns The result.
    */
-  carryOut(order: EngineOrder): OrderResult {
+  execute(order: EngineOrder): OrderResult {
     if (order.fence < this.highestFence) return { kind: "fenced" };
     this.highestFence = order.fence;
-    if (order.expectedOrders !== this.count) return { kind: "conflict" };
+    if (order.expectedOrders !== this.orderCount) return { kind: "conflict" };
     const { adapter, model } = order;
     if (adapter === undefined) {
       this.models = [model];
-      this.count += 1;
+      this.orderCount += 1;
       return { kind: "accepted" };
     }
     if (order.kind === "unload") return this.#unload(adapter);
-    if (this.held.has(adapter)) return { kind: "holds" };
-    this.held.add(adapter);
-    this.count += 1;
-    if (this.held.size > this.slots) this.isOverfull = true;
+    if (this.loadedAdapters.has(adapter)) return { kind: "holds" };
+    this.loadedAdapters.add(adapter);
+    this.orderCount += 1;
+    if (this.loadedAdapters.size > this.slots) this.hasExceededSlots = true;
     return { kind: "accepted" };
   }
 
@@ -57,9 +57,9 @@
   restart(start: ServerStart): void {
     this.start = start;
     this.models = [];
-    this.held.clear();
-    this.inUse.clear();
-    this.count = 0;
+    this.loadedAdapters.clear();
+    this.adaptersInUse.clear();
+    this.orderCount = 0;
     this.highestFence = 0;
   }
 
@@ -71,17 +71,21 @@
       models: this.models,
       adapters: model === undefined
         ? []
-        : [...this.held].map((adapter) => ({ model, adapter, version: 1 })),
+        : [...this.loadedAdapters].map((adapter) => ({
+          model,
+          adapter,
+          version: 1,
+        })),
       incoming: [],
       isBusy: false,
-      orderCount: this.count,
+      orderCount: this.orderCount,
     };
   }
 
   #unload(adapter: AdapterId): OrderResult {
-    if (this.inUse.has(adapter)) return { kind: "conflict" };
-    this.held.delete(adapter);
-    this.count += 1;
+    if (this.adaptersInUse.has(adapter)) return { kind: "conflict" };
+    this.loadedAdapters.delete(adapter);
+    this.orderCount += 1;
     return { kind: "holds" };
   }
 }
--- a/packages/bench/src/relay/stand_in_log.ts
+++ b/packages/bench/src/relay/stand_in_log.ts
@@ -14,7 +14,7 @@
   type SharedLogListener,
   type SuspicionChange,
 } from "@foxtailwind/node/relay";
-import { type StandInServer, standInServer } from "./stand_in_server.ts";
+import { standInRegistryEntry, type StandInServer } from "./stand_in_server.ts";
 import { err, ok, type Result } from "neverthrow";
 
 const STORE_DOWN: Failure = {
@@ -65,7 +65,7 @@
    * @param server The server.
    */
   register(server: StandInServer): void {
-    const entry = standInServer(server);
+    const entry = standInRegistryEntry(server);
     this.#servers.set(server.id, entry);
     this.#registryOffset += 1;
     const offset = logOffset(this.#registryOffset);
@@ -193,14 +193,14 @@
   override start(listener: SharedLogListener): void {
     this.#listener = listener;
     this.#store.attach(this, listener);
-    listener.reached();
+    listener.caughtUp();
     this.#timer = setInterval(() => {
       if (!this.#store.isUp) {
-        listener.failed(STORE_DOWN);
+        listener.callFailed(STORE_DOWN);
         return;
       }
       this.#deliverHeldBack(listener);
-      listener.reached();
+      listener.caughtUp();
     }, POLL_MILLISECONDS);
   }
 
@@ -218,7 +218,7 @@
   }
 
   /** Does nothing, since claims are delivered as they are added. */
-  override hurry(): void {}
+  override catchUpSoon(): void {}
 
   override announce(node: NodeRecord): Promise<Result<boolean, Failure>> {
     if (!this.#store.isUp) return Promise.resolve(err(STORE_DOWN));
--- a/packages/bench/src/relay/stand_in_server.ts
+++ b/packages/bench/src/relay/stand_in_server.ts
@@ -33,7 +33,7 @@
  * @param server The server.
  * @returns The entry.
  */
-export function standInServer(server: StandInServer): RegisteredServer {
+export function standInRegistryEntry(server: StandInServer): RegisteredServer {
   const loadedModel = { model: STAND_IN_MODEL, adapters: new Map() };
   return {
     id: backendServerId(server.id),
@@ -56,7 +56,7 @@
  * @param adapterSlots The number of adapters that fit on an engine.
  * @returns The configuration of the service.
  */
-export function standInEngines(
+export function standInEngineService(
   id: ServiceId,
   adapterSlots: number,
 ): RelayService {
--- a/packages/bench/src/relay/stand_in_wire.ts
+++ b/packages/bench/src/relay/stand_in_wire.ts
@@ -1,7 +1,7 @@
 import { adapterId, milliseconds, modelId, requestId } from "@foxtailwind/core";
 import {
-  type AddressQuestion,
   type AnswerFacts,
+  type CallerAddressQuery,
   type CallerRequest,
   OperationsWire,
   RelayWire,
@@ -57,8 +57,8 @@
       }
     }
     headers.push("x-server", terms.server, "x-left", String(terms.timeLeft));
-    if (terms.resumeAfter !== undefined) {
-      headers.push("x-after", terms.resumeAfter);
+    if (terms.resumeAfterEventId !== undefined) {
+      headers.push("x-after", terms.resumeAfterEventId);
     }
     return headers;
   }
@@ -69,9 +69,9 @@
     return {
       ...(typeof id === "string" ? { requestId: id } : {}),
       ...(typeof limit === "string" ? { requestLimit: Number(limit) } : {}),
-      notRun: headers["x-not-run"] !== undefined,
+      isNotRun: headers["x-not-run"] !== undefined,
       isMisdirected: status === 421,
-      isAttested: headers["x-seal"] !== undefined,
+      hasSeal: headers["x-seal"] !== undefined,
     };
   }
 }
@@ -81,9 +81,9 @@
   override readonly readinessPath = "/readiness";
   override readonly addressesPath = "/addresses";
 
-  override readQuestion(
+  override readAddressQuery(
     query: Readonly<Record<string, string | undefined>>,
-  ): AddressQuestion {
+  ): CallerAddressQuery {
     const failureDomain = query["domain"];
     return failureDomain === undefined ? {} : { failureDomain };
   }
--- a/packages/bench/src/services/model_node.ts
+++ b/packages/bench/src/services/model_node.ts
@@ -118,7 +118,7 @@
     if (wake === undefined) return;
     if (this.#wakeAt !== undefined && this.#wakeAt <= wake) return;
     this.#wakeAt = wake;
-    timeline.after(
+    timeline.schedule(
       Math.max(MIN_WAKE_DELAY_MILLISECONDS, wake - timeline.now),
       () => {
         if (this.#wakeAt !== wake) return;
@@ -158,14 +158,14 @@
     this.#openAttemptKeys.add(attemptKey(order));
     const server = servers.get(order.server);
     const delay = this.#networkDelayTo(server);
-    timeline.after(delay, () => {
+    timeline.schedule(delay, () => {
       server?.receive(order.call, (result) => {
-        timeline.after(delay, () => {
+        timeline.schedule(delay, () => {
           this.#endAttempt(order, result);
         });
       });
     });
-    timeline.after(order.timeout, () => {
+    timeline.schedule(order.timeout, () => {
       this.#endAttempt(order, failedAttempt("timeout", "unknown"));
     });
   }
--- a/packages/bench/src/services/model_server.ts
+++ b/packages/bench/src/services/model_server.ts
@@ -12,7 +12,7 @@
 /** Faults that a model server simulates. */
 export interface ModelServerFaults {
   /** The factor by which the service time is multiplied. */
-  slowness: number;
+  slowdown: number;
   /** The share of calls that run and soon get a response with status 500. */
   failShare: number;
   /** The share of calls that are refused and reported as not run. */
@@ -50,7 +50,7 @@
 export class ModelServer {
   readonly options: ModelServerOptions;
   readonly faults: ModelServerFaults = {
-    slowness: 1,
+    slowdown: 1,
     failShare: 0,
     refuseShare: 0,
     dropShare: 0,
@@ -60,9 +60,9 @@
     isLeaving: false,
   };
   /** How many times each call ran. */
-  readonly runs = new Map<RequestId, number>();
+  readonly runsByCall = new Map<RequestId, number>();
   /** How many calls arrived, whatever their outcome. */
-  received = 0;
+  receivedCallCount = 0;
   readonly #timeline: Timeline;
   readonly #random: RandomSource;
   readonly #queue: (() => void)[] = [];
@@ -90,7 +90,7 @@
    */
   receive(call: RequestId, onResult: ResultCallback): void {
     const { faults } = this;
-    this.received += 1;
+    this.receivedCallCount += 1;
     if (faults.isClosed) {
       onResult(failedAttempt("unavailable", "not_run"));
     } else if (this.#drawBoolean(faults.dropShare)) {
@@ -99,7 +99,7 @@
       onResult(this.#answeredResult(UNAVAILABLE, "not_run"));
     } else if (this.#drawBoolean(faults.failShare)) {
       this.#countRun(call);
-      this.#timeline.after(ERROR_RESPONSE_MILLISECONDS, () => {
+      this.#timeline.schedule(ERROR_RESPONSE_MILLISECONDS, () => {
         onResult(this.#answeredResult(INTERNAL_ERROR));
       });
     } else {
@@ -123,7 +123,7 @@
     this.#countRun(call);
     const isLost = this.#drawBoolean(this.faults.loseShare);
     const { isHanging } = this.faults;
-    this.#timeline.after(this.#drawServiceTime(), () => {
+    this.#timeline.schedule(this.#drawServiceTime(), () => {
       this.#runningCalls -= 1;
       this.#startQueuedCalls();
       if (isHanging) return;
@@ -138,13 +138,13 @@
   /** Half of the mean is fixed, the other half is exponential. */
   #drawServiceTime(): number {
     const mean = this.options.meanServiceTimeMilliseconds *
-      this.faults.slowness;
+      this.faults.slowdown;
     const exponential = -Math.log(1 - uniformFloat64(this.#random));
     return mean * (0.5 + 0.5 * exponential);
   }
 
   #countRun(call: RequestId): void {
-    this.runs.set(call, (this.runs.get(call) ?? 0) + 1);
+    this.runsByCall.set(call, (this.runsByCall.get(call) ?? 0) + 1);
   }
 
   #drawBoolean(share: number): boolean {
--- a/packages/bench/src/services/model_world.ts
+++ b/packages/bench/src/services/model_world.ts
@@ -18,11 +18,11 @@
 /** The size, policy and latency target of a simulation. */
 export interface ModelWorldOptions {
   readonly seed: number;
-  readonly nodes: number;
-  readonly servers: number;
-  readonly domains: number;
-  readonly workers: number;
-  readonly meanMilliseconds: number;
+  readonly nodeCount: number;
+  readonly serverCount: number;
+  readonly failureDomainCount: number;
+  readonly workersPerServer: number;
+  readonly meanServiceTimeMilliseconds: number;
   readonly target: LatencyTarget;
   readonly policy: ServicePolicy;
 }
@@ -32,7 +32,7 @@
   readonly id: ReturnType<typeof requestId>;
   readonly repeatable: boolean;
   readonly milliseconds: number;
-  readonly end: CallOutcome;
+  readonly outcome: CallOutcome;
 }
 
 /** The delay from a change to its appearance on the VM list. */
@@ -54,14 +54,16 @@
     const { timeline, servers } = this;
     const { policy, target } = options;
     this.nodes = Array.from(
-      { length: options.nodes },
+      { length: options.nodeCount },
       (_, index) =>
         new ModelNode({
           timeline,
           servers,
           policy,
           target,
-          failureDomain: failureDomainId(`domain-${index % options.domains}`),
+          failureDomain: failureDomainId(
+            `domain-${index % options.failureDomainCount}`,
+          ),
           random: randomSource(options.seed * 1_000 + index),
         }),
     );
@@ -79,7 +81,7 @@
    * @param id The ID of the server.
    */
   listAsLeaving(id: BackendServerId): void {
-    this.timeline.after(LIST_LAG_MILLISECONDS, () => {
+    this.timeline.schedule(LIST_LAG_MILLISECONDS, () => {
       const view = this.#views.get(id);
       if (view === undefined) return;
       this.#views.set(id, { ...view, leaving: true });
@@ -93,7 +95,7 @@
    * @param isListed Whether the list contains the server.
    */
   setListed(id: BackendServerId, isListed: boolean): void {
-    this.timeline.after(LIST_LAG_MILLISECONDS, () => {
+    this.timeline.schedule(LIST_LAG_MILLISECONDS, () => {
       const server = this.servers.get(id);
       if (server === undefined) return;
       const { failureDomain } = server.options;
@@ -120,7 +122,7 @@
     const startedAt = this.timeline.now;
     node?.submit({ id, repeatable }, (end) => {
       const milliseconds = this.timeline.now - startedAt;
-      onReport({ id, repeatable, milliseconds, end });
+      onReport({ id, repeatable, milliseconds, outcome: end });
     });
     return () => {
       node?.cancel(id);
@@ -132,7 +134,7 @@
    * @param share The probability of true, 0 to 1.
    * @returns The boolean.
    */
-  happens(share: number): boolean {
+  drawBoolean(share: number): boolean {
     return uniformFloat64(this.random) < share;
   }
 
@@ -140,13 +142,15 @@
     options: ModelWorldOptions,
   ): ReadonlyMap<BackendServerId, ModelServer> {
     const servers = new Map<BackendServerId, ModelServer>();
-    for (let index = 0; index < options.servers; index += 1) {
+    for (let index = 0; index < options.serverCount; index += 1) {
       const id = backendServerId(`server-${index}`);
       const failureDomain = failureDomainId(
-        `domain-${index % options.domains}`,
+        `domain-${index % options.failureDomainCount}`,
       );
-      const { workers, meanMilliseconds: meanServiceTimeMilliseconds } =
-        options;
+      const {
+        workersPerServer: workers,
+        meanServiceTimeMilliseconds: meanServiceTimeMilliseconds,
+      } = options;
       const random = randomSource(options.seed * 2_000 + index);
       const serverOptions = {
         id,
--- a/packages/bench/src/services/service_measurement.ts
+++ b/packages/bench/src/services/service_measurement.ts
@@ -49,11 +49,11 @@
 ): ServiceMeasurement {
   const world = new ModelWorld({
     seed,
-    nodes: NODE_COUNT,
-    servers: SERVER_COUNT,
-    domains: FAILURE_DOMAIN_COUNT,
-    workers: WORKERS_PER_SERVER,
-    meanMilliseconds: MEAN_SERVICE_TIME_MILLISECONDS,
+    nodeCount: NODE_COUNT,
+    serverCount: SERVER_COUNT,
+    failureDomainCount: FAILURE_DOMAIN_COUNT,
+    workersPerServer: WORKERS_PER_SERVER,
+    meanServiceTimeMilliseconds: MEAN_SERVICE_TIME_MILLISECONDS,
     target: {
       firstTokenMilliseconds: TARGET_MILLISECONDS,
       wholeAnswerMilliseconds: TARGET_MILLISECONDS,
@@ -63,7 +63,7 @@
   const reports: CallReport[] = [];
   scenario.start(world);
   sendLoad(world, scenario.relativeLoad, reports);
-  while (world.timeline.step()) { /* Runs until no action is left. */ }
+  while (world.timeline.runNext()) { /* Runs until no action is left. */ }
   return summarizeReports(reports, world, {
     scenario: scenario.name,
     policy: namedPolicy.name,
@@ -80,14 +80,14 @@
     MEAN_SERVICE_TIME_MILLISECONDS;
   const sendNext = (): void => {
     if (world.timeline.now >= LOAD_DURATION_MILLISECONDS) return;
-    world.call(!world.happens(NOT_REPEATABLE_SHARE), (report) => {
+    world.call(!world.drawBoolean(NOT_REPEATABLE_SHARE), (report) => {
       reports.push(report);
     });
     const interarrivalMilliseconds =
       -Math.log(1 - uniformFloat64(world.random)) / callsPerMillisecond;
-    world.timeline.after(interarrivalMilliseconds, sendNext);
+    world.timeline.schedule(interarrivalMilliseconds, sendNext);
   };
-  world.timeline.after(0, sendNext);
+  world.timeline.schedule(0, sendNext);
 }
 
 function summarizeReports(
@@ -98,7 +98,7 @@
   const latencies = build({ numberOfSignificantValueDigits: 3 });
   let withinTargetCount = 0;
   let refusedCount = 0;
-  for (const { end, milliseconds } of reports) {
+  for (const { outcome: end, milliseconds } of reports) {
     if (isSuccess(end)) {
       latencies.recordValue(
         Math.round(milliseconds * HISTOGRAM_UNITS_PER_MILLISECOND),
@@ -125,12 +125,14 @@
   };
 }
 
-function isSuccess(end: CallReport["end"]): boolean {
+function isSuccess(end: CallReport["outcome"]): boolean {
   return end.kind === "answered" && end.status < MIN_ERROR_STATUS;
 }
 
 function countRuns(world: ModelWorld, id: typeof FAULTY_SERVER): number {
   let runs = 0;
-  for (const count of world.servers.get(id)?.runs.values() ?? []) runs += count;
+  for (const count of world.servers.get(id)?.runsByCall.values() ?? []) {
+    runs += count;
+  }
   return runs;
 }
--- a/packages/bench/src/services/service_scenarios.ts
+++ b/packages/bench/src/services/service_scenarios.ts
@@ -23,7 +23,7 @@
 export const SERVICE_SCENARIOS: readonly ServiceScenario[] = [
   { name: "steady", relativeLoad: ORDINARY_LOAD, start: () => undefined },
   faultScenario("one slow server", (server) => {
-    server.faults.slowness = SLOWDOWN_FACTOR;
+    server.faults.slowdown = SLOWDOWN_FACTOR;
   }),
   faultScenario("one failing server", (server) => {
     server.faults.failShare = 1;
@@ -34,7 +34,7 @@
   faultScenario("one leaving server", (server, world) => {
     server.faults.isLeaving = true;
     world.listAsLeaving(FAULTY_SERVER);
-    world.timeline.after(CLOSE_DELAY_MILLISECONDS, () => {
+    world.timeline.schedule(CLOSE_DELAY_MILLISECONDS, () => {
       server.faults.isClosed = true;
     });
   }),
@@ -49,7 +49,7 @@
     name,
     relativeLoad: ORDINARY_LOAD,
     start(world) {
-      world.timeline.after(FAULT_TIME_MILLISECONDS, () => {
+      world.timeline.schedule(FAULT_TIME_MILLISECONDS, () => {
         const server = world.servers.get(FAULTY_SERVER);
         if (server !== undefined) injectFault(server, world);
       });
--- a/packages/bench/src/services/timeline.ts
+++ b/packages/bench/src/services/timeline.ts
@@ -23,7 +23,7 @@
    * @param delay The delay in milliseconds; a negative one counts as 0.
    * @param run The action to run.
    */
-  after(delay: number, run: () => void): void {
+  schedule(delay: number, run: () => void): void {
     this.#scheduledCount += 1;
     const at = this.#now + Math.max(0, delay);
     this.#heap.push({ at, sequence: this.#scheduledCount, run });
@@ -34,7 +34,7 @@
    * Advances the clock to the next action and runs it.
    * @returns Whether there was an action to run.
    */
-  step(): boolean {
+  runNext(): boolean {
     const next = this.#heap[0];
     if (next === undefined) return false;
     const last = this.#heap.pop();
--- a/packages/bench/src/slopes/telemetry_cost.ts
+++ b/packages/bench/src/slopes/telemetry_cost.ts
@@ -12,7 +12,7 @@
   RequestTelemetry,
   tenantId,
 } from "@foxtailwind/core";
-import { exponential } from "../load/exponential.ts";
+import { sampleExponential } from "../load/sample_exponential.ts";
 import { SeededRandom } from "@foxtailwind/standins";
 import {
   type Measurement,
@@ -128,7 +128,7 @@
   readonly random: SeededRandom;
 }): void {
   const engine = engineId("engine-1");
-  const wait = exponential(random, 300);
+  const wait = sampleExponential(random, 300);
   recordArrival(telemetry, { request, row, at: 0 });
   const steps = [
     { kind: "queued", request, engine, ahead: 3 },
@@ -145,7 +145,7 @@
   ] as const;
   for (const step of steps) telemetry.record(instant(wait + 100), step);
   for (let frame = 1; frame < 10; frame += 1) {
-    const at = instant(wait + 100 + frame * 20 + exponential(random, 5));
+    const at = instant(wait + 100 + frame * 20 + sampleExponential(random, 5));
     telemetry.record(at, { kind: "frame", request, tokens: 1 });
   }
   telemetry.record(instant(wait + 400), {
--- a/packages/bench/src/soak/relay/faulty_wires.ts
+++ b/packages/bench/src/soak/relay/faulty_wires.ts
@@ -11,7 +11,7 @@
 export class BelievesAnyRefusal extends SoakWire {
   override readAnswer(status: number, headers: Headers): AnswerFacts {
     const { requestId, ...facts } = super.readAnswer(status, headers);
-    return facts.notRun || requestId === undefined
+    return facts.isNotRun || requestId === undefined
       ? facts
       : { ...facts, requestId };
   }
@@ -20,18 +20,19 @@
 /** Reads no answer's id. */
 export class ReadsNoIds extends SoakWire {
   override readAnswer(status: number, headers: Headers): AnswerFacts {
-    const { notRun, isMisdirected, isAttested } = super.readAnswer(
-      status,
-      headers,
-    );
-    return { notRun, isMisdirected, isAttested };
+    const { isNotRun: notRun, isMisdirected, hasSeal: isAttested } = super
+      .readAnswer(
+        status,
+        headers,
+      );
+    return { isNotRun: notRun, isMisdirected, hasSeal: isAttested };
   }
 }
 
 /** Takes any body for attested. */
 export class NeedsNoSeal extends SoakWire {
   override readAnswer(status: number, headers: Headers): AnswerFacts {
-    return { ...super.readAnswer(status, headers), isAttested: true };
+    return { ...super.readAnswer(status, headers), hasSeal: true };
   }
 }
 
@@ -39,7 +40,7 @@
 export class TakesFailuresForRefusals extends SoakWire {
   override readAnswer(status: number, headers: Headers): AnswerFacts {
     const facts = super.readAnswer(status, headers);
-    return { ...facts, notRun: facts.notRun || status >= 500 };
+    return { ...facts, isNotRun: facts.isNotRun || status >= 500 };
   }
 }
 
--- a/packages/bench/src/soak/relay/node_parts.ts
+++ b/packages/bench/src/soak/relay/node_parts.ts
@@ -11,7 +11,7 @@
   type OrderResult,
   parseRelaySettings,
   RelayDaemon,
-  type RelayEdges,
+  type RelayPlatform,
   type RelaySettings,
   type RelayWire,
   type SendTerms,
@@ -171,7 +171,7 @@
    */
   daemon(
     settings: RelaySettings,
-    edges: RelayEdges,
+    edges: RelayPlatform,
     loggers: LoggerFactory,
   ): RelayDaemon {
     return new RelayDaemon(settings, edges, loggers);
--- a/packages/bench/src/soak/relay/relay_mutants.ts
+++ b/packages/bench/src/soak/relay/relay_mutants.ts
@@ -5,7 +5,7 @@
   type LoggerFactory,
   type OrderResult,
   RelayDaemon,
-  type RelayEdges,
+  type RelayPlatform,
   type RelaySettings,
   type RelayWire,
   type SharedLogListener,
@@ -113,7 +113,7 @@
     engine: SoakEngine,
     order: EngineOrder,
   ): OrderResult {
-    const expectedOrders = engine.adapters.count;
+    const expectedOrders = engine.adapters.orderCount;
     return super.deliver(engine, { ...order, expectedOrders });
   }
 }
@@ -148,7 +148,7 @@
 class WithDeafDaemon extends NodeParts {
   override daemon(
     settings: RelaySettings,
-    edges: RelayEdges,
+    edges: RelayPlatform,
     loggers: LoggerFactory,
   ): RelayDaemon {
     return new HearsOfStopsLate(settings, edges, loggers);
--- a/packages/bench/src/soak/relay/soak_configuration.ts
+++ b/packages/bench/src/soak/relay/soak_configuration.ts
@@ -7,7 +7,7 @@
   seconds,
   serviceId,
 } from "@foxtailwind/core";
-import { standInEngines } from "../../relay/stand_in_server.ts";
+import { standInEngineService } from "../../relay/stand_in_server.ts";
 import { WORLD_SIZE } from "./relay_script.ts";
 
 /** The service of engines. */
@@ -41,7 +41,7 @@
     ],
     services: [
       { id: PLAIN, connectionLimit: 100 },
-      standInEngines(ENGINES, WORLD_SIZE.slots),
+      standInEngineService(ENGINES, WORLD_SIZE.slots),
     ],
     limits: {
       headerBytes: 8_192,
--- a/packages/bench/src/soak/relay/soak_engine.ts
+++ b/packages/bench/src/soak/relay/soak_engine.ts
@@ -4,7 +4,7 @@
   EngineReport,
   OrderResult,
 } from "@foxtailwind/node/relay";
-import { OrderedAdapters } from "../../relay/ordered_adapters.ts";
+import { StandInEngineState } from "../../relay/stand_in_engine_state.ts";
 import { STAND_IN_MODEL } from "../../relay/stand_in_wire.ts";
 import type { RawRequest } from "./raw_server.ts";
 import { type Run, SoakServer, type SoakServerParts } from "./soak_server.ts";
@@ -27,7 +27,7 @@
 
 /** An engine that streams events for adapters that it was ordered to hold. */
 export class SoakEngine extends SoakServer {
-  readonly adapters: OrderedAdapters;
+  readonly adapters: StandInEngineState;
   /** Whether orders get no answer and are carried out late. */
   isLate = false;
   readonly #parts: SoakEngineParts;
@@ -43,7 +43,7 @@
   constructor(id: string, service: string, parts: SoakEngineParts) {
     super(id, service, parts);
     this.#parts = parts;
-    this.adapters = new OrderedAdapters(parts.slots);
+    this.adapters = new StandInEngineState(parts.slots);
     this.adapters.models = [STAND_IN_MODEL];
     this.adapters.start = this.start;
   }
@@ -77,22 +77,23 @@
     if (adapter === undefined) return this.#take(order);
     const wanted = order.version ?? this.#parts.newestVersion(adapter);
     const isNewer = order.kind === "load" &&
-      this.adapters.held.has(adapter) && this.#versionOf(adapter) < wanted;
-    if (isNewer && this.adapters.inUse.has(adapter)) {
+      this.adapters.loadedAdapters.has(adapter) &&
+      this.#versionOf(adapter) < wanted;
+    if (isNewer && this.adapters.adaptersInUse.has(adapter)) {
       return { kind: "conflict" };
     }
-    if (isNewer) this.adapters.held.delete(adapter);
+    if (isNewer) this.adapters.loadedAdapters.delete(adapter);
     const result = this.#take(order);
     if (result.kind === "accepted" && order.kind === "load") {
       this.#versions.set(adapter, wanted);
-    } else if (isNewer) this.adapters.held.add(adapter);
+    } else if (isNewer) this.adapters.loadedAdapters.add(adapter);
     return result;
   }
 
   protected override begin(request: RawRequest): Run | undefined {
     const id = request.headers.get("x-id") ?? "";
     const adapter = adapterId(request.headers.get("x-adapter") ?? "");
-    if (!this.adapters.held.has(adapter)) return undefined;
+    if (!this.adapters.loadedAdapters.has(adapter)) return undefined;
     const version = this.#versionOf(adapter);
     const expected = request.headers.get("x-version");
     if (expected !== undefined && Number(expected) !== version) {
@@ -112,10 +113,10 @@
   }
 
   #take(order: EngineOrder): OrderResult {
-    const before = this.adapters.count;
-    const result = this.adapters.carryOut(order);
+    const before = this.adapters.orderCount;
+    const result = this.adapters.execute(order);
     const { record, claimPlace } = this.#parts;
-    if (this.adapters.count > before) {
+    if (this.adapters.orderCount > before) {
       const place = claimPlace(this.id, order.owner);
       if (place < this.#highestClaim) {
         record.breaks(
@@ -125,10 +126,10 @@
       }
       this.#highestClaim = Math.max(this.#highestClaim, place);
     }
-    if (this.adapters.isOverfull) {
+    if (this.adapters.hasExceededSlots) {
       record.breaks(
         "adapter_slots_are_never_exceeded",
-        `${this.id} was ordered to hold ${this.adapters.held.size}`,
+        `${this.id} was ordered to hold ${this.adapters.loadedAdapters.size}`,
       );
     }
     return result;
@@ -141,8 +142,8 @@
   #use(adapter: AdapterId, change: number): void {
     const runs = (this.#runs.get(adapter) ?? 0) + change;
     this.#runs.set(adapter, runs);
-    if (runs > 0) this.adapters.inUse.add(adapter);
-    else this.adapters.inUse.delete(adapter);
+    if (runs > 0) this.adapters.adaptersInUse.add(adapter);
+    else this.adapters.adaptersInUse.delete(adapter);
   }
 }
 
--- a/packages/bench/src/soak/relay/soak_store.ts
+++ b/packages/bench/src/soak/relay/soak_store.ts
@@ -135,12 +135,12 @@
     return this.next.isWatcher;
   }
 
-  override get readers(): number {
-    return this.next.readers;
+  override get readerCount(): number {
+    return this.next.readerCount;
   }
 
-  override get triesFirst(): boolean {
-    return this.next.triesFirst;
+  override get retriesAtFullRate(): boolean {
+    return this.next.retriesAtFullRate;
   }
 
   override get isActive(): boolean {
@@ -203,12 +203,14 @@
     this.next.recordSkipped(...news);
   }
 
-  override reached(): void {
-    this.next.reached();
+  override caughtUp(): void {
+    this.next.caughtUp();
   }
 
-  override failed(...news: Parameters<SharedLogListener["failed"]>): void {
-    this.next.failed(...news);
+  override callFailed(
+    ...news: Parameters<SharedLogListener["callFailed"]>
+  ): void {
+    this.next.callFailed(...news);
   }
 }
 
@@ -221,8 +223,8 @@
     this.#log = log;
   }
 
-  override reached(): void {
-    if (this.#log.isReachable) super.reached();
-    else this.next.failed(FAILURE);
+  override caughtUp(): void {
+    if (this.#log.isReachable) super.caughtUp();
+    else this.next.callFailed(FAILURE);
   }
 }
--- a/packages/bench/src/soak/service_soak.ts
+++ b/packages/bench/src/soak/service_soak.ts
@@ -71,11 +71,11 @@
     this.#steps = steps;
     this.#world = new ModelWorld({
       seed,
-      nodes: NODES,
-      servers: SERVERS,
-      domains: DOMAINS,
-      workers: WORKERS,
-      meanMilliseconds: MEAN_MILLISECONDS,
+      nodeCount: NODES,
+      serverCount: SERVERS,
+      failureDomainCount: DOMAINS,
+      workersPerServer: WORKERS,
+      meanServiceTimeMilliseconds: MEAN_MILLISECONDS,
       target: {
         firstTokenMilliseconds: TARGET_MILLISECONDS,
         wholeAnswerMilliseconds: TARGET_MILLISECONDS,
@@ -86,7 +86,7 @@
 
   run(): ServiceSoakReport {
     this.#next();
-    while (this.#world.timeline.step()) { /* Runs to the end. */ }
+    while (this.#world.timeline.runNext()) { /* Runs to the end. */ }
     this.#checkEnds();
     for (const report of this.#reports.values()) this.#checkCall(report);
     return this.#summary();
@@ -94,17 +94,17 @@
 
   #next(): void {
     if (this.#calls >= this.#steps) return;
-    if (this.#world.happens(FAULT_SHARE)) this.#changeFault();
+    if (this.#world.drawBoolean(FAULT_SHARE)) this.#changeFault();
     this.#call();
     const gap = uniformInt(this.#world.random, 0, GAP_MILLISECONDS * 2);
-    this.#world.timeline.after(gap, () => {
+    this.#world.timeline.schedule(gap, () => {
       this.#next();
     });
   }
 
   #call(): void {
     this.#calls += 1;
-    const isRepeatable = !this.#world.happens(NOT_REPEATABLE_SHARE);
+    const isRepeatable = !this.#world.drawBoolean(NOT_REPEATABLE_SHARE);
     let isOpen = true;
     const cancel = this.#world.call(isRepeatable, (report) => {
       isOpen = false;
@@ -115,8 +115,8 @@
       );
       this.#reports.set(report.id, report);
     });
-    if (!this.#world.happens(CANCEL_SHARE)) return;
-    this.#world.timeline.after(MEAN_MILLISECONDS, () => {
+    if (!this.#world.drawBoolean(CANCEL_SHARE)) return;
+    this.#world.timeline.schedule(MEAN_MILLISECONDS, () => {
       if (!isOpen) return;
       this.#cancelled += 1;
       cancel();
@@ -138,26 +138,29 @@
     if (server.faults.isLeaving) return;
     server.faults.isLeaving = true;
     this.#world.listAsLeaving(id);
-    this.#world.timeline.after(NO_NEW_WORK_AFTER_MILLISECONDS, () => {
+    this.#world.timeline.schedule(NO_NEW_WORK_AFTER_MILLISECONDS, () => {
       this.#expectNoWork(id, server);
     });
-    this.#world.timeline.after(RELISTED_AFTER_MILLISECONDS, () => {
+    this.#world.timeline.schedule(RELISTED_AFTER_MILLISECONDS, () => {
       server.faults.isClosed = true;
       this.#world.setListed(id, false);
     });
-    this.#world.timeline.after(RELISTED_AFTER_MILLISECONDS * 2, () => {
+    this.#world.timeline.schedule(RELISTED_AFTER_MILLISECONDS * 2, () => {
       Object.assign(server.faults, HEALTHY, { isLeaving: false });
       this.#world.setListed(id, true);
     });
   }
 
   #expectNoWork(id: BackendServerId, server: ModelServer): void {
-    const { received } = server;
-    this.#world.timeline.after(NO_WORK_FOR_MILLISECONDS, () => {
+    const { receivedCallCount: received } = server;
+    this.#world.timeline.schedule(NO_WORK_FOR_MILLISECONDS, () => {
       assertInvariant(
-        server.received === received,
+        server.receivedCallCount === received,
         "leaving_server_gets_no_new_work",
-        () => `Server ${id} is leaving and got ${server.received - received}.`,
+        () =>
+          `Server ${id} is leaving and got ${
+            server.receivedCallCount - received
+          }.`,
       );
     });
   }
@@ -184,7 +187,7 @@
     }
   }
 
-  #checkCall({ id, repeatable, end }: CallReport): void {
+  #checkCall({ id, repeatable, outcome: end }: CallReport): void {
     const runs = this.#runsOf(id);
     assertInvariant(
       repeatable || runs <= 1,
@@ -207,13 +210,13 @@
   #runsOf(id: RequestId): number {
     let runs = 0;
     for (const server of this.#world.servers.values()) {
-      runs += server.runs.get(id) ?? 0;
+      runs += server.runsByCall.get(id) ?? 0;
     }
     return runs;
   }
 
   #summary(): ServiceSoakReport {
-    const ends = [...this.#reports.values()].map((report) => report.end);
+    const ends = [...this.#reports.values()].map((report) => report.outcome);
     const failures = ends.flatMap((end) =>
       end.kind === "failed" ? [end.failure.outcome] : []
     );
@@ -230,7 +233,7 @@
 }
 
 const HEALTHY: Partial<ModelServerFaults> = {
-  slowness: 1,
+  slowdown: 1,
   failShare: 0,
   refuseShare: 0,
   dropShare: 0,
@@ -243,7 +246,7 @@
 const FAULTS: readonly Partial<ModelServerFaults>[] = [
   HEALTHY,
   HEALTHY,
-  { slowness: 20 },
+  { slowdown: 20 },
   { failShare: 0.5 },
   { refuseShare: 0.5 },
   { dropShare: 0.5 },
--- a/packages/bench/tests/relay/relay_cluster_test.ts
+++ b/packages/bench/tests/relay/relay_cluster_test.ts
@@ -24,7 +24,7 @@
     }
   }
   for (const engine of cluster.engines.values()) {
-    t.false(engine.adapters.isOverfull);
+    t.false(engine.adapters.hasExceededSlots);
     t.is(new Set(engine.runs).size, engine.runs.length, "Nothing ran twice.");
   }
 });
@@ -44,7 +44,7 @@
   }));
   t.deepEqual(served, adapters.map(() => EVENTS_PER_STREAM));
   for (const engine of cluster.engines.values()) {
-    t.false(engine.adapters.isOverfull);
+    t.false(engine.adapters.hasExceededSlots);
   }
 });
 
--- a/packages/bench/tests/relay/restart_test.ts
+++ b/packages/bench/tests/relay/restart_test.ts
@@ -71,7 +71,7 @@
 
 function assertInvariants(t: ExecutionContext, cluster: RelayCluster): void {
   for (const { id, adapters, runs } of cluster.engines.values()) {
-    t.false(adapters.isOverfull, id);
+    t.false(adapters.hasExceededSlots, id);
     t.is(new Set(runs).size, runs.length, "No request ran twice.");
   }
   const allRuns = [...cluster.engines.values()].flatMap((engine) =>
@@ -117,7 +117,7 @@
   const cluster = await startOwnedCluster(t);
   await generateOnEngine(t, cluster, ENGINE);
   const engine = getEngine(cluster, ENGINE);
-  const adapter = [...engine.adapters.held][0] ?? "";
+  const adapter = [...engine.adapters.loadedAdapters][0] ?? "";
   const before = engine.runs.length;
   const running = cluster.generate(getNode(cluster, 0), adapter)
     .catch(() => ({ status: 0, body: "" }));
@@ -152,16 +152,16 @@
   const cluster = await startOwnedCluster(t);
   await generateOnEngine(t, cluster, ENGINE);
   const { orderDelivery: fates } = getEngine(cluster, ENGINE);
-  fates.nextFates = ["late", "late", "late", "late", "late"];
+  fates.nextOutcomes = ["late", "late", "late", "late", "late"];
   const node = getNode(cluster, 0);
   const waiting = ["a", "b", "c", "d", "e", "f"].map((adapter) =>
     generateUntilServed(t, cluster, node, adapter)
   );
   await waitUntil(() => fates.lateCount > 0);
   cluster.restart(ENGINE);
-  fates.carryOutLateAt = 3;
+  fates.executeLateAtCount = 3;
   await Promise.all(waiting);
-  fates.carryOutLate();
+  fates.executeLate();
   for (const adapter of ["g", "h", "i", "j"]) {
     await generateUntilServed(t, cluster, node, adapter);
   }
--- a/packages/bench/tests/relay/stand_in_restart_test.ts
+++ b/packages/bench/tests/relay/stand_in_restart_test.ts
@@ -1,4 +1,4 @@
-import { FatedOrders, OrderedAdapters } from "@foxtailwind/bench";
+import { ScriptedOrderDelivery, StandInEngineState } from "@foxtailwind/bench";
 import {
   adapterId,
   fencingNumber,
@@ -20,10 +20,10 @@
 }
 
 test("a restarted stand-in engine resets its order count, fence and adapters", (t) => {
-  const adapters = new OrderedAdapters(2);
+  const adapters = new StandInEngineState(2);
   adapters.start = serverStart(1_000);
   adapters.models = [modelId("m")];
-  t.is(adapters.carryOut(loadOrder("a", 0, 7)).kind, "accepted");
+  t.is(adapters.execute(loadOrder("a", 0, 7)).kind, "accepted");
   adapters.restart(serverStart(2_000));
   t.deepEqual(adapters.report, {
     start: serverStart(2_000),
@@ -33,17 +33,17 @@
     isBusy: false,
     orderCount: 0,
   });
-  t.is(adapters.carryOut(loadOrder("b", 0, 3)).kind, "accepted");
+  t.is(adapters.execute(loadOrder("b", 0, 3)).kind, "accepted");
 });
 
 test("a late order is executed by the start that is current on its arrival", (t) => {
-  const adapters = new OrderedAdapters(2);
-  const orders = new FatedOrders(adapters);
-  orders.nextFates = ["late", "lost"];
+  const adapters = new StandInEngineState(2);
+  const orders = new ScriptedOrderDelivery(adapters);
+  orders.nextOutcomes = ["late", "lost"];
   t.is(orders.send(loadOrder("a", 0, 7)).kind, "unknown");
   t.is(orders.send(loadOrder("b", 0, 7)).kind, "unknown");
   adapters.restart(serverStart(2_000));
   t.is(orders.lateCount, 1);
-  t.deepEqual(orders.carryOutLate(), [{ kind: "accepted" }]);
-  t.deepEqual([...adapters.held], ["a"]);
+  t.deepEqual(orders.executeLate(), [{ kind: "accepted" }]);
+  t.deepEqual([...adapters.loadedAdapters], ["a"]);
 });
--- a/packages/cli/tests/explain_logs_test.ts
+++ b/packages/cli/tests/explain_logs_test.ts
@@ -130,7 +130,7 @@
     const headers = { "x-id": `r${index}` };
     const { status } = await world.call("/once/crashing", { headers });
     if (status === 503) break;
-    world.knowledge.reached();
+    world.knowledge.caughtUp();
   }
   await world.call("/once/crashing", { headers: { "x-id": "refused" } });
   const { out } = await explain(t, lines, "refused");
--- a/packages/core/tests/relay/prefill_queue_test.ts
+++ b/packages/core/tests/relay/prefill_queue_test.ts
@@ -5,12 +5,12 @@
  */
 import {
   drawPrompts,
+  FIRST_EVENT_TARGET_MILLISECONDS,
+  ImmediateGate,
   lateShare,
-  LONGEST_PAUSE_MILLISECONDS,
-  OpenGate,
+  MAX_PAUSE_MILLISECONDS,
   runEngine,
   SpacedGate,
-  TARGET_MILLISECONDS,
 } from "@foxtailwind/bench";
 import {
   instant,
@@ -24,16 +24,19 @@
 const SEEDS = Array.from({ length: 20 }, (_, index) => index + 1);
 
 test("bursts of prompts rarely delay streams, and few first events are late", (t) => {
-  const [open, spaced] = [OpenGate, SpacedGate].map((Gate) => {
+  const [open, spaced] = [ImmediateGate, SpacedGate].map((Gate) => {
     const runs = SEEDS.map((seed) =>
       runEngine(drawPrompts(0.5, seed), new Gate())
     );
     return {
       paused: lateShare(
         runs.flatMap(({ pauses }) => pauses),
-        LONGEST_PAUSE_MILLISECONDS,
+        MAX_PAUSE_MILLISECONDS,
+      ),
+      late: lateShare(
+        runs.flatMap(({ firstTokenDelays: waits }) => waits),
+        FIRST_EVENT_TARGET_MILLISECONDS,
       ),
-      late: lateShare(runs.flatMap(({ waits }) => waits), TARGET_MILLISECONDS),
     };
   });
   if (open === undefined || spaced === undefined) return t.fail();
--- a/packages/edges/src/engine_client.ts
+++ b/packages/edges/src/engine_client.ts
@@ -179,7 +179,7 @@
    * @param order The order.
    * @returns Nothing, or a failure.
    */
-  abstract order(order: EngineOrder): Promise<Result<void, Failure>>;
+  abstract sendOrder(order: EngineOrder): Promise<Result<void, Failure>>;
 
   /**
    * Reads the engine's state.
--- a/packages/edges/src/http/after_pending_input.ts
+++ b/packages/edges/src/http/after_pending_input.ts
@@ -14,7 +14,7 @@
  * @param limitMilliseconds The time limit, from now.
  * @returns The signal. Its timer does not keep the process running.
  */
-export function inputTimeout(limitMilliseconds: number): AbortSignal {
+export function createTimeoutSignal(limitMilliseconds: number): AbortSignal {
   const controller = new AbortController();
   setTimeout(() => {
     afterPendingInput(() => {
--- a/packages/edges/src/http/call_json.ts
+++ b/packages/edges/src/http/call_json.ts
@@ -6,7 +6,7 @@
   type HttpClientOptions,
 } from "./client_options.ts";
 import { exchange } from "./exchange.ts";
-import { failureFromResponse, parseJson } from "./stated_failure.ts";
+import { failureFromResponse, parseJson } from "./reported_failure.ts";
 
 /** A request with a JSON body and a JSON response. */
 export interface JsonCall<ResponseBody> {
--- a/packages/edges/src/http/connection_ends.ts
+++ b/packages/edges/src/http/connection_ends.ts
@@ -23,7 +23,7 @@
  * A handler that is notified of such an end must check here for a failure.
  * @returns Whether the connection failed, or `undefined` if none is ending.
  */
-export function failureOfEnd(): Promise<boolean> | undefined {
+export function hasEndingConnectionFailed(): Promise<boolean> | undefined {
   return currentEndFailure;
 }
 
@@ -48,7 +48,7 @@
  * @param connect The connector to wrap.
  * @returns A connector whose connections are tracked.
  */
-export function noteConnectionEnds(
+export function trackConnectionEnds(
   connect: buildConnector.connector,
 ): buildConnector.connector {
   return (options, callback) => {
--- a/packages/edges/src/http/dispatcher.ts
+++ b/packages/edges/src/http/dispatcher.ts
@@ -1,5 +1,5 @@
 import { Agent, buildConnector } from "undici";
-import { noteConnectionEnds } from "./connection_ends.ts";
+import { trackConnectionEnds } from "./connection_ends.ts";
 
 /** Timeouts of a dispatcher. */
 export interface DispatcherOptions {
@@ -20,7 +20,7 @@
   return new Agent({
     pipelining: 1,
     connections: null,
-    connect: noteConnectionEnds(buildConnector({
+    connect: trackConnectionEnds(buildConnector({
       timeout: options.connectTimeoutMilliseconds ??
         DEFAULT_CONNECT_TIMEOUT_MILLISECONDS,
       noDelay: true,
--- a/packages/edges/src/http/exchange.ts
+++ b/packages/edges/src/http/exchange.ts
@@ -3,7 +3,10 @@
 import { err, ok, type Result } from "neverthrow";
 import type { Dispatcher } from "undici";
 import { afterPendingInput } from "./after_pending_input.ts";
-import { failureOfEnd, hasExtraResponse } from "./connection_ends.ts";
+import {
+  hasEndingConnectionFailed,
+  hasExtraResponse,
+} from "./connection_ends.ts";
 import { failureFromTransportError } from "./transport_error.ts";
 
 /** One HTTP request and its limits. */
@@ -18,11 +21,11 @@
   readonly timeoutMilliseconds: number;
   readonly signal?: AbortSignal;
   /** A larger response is aborted and fails; 16 MiB by default. */
-  readonly maximumAnswerBytes?: number;
+  readonly maximumResponseBytes?: number;
 }
 
 /** A complete HTTP response of any status. */
-export interface ExchangeAnswer {
+export interface ExchangeResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: Buffer;
@@ -40,7 +43,7 @@
 export function exchange(
   dispatcher: Dispatcher,
   options: ExchangeOptions,
-): Promise<Result<ExchangeAnswer, Failure>> {
+): Promise<Result<ExchangeResponse, Failure>> {
   return new Promise((resolve) => {
     const handler = new ExchangeHandler(options, resolve);
     handler.start(dispatcher);
@@ -49,7 +52,7 @@
 
 class ExchangeHandler implements Dispatcher.DispatchHandler {
   readonly #options: ExchangeOptions;
-  readonly #resolve: (result: Result<ExchangeAnswer, Failure>) => void;
+  readonly #resolve: (result: Result<ExchangeResponse, Failure>) => void;
   readonly #chunks: Buffer[] = [];
   readonly #onAbort = (): void => {
     this.#abandon(
@@ -67,7 +70,7 @@
 
   constructor(
     options: ExchangeOptions,
-    resolve: (result: Result<ExchangeAnswer, Failure>) => void,
+    resolve: (result: Result<ExchangeResponse, Failure>) => void,
   ) {
     this.#options = options;
     this.#resolve = resolve;
@@ -126,9 +129,10 @@
     chunk: Buffer,
   ): void {
     this.#receivedBytes += chunk.length;
-    const { maximumAnswerBytes = DEFAULT_MAXIMUM_RESPONSE_BYTES } =
-      this.#options;
-    if (this.#receivedBytes > maximumAnswerBytes) {
+    const {
+      maximumResponseBytes = DEFAULT_MAXIMUM_RESPONSE_BYTES,
+    } = this.#options;
+    if (this.#receivedBytes > maximumResponseBytes) {
       controller.abort(
         createErrorWithCode("The answer is too large", "TOO_LARGE"),
       );
@@ -139,7 +143,7 @@
 
   onResponseEnd(): void {
     this.#hasReceivedEnd = true;
-    void this.#checkEnd(failureOfEnd(), hasExtraResponse());
+    void this.#checkEnd(hasEndingConnectionFailed(), hasExtraResponse());
   }
 
   onResponseError(_controller: unknown, error: Error): void {
@@ -188,7 +192,7 @@
     );
   }
 
-  #settle(result: Result<ExchangeAnswer, Failure>): void {
+  #settle(result: Result<ExchangeResponse, Failure>): void {
     if (this.#isSettled) return;
     this.#isSettled = true;
     clearTimeout(this.#timer);
--- a/packages/edges/src/http/frame_reader.ts
+++ b/packages/edges/src/http/frame_reader.ts
@@ -1,6 +1,6 @@
 import type { GenerationFrame } from "../engine_client.ts";
 import { isGenerationFrame } from "./generation_line.ts";
-import { parseJson } from "./stated_failure.ts";
+import { parseJson } from "./reported_failure.ts";
 
 type FramePrefix = Pick<GenerationFrame, "request" | "attempt" | "adapter">;
 
--- a/packages/edges/src/http/generation_exchange.ts
+++ b/packages/edges/src/http/generation_exchange.ts
@@ -17,7 +17,7 @@
 import { FrameReader } from "./frame_reader.ts";
 import { isGenerationFrame, parseEndLine } from "./generation_line.ts";
 import { LineSplitter, LineTooLongError } from "./line_splitter.ts";
-import { failureFromResponse } from "./stated_failure.ts";
+import { failureFromResponse } from "./reported_failure.ts";
 import { failureFromTransportError } from "./transport_error.ts";
 
 /** Options of a generation over HTTP. */
--- a/packages/edges/src/http/generation_line.ts
+++ b/packages/edges/src/http/generation_line.ts
@@ -1,16 +1,19 @@
 import * as z from "zod";
 import type { GenerationEnd, GenerationFrame } from "../engine_client.ts";
 import { generationEndSchema } from "./engine_schemas.ts";
-import { type StatedFailure, statedFailureSchema } from "./stated_failure.ts";
+import {
+  type ReportedFailure,
+  reportedFailureSchema,
+} from "./reported_failure.ts";
 
 /** The last line of a generation's stream: its end or a failure. */
 export type GenerationEndLine =
   | { readonly kind: "end"; readonly end: GenerationEnd }
-  | { readonly kind: "failure"; readonly failure: StatedFailure };
+  | { readonly kind: "failure"; readonly failure: ReportedFailure };
 
 const endLineSchema = z.union([
   z.object({ end: generationEndSchema }),
-  z.object({ failure: statedFailureSchema }),
+  z.object({ failure: reportedFailureSchema }),
 ]);
 
 /**
--- a/packages/edges/src/http/http_engine_client.ts
+++ b/packages/edges/src/http/http_engine_client.ts
@@ -81,7 +81,7 @@
     return response.map(({ cancelled }) => cancelled);
   }
 
-  override order(order: EngineOrder): Promise<Result<void, Failure>> {
+  override sendOrder(order: EngineOrder): Promise<Result<void, Failure>> {
     return callJson({
       ...this.#options,
       timeoutMilliseconds: this.#options.orderTimeoutMilliseconds ??
--- a/packages/edges/src/http/http_service_client.ts
+++ b/packages/edges/src/http/http_service_client.ts
@@ -4,11 +4,11 @@
 import type { Dispatcher } from "undici";
 import {
   type Header,
-  type ServiceAnswer,
   type ServiceCall,
   ServiceClient,
+  type ServiceResponse,
 } from "../service_client.ts";
-import { exchange, type ExchangeAnswer } from "./exchange.ts";
+import { exchange, type ExchangeResponse } from "./exchange.ts";
 
 /** Options of the client of the plain services. */
 export interface HttpServiceClientOptions {
@@ -48,7 +48,7 @@
   override async call(
     call: ServiceCall,
     signal: AbortSignal,
-  ): Promise<Result<ServiceAnswer, Failure>> {
+  ): Promise<Result<ServiceResponse, Failure>> {
     const response = await exchange(this.#options.dispatcher, {
       step: "call_service",
       peer: call.server,
@@ -64,7 +64,7 @@
   }
 }
 
-function toServiceResponse(response: ExchangeAnswer): ServiceAnswer {
+function toServiceResponse(response: ExchangeResponse): ServiceResponse {
   const outcome = parseOutcome(response.headers[OUTCOME_HEADER]);
   return {
     status: response.status,
--- a/packages/edges/src/http/http_weight_store_client.ts
+++ b/packages/edges/src/http/http_weight_store_client.ts
@@ -30,7 +30,7 @@
     this.#options = options;
   }
 
-  override describe(
+  override readAdapterWeights(
     adapter: AdapterReference,
   ): Promise<Result<AdapterWeights, Failure>> {
     return callJson(this.#options, {
--- a/packages/edges/src/http/mod.ts
+++ b/packages/edges/src/http/mod.ts
@@ -3,7 +3,7 @@
  * @module
  */
 export * from "./after_pending_input.ts";
-export * from "./bounded_signal.ts";
+export * from "./time_limited_signal.ts";
 export * from "./client_options.ts";
 export * from "./connection_ends.ts";
 export * from "./dispatcher.ts";
@@ -17,5 +17,5 @@
 export * from "./http_vm_list_client.ts";
 export * from "./http_weight_store_client.ts";
 export * from "./line_splitter.ts";
-export * from "./stated_failure.ts";
+export * from "./reported_failure.ts";
 export * from "./vm_schema.ts";
--- a/packages/edges/src/http/stated_failure.ts
+++ b/packages/edges/src/http/reported_failure.ts
@@ -2,7 +2,7 @@
 import * as z from "zod";
 
 /** The body of a peer's error response. */
-export const statedFailureSchema = z.object({
+export const reportedFailureSchema = z.object({
   reason: z.enum([
     "invalid",
     "not_found",
@@ -23,7 +23,7 @@
 });
 
 /** A failure as peers send it. */
-export type StatedFailure = Readonly<z.infer<typeof statedFailureSchema>>;
+export type ReportedFailure = Readonly<z.infer<typeof reportedFailureSchema>>;
 
 /** The step and the peer of a failed call. */
 export interface FailedCall {
@@ -42,7 +42,7 @@
   response: { readonly status: number; readonly body: string },
   call: FailedCall,
 ): Failure {
-  const stated = statedFailureSchema.safeParse(parseJson(response.body));
+  const stated = reportedFailureSchema.safeParse(parseJson(response.body));
   if (stated.success) return { ...stated.data, ...call };
   return {
     ...call,
--- a/packages/edges/src/http/bounded_signal.ts
+++ b/packages/edges/src/http/time_limited_signal.ts
@@ -6,7 +6,7 @@
  * keep timeout signals alive: if one is garbage-collected before it fires, the
  * combined signal never aborts.
  */
-export class BoundedSignal {
+export class TimeLimitedSignal {
   readonly #controller = new AbortController();
   readonly #parent: AbortSignal;
   readonly #timer: NodeJS.Timeout;
--- a/packages/edges/src/service_client.ts
+++ b/packages/edges/src/service_client.ts
@@ -21,7 +21,7 @@
 }
 
 /** A backend server's response. */
-export interface ServiceAnswer {
+export interface ServiceResponse {
   readonly status: number;
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
@@ -43,5 +43,5 @@
   abstract call(
     call: ServiceCall,
     signal: AbortSignal,
-  ): Promise<Result<ServiceAnswer, Failure>>;
+  ): Promise<Result<ServiceResponse, Failure>>;
 }
--- a/packages/edges/src/weight_store_client.ts
+++ b/packages/edges/src/weight_store_client.ts
@@ -20,7 +20,7 @@
    * @param adapter The adapter and its version.
    * @returns The metadata of its weights, or a failure.
    */
-  abstract describe(
+  abstract readAdapterWeights(
     adapter: AdapterReference,
   ): Promise<Result<AdapterWeights, Failure>>;
 
--- a/packages/edges/tests/helpers/calls.ts
+++ b/packages/edges/tests/helpers/calls.ts
@@ -12,7 +12,7 @@
  * @param id The adapter's id.
  * @returns The reference.
  */
-export function adapterOf(id: string): AdapterReference {
+export function createAdapterReference(id: string): AdapterReference {
   return { adapter: adapterId(id), version: adapterVersion("1") };
 }
 
@@ -22,7 +22,7 @@
  * @param changes Fields that differ from a short first attempt on adapter "a".
  * @returns The request.
  */
-export function callOf(
+export function createGenerateCall(
   request: string,
   changes: Partial<GenerateCall> = {},
 ): GenerateCall {
@@ -30,7 +30,7 @@
     request: requestId(request),
     attempt: attemptNumber(1),
     model: modelId("base"),
-    adapter: adapterOf("a"),
+    adapter: createAdapterReference("a"),
     messages: [{ role: "user", content: "Describe the treatment of a stain" }],
     maximumTokens: 5,
     priority: 0,
--- a/packages/edges/tests/helpers/collecting_sink.ts
+++ b/packages/edges/tests/helpers/collecting_sink.ts
@@ -10,7 +10,7 @@
 export class CollectingSink extends GenerationSink {
   readonly frames: GenerationFrame[] = [];
   readonly ended: Promise<Result<GenerationEnd, Failure>>;
-  ends = 0;
+  endCount = 0;
   #resolveEnd: (result: Result<GenerationEnd, Failure>) => void = () =>
     undefined;
   #pendingWait:
@@ -32,7 +32,7 @@
   }
 
   override onEnd(result: Result<GenerationEnd, Failure>): void {
-    this.ends += 1;
+    this.endCount += 1;
     this.#resolveEnd(result);
   }
 
@@ -42,7 +42,7 @@
   }
 
   /** Waits until this many frames have arrived. */
-  async gather(count: number): Promise<void> {
+  async waitForFrames(count: number): Promise<void> {
     if (this.frames.length >= count) return;
     const reached = new Promise<boolean>((resolve) => {
       this.#pendingWait = {
--- a/packages/edges/tests/after_pending_input_test.ts
+++ b/packages/edges/tests/http/after_pending_input_test.ts
@@ -1,5 +1,5 @@
 /** Timeouts of calls while the process stalls for a moment. */
-import { exchange, inputTimeout } from "@foxtailwind/edges";
+import { createTimeoutSignal, exchange } from "@foxtailwind/edges";
 import test, { type ExecutionContext } from "ava";
 import { type AddressInfo, createServer, type Socket } from "node:net";
 import { Pool } from "undici";
@@ -56,7 +56,7 @@
   const answer = await pool.request({
     method: "GET",
     path: "/",
-    signal: inputTimeout(LIMIT_MILLISECONDS),
+    signal: createTimeoutSignal(LIMIT_MILLISECONDS),
   });
   t.is(await answer.body.text(), "well");
 });
@@ -66,7 +66,7 @@
   const call = pool.request({
     method: "GET",
     path: "/",
-    signal: inputTimeout(LIMIT_MILLISECONDS),
+    signal: createTimeoutSignal(LIMIT_MILLISECONDS),
   });
   await t.throwsAsync(call, { message: "No answer came in time." });
 });
--- a/packages/edges/tests/http/http_engine_client_test.ts
+++ b/packages/edges/tests/http/http_engine_client_test.ts
@@ -6,7 +6,7 @@
 } from "@foxtailwind/edges";
 import test, { type ExecutionContext } from "ava";
 import type { RequestListener } from "node:http";
-import { callOf } from "../helpers/calls.ts";
+import { createGenerateCall } from "../helpers/calls.ts";
 import { CollectingSink } from "../helpers/collecting_sink.ts";
 import { findClosedAddress, startRawServer } from "../helpers/raw_server.ts";
 
@@ -31,13 +31,13 @@
   const server = await startRawServer(answer);
   t.teardown(server.close);
   const sink = new CollectingSink();
-  createClient(t, server.address).generate(callOf("r"), sink);
+  createClient(t, server.address).generate(createGenerateCall("r"), sink);
   await sink.ended;
   return sink;
 }
 
 function frameLine(sequence: number): string {
-  const { request, attempt, adapter } = callOf("r");
+  const { request, attempt, adapter } = createGenerateCall("r");
   const frame: GenerationFrame = {
     request,
     attempt,
@@ -50,7 +50,10 @@
 
 test("a generation whose connection is refused has not run", async (t) => {
   const sink = new CollectingSink();
-  createClient(t, await findClosedAddress()).generate(callOf("r"), sink);
+  createClient(t, await findClosedAddress()).generate(
+    createGenerateCall("r"),
+    sink,
+  );
   const failure = (await sink.ended)._unsafeUnwrapErr();
   t.like(failure, {
     reason: "unavailable",
@@ -127,11 +130,11 @@
   t.teardown(server.close);
   const client = createClient(t, server.address);
   const sink = new CollectingSink();
-  client.generate(callOf("r"), sink).cancel();
+  client.generate(createGenerateCall("r"), sink).cancel();
   const failure = (await sink.ended)._unsafeUnwrapErr();
   t.like(failure, { reason: "cancelled", outcome: "not_run" });
   await client.readState();
-  t.is(sink.ends, 1);
+  t.is(sink.endCount, 1);
   t.true(requests <= 1);
 });
 
@@ -142,8 +145,11 @@
   });
   t.teardown(server.close);
   const sink = new CollectingSink();
-  const handle = createClient(t, server.address).generate(callOf("r"), sink);
-  await sink.gather(1);
+  const handle = createClient(t, server.address).generate(
+    createGenerateCall("r"),
+    sink,
+  );
+  await sink.waitForFrames(1);
   handle.cancel();
   const failure = (await sink.ended)._unsafeUnwrapErr();
   t.like(failure, { reason: "cancelled", outcome: "unknown" });
@@ -177,8 +183,11 @@
   });
   t.teardown(server.close);
   const sink = new CollectingSink();
-  const handle = createClient(t, server.address).generate(callOf("r"), sink);
-  await sink.gather(1);
+  const handle = createClient(t, server.address).generate(
+    createGenerateCall("r"),
+    sink,
+  );
+  await sink.waitForFrames(1);
   handle.pause();
   let before = -1;
   while (before !== written) {
--- a/packages/node/src/assembly/make_addresses.ts
+++ b/packages/node/src/assembly/make_addresses.ts
@@ -4,8 +4,8 @@
 import type { VmDirectory } from "../platform/vm_directory.ts";
 import {
   AddressDirectory,
-  OwnView,
-  RoutedControllers,
+  LocalPeerViews,
+  RoutedControllerFinder,
 } from "../routing/mod.ts";
 import type { GenerationRouter } from "../serving/generation_router.ts";
 import type { Settings } from "../settings/settings.ts";
@@ -30,7 +30,7 @@
   dependencies: AddressDependencies,
 ): AddressDirectory {
   const { settings, directory, drain, work } = dependencies;
-  const ownView = new OwnView({
+  const ownView = new LocalPeerViews({
     self: settings.node.id,
     isLeaving: () => drain.isLeaving,
     load: () => work.count,
@@ -38,10 +38,10 @@
   return new AddressDirectory({
     directory,
     peers: new ClusterPeerViews(dependencies.cluster, ownView),
-    controllers: new RoutedControllers(
+    controllers: new RoutedControllerFinder(
       dependencies.router,
       dependencies.configuration,
     ),
-    longestLifetime: seconds(settings.addresses.lifetime_seconds),
+    maximumLifetime: seconds(settings.addresses.lifetime_seconds),
   });
 }
--- a/packages/node/src/assembly/make_cluster.ts
+++ b/packages/node/src/assembly/make_cluster.ts
@@ -2,7 +2,7 @@
 import type { Dispatcher } from "undici";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import { ClusterNode, ClusterTransport } from "../cluster/mod.ts";
-import type { LoggerFactory } from "../logging/part_logger.ts";
+import type { LoggerFactory } from "../logging/component_logger.ts";
 import type { PeerChannels } from "../peers/peer_channels.ts";
 import type { VmDirectory } from "../platform/vm_directory.ts";
 import type { Settings } from "../settings/settings.ts";
@@ -38,6 +38,6 @@
       timeoutMilliseconds: MEMBERSHIP_LOG_TIMEOUT_MILLISECONDS,
     }),
     transport: new ClusterTransport(dependencies.channels),
-    logger: dependencies.loggers.forPart("ownership"),
+    logger: dependencies.loggers.forComponent("ownership"),
   });
 }
--- a/packages/node/src/assembly/make_drain.ts
+++ b/packages/node/src/assembly/make_drain.ts
@@ -2,7 +2,7 @@
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import { ClusterHandOver, type ClusterNode } from "../cluster/mod.ts";
 import { Drain, type WorkInProgress } from "../drain/mod.ts";
-import type { LoggerFactory } from "../logging/part_logger.ts";
+import type { LoggerFactory } from "../logging/component_logger.ts";
 import type { Settings } from "../settings/settings.ts";
 
 /** Dependencies of a daemon's drain. */
@@ -23,13 +23,13 @@
   const { addresses, stop } = dependencies.settings;
   const longestWait = stop.longest_wait_seconds;
   return new Drain({
-    terms: {
+    options: {
       addressLifetime: seconds(addresses.lifetime_seconds),
       ...(longestWait !== undefined && { maximumWait: seconds(longestWait) }),
     },
     work: dependencies.work,
     handOver: new ClusterHandOver(dependencies.cluster),
     clock: dependencies.clock,
-    logger: dependencies.loggers.forPart("daemon"),
+    logger: dependencies.loggers.forComponent("daemon"),
   });
 }
--- a/packages/node/src/assembly/make_metrics.ts
+++ b/packages/node/src/assembly/make_metrics.ts
@@ -1,4 +1,4 @@
-import type { LoggerFactory } from "../logging/part_logger.ts";
+import type { LoggerFactory } from "../logging/component_logger.ts";
 import {
   type MetricsSink,
   NoopMetrics,
@@ -21,6 +21,6 @@
   return new StatsdMetrics({
     address: metrics.statsd,
     tags: { node: node.id, failure_domain: node.failure_domain },
-    logger: loggers.forPart("metrics"),
+    logger: loggers.forComponent("metrics"),
   });
 }
--- a/packages/node/src/callers/addresses_controller.ts
+++ b/packages/node/src/callers/addresses_controller.ts
@@ -41,7 +41,9 @@
       })),
       expires_in_seconds: answer.lifetime / MILLISECONDS_PER_SECOND,
       ...(!this.#parts.drain.isLeaving && {
-        key_scope: this.#parts.keyedExecution.scopeText(answer.lifetime),
+        key_scope: this.#parts.keyedExecution.createScopePrefix(
+          answer.lifetime,
+        ),
       }),
     };
   }
--- a/packages/node/src/callers/http_problem_filter.ts
+++ b/packages/node/src/callers/http_problem_filter.ts
@@ -6,7 +6,7 @@
   HttpException,
 } from "@nestjs/common";
 import type { FastifyReply, FastifyRequest } from "fastify";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import {
   chatError,
   type ChatProblem,
@@ -33,9 +33,9 @@
 /** Converts uncaught errors of controllers and Fastify to problem details. */
 @Catch()
 export class HttpProblemFilter implements ExceptionFilter {
-  readonly #logger: PartLogger;
+  readonly #logger: ComponentLogger;
 
-  constructor(logger: PartLogger) {
+  constructor(logger: ComponentLogger) {
     this.#logger = logger;
   }
 
--- a/packages/node/src/callers/services_plugin.ts
+++ b/packages/node/src/callers/services_plugin.ts
@@ -1,5 +1,5 @@
 import { type Failure, type RequestId, requestId } from "@foxtailwind/core";
-import type { ServiceAnswer } from "@foxtailwind/edges";
+import type { ServiceResponse } from "@foxtailwind/edges";
 import type { FastifyInstance, FastifyReply, FastifyRequest } from "fastify";
 import type { Result } from "neverthrow";
 import { randomUUID } from "node:crypto";
@@ -73,7 +73,7 @@
 /** Bypasses Fastify, which adds a content type if the service sent none. */
 function sendAnswer(
   reply: FastifyReply,
-  { status, headers, body }: ServiceAnswer,
+  { status, headers, body }: ServiceResponse,
   method: string,
 ): void {
   reply.hijack();
@@ -88,7 +88,7 @@
   parts: DaemonParts,
   id: RequestId,
   { request, reply }: HttpExchange,
-): Promise<Result<ServiceAnswer, Failure>> {
+): Promise<Result<ServiceResponse, Failure>> {
   const routed = toServiceRequest(request);
   const key = request.headers[KEY_HEADER];
   if (typeof key === "string") {
--- a/packages/node/src/cluster/cluster_hand_over.ts
+++ b/packages/node/src/cluster/cluster_hand_over.ts
@@ -25,8 +25,8 @@
 
   override async releaseEngines(): Promise<Result<void, Failure>> {
     let waited = 0;
-    while (this.#cluster.controlled.length > 0) {
-      if (this.#cluster.live.length === 0) return ok(undefined);
+    while (this.#cluster.controlledEngines.length > 0) {
+      if (this.#cluster.liveMembers.length === 0) return ok(undefined);
       if (waited >= MAXIMUM_WAIT_MILLISECONDS) {
         return err(failure("timeout", "Engines are still controlled here."));
       }
--- a/packages/node/src/cluster/cluster_node.ts
+++ b/packages/node/src/cluster/cluster_node.ts
@@ -25,7 +25,7 @@
 import { randomUUID } from "node:crypto";
 import { err, type Result } from "neverthrow";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { VmDirectory } from "../platform/vm_directory.ts";
 import type { Settings } from "../settings/settings.ts";
 import type { ClusterTransport } from "./cluster_transport.ts";
@@ -41,7 +41,7 @@
   readonly log: LogClient;
   readonly transport: ClusterTransport;
   readonly directory: VmDirectory;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
 }
 
 /** Runs the membership and ownership protocols of this node. */
@@ -57,12 +57,12 @@
     this.#parts = parts;
   }
 
-  override get live(): readonly Member[] {
+  override get liveMembers(): readonly Member[] {
     return this.#joined?.agent.live ?? [];
   }
 
   /** The engines that this node controls or is about to control. */
-  get controlled(): readonly EngineId[] {
+  get controlledEngines(): readonly EngineId[] {
     return this.#joined?.agent.controlled ?? [];
   }
 
@@ -76,7 +76,7 @@
     return isActive ? controller : undefined;
   }
 
-  override current(
+  override authorizeOrder(
     engine: EngineId,
     now: Instant,
   ): Result<FencingNumber, Failure> {
@@ -213,7 +213,7 @@
   }
 
   #describeView(): string {
-    const nodes = this.live.map((member) => member.node).join();
+    const nodes = this.liveMembers.map((member) => member.node).join();
     const controllers = this.#engines().map(({ engine }) =>
       `${engine}=${this.controllerOf(engine) ?? ""}`
     );
--- a/packages/node/src/cluster/cluster_peer_views.ts
+++ b/packages/node/src/cluster/cluster_peer_views.ts
@@ -19,7 +19,7 @@
 
   override isLeaving(node: NodeId): boolean {
     if (this.#ownViews.isLeaving(node)) return true;
-    const { live } = this.#cluster;
+    const { liveMembers: live } = this.#cluster;
     const isViewKnown = live.length > 0;
     return isViewKnown && !live.some((member) => member.node === node);
   }
--- a/packages/node/src/cluster/cluster_serving.ts
+++ b/packages/node/src/cluster/cluster_serving.ts
@@ -7,11 +7,11 @@
 } from "@foxtailwind/core";
 import type { Result } from "neverthrow";
 import { EngineAssignment } from "../serving/engine_assignment.ts";
-import { OrderRight } from "../serving/order_right.ts";
+import { OrderAuthorizer } from "../serving/order_authorizer.ts";
 import type { ClusterView } from "./cluster_view.ts";
 
 /** Authorizes orders to engines according to the cluster's ownership rules. */
-export class ClusterOrderRight extends OrderRight {
+export class ClusterOrderAuthorizer extends OrderAuthorizer {
   readonly #cluster: ClusterView;
 
   /** @param cluster The cluster view, which decides. */
@@ -20,11 +20,11 @@
     this.#cluster = cluster;
   }
 
-  override current(
+  override authorizeOrder(
     engine: EngineId,
     now: Instant,
   ): Result<FencingNumber, Failure> {
-    return this.#cluster.current(engine, now);
+    return this.#cluster.authorizeOrder(engine, now);
   }
 }
 
--- a/packages/node/src/cluster/cluster_transport.ts
+++ b/packages/node/src/cluster/cluster_transport.ts
@@ -55,7 +55,7 @@
     const known = this.#clients.get(address);
     if (known !== undefined) return known;
     const client = new ClusterClient(address, credentials.createInsecure(), {
-      channelOverride: this.#channels.channel(address),
+      channelOverride: this.#channels.getChannel(address),
     });
     this.#clients.set(address, client);
     return client;
@@ -67,7 +67,7 @@
  * @param receive Called with each message.
  * @returns The gRPC service to register.
  */
-export function clusterService(
+export function createClusterService(
   receive: (message: ClusterMessage) => void,
 ): PeerRegistration {
   return {
--- a/packages/node/src/cluster/cluster_view.ts
+++ b/packages/node/src/cluster/cluster_view.ts
@@ -11,7 +11,7 @@
 /** A node's view of its cluster: live members and controllers of engines. */
 export abstract class ClusterView {
   /** The members that are neither leaving nor suspected. */
-  abstract readonly live: readonly Member[];
+  abstract readonly liveMembers: readonly Member[];
 
   /**
    * Finds the node that controls an engine. This node is returned only once the
@@ -27,7 +27,7 @@
    * @param now The present time.
    * @returns The order's fencing number, or why the order is not allowed.
    */
-  abstract current(
+  abstract authorizeOrder(
     engine: EngineId,
     now: Instant,
   ): Result<FencingNumber, Failure>;
--- a/packages/node/src/cluster/membership_log_reader.ts
+++ b/packages/node/src/cluster/membership_log_reader.ts
@@ -6,7 +6,7 @@
 import type { LogClient } from "@foxtailwind/edges";
 import { setTimeout as sleep } from "node:timers/promises";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 
 const PAGE_RECORDS = 1_000;
 /** Well below the lease, which each read that reaches the tail renews. */
@@ -17,7 +17,7 @@
 export interface MembershipLogReaderParts {
   readonly log: LogClient;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
   /** Returns the offset of the next record to read. */
   readonly nextOffset: () => LogOffset;
   /** Receives each page. */
--- a/packages/node/src/configuration/cluster_status.ts
+++ b/packages/node/src/configuration/cluster_status.ts
@@ -36,7 +36,7 @@
   const client = new ConfigurationClient(
     address,
     credentials.createInsecure(),
-    { channelOverride: channels.channel(address) },
+    { channelOverride: channels.getChannel(address) },
   );
   const deadline = Date.now() + STATUS_TIMEOUT_MILLISECONDS;
   return new Promise((resolve) => {
--- a/packages/node/src/configuration/spread_service.ts
+++ b/packages/node/src/configuration/configuration_distribution_service.ts
@@ -28,7 +28,7 @@
 type FollowCall = ServerWritableStream<FollowRequest, FollowAnswer>;
 
 /** Sends configuration records to the peers that follow this node. */
-export class SpreadService {
+export class ConfigurationDistributionService {
   readonly #store: ConfigurationStore;
   readonly #status: () => StatusAnswer;
   readonly #streams = new Set<FollowerStream>();
@@ -43,7 +43,7 @@
   }
 
   /** The number of peers that follow this node. */
-  get followers(): number {
+  get followerCount(): number {
     return this.#streams.size;
   }
 
--- a/packages/node/src/configuration/configuration_follower.ts
+++ b/packages/node/src/configuration/configuration_follower.ts
@@ -14,7 +14,7 @@
 import type { StatusAnswer } from "@foxtailwind/protocol";
 import { setTimeout as sleep } from "node:timers/promises";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { PeerChannels } from "../peers/peer_channels.ts";
 import type { VmDirectory } from "../platform/vm_directory.ts";
 import { ConfigurationStore } from "./configuration_store.ts";
@@ -38,7 +38,7 @@
   readonly directory: VmDirectory;
   readonly channels: PeerChannels;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
 }
 
 /**
--- a/packages/node/src/configuration/configuration_publisher.ts
+++ b/packages/node/src/configuration/configuration_publisher.ts
@@ -18,8 +18,8 @@
 import type { ConfigurationFollower } from "./configuration_follower.ts";
 import {
   type AcceptedChange,
+  createPublishFailure,
   type PublishFailure,
-  publishFailure,
   toPublishFailure,
 } from "./publish_failure.ts";
 
@@ -74,7 +74,7 @@
   #validate(record: ConfigurationRecord): PublishFailure | undefined {
     const { reader } = this.#parts.follower.store;
     if (reader.halt !== undefined) {
-      return publishFailure("unavailable", {
+      return createPublishFailure("unavailable", {
         message:
           `This node reads no further than offset ${reader.nextOffset}: ` +
           `${this.#parts.follower.status().halted}.`,
@@ -83,18 +83,20 @@
     }
     const bytes = Buffer.byteLength(formatConfigurationRecord(record));
     if (bytes > MAXIMUM_RECORD_BYTES) {
-      return publishFailure("invalid", {
+      return createPublishFailure("invalid", {
         message: `The record has ${bytes} bytes; ${MAXIMUM_RECORD_BYTES} are ` +
           "allowed.",
         remedy: "Publish the changes in several records.",
       });
     }
     const missing = record.changes.find((change) => this.#isMissing(change));
-    return missing === undefined ? undefined : publishFailure("not_found", {
-      message: `${itemKeyOf(missing)} does not exist at offset ` +
-        `${reader.configuration.offset}.`,
-      remedy: "List the items, and name one of them.",
-    });
+    return missing === undefined
+      ? undefined
+      : createPublishFailure("not_found", {
+        message: `${itemKeyOf(missing)} does not exist at offset ` +
+          `${reader.configuration.offset}.`,
+        remedy: "List the items, and name one of them.",
+      });
   }
 
   #isMissing(change: ConfigurationChange): boolean {
@@ -171,7 +173,7 @@
 
 function readBackFailure(id: string): PublishFailure {
   return {
-    ...publishFailure("timeout", {
+    ...createPublishFailure("timeout", {
       message: `Change ${id} was appended, but could not be read back.`,
       remedy: `Publish id ${id} again later: it tells what became of it.`,
     }),
--- a/packages/node/src/configuration/configuration_store.ts
+++ b/packages/node/src/configuration/configuration_store.ts
@@ -11,7 +11,7 @@
   type StoredRecord,
 } from "@foxtailwind/core";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import { RecordBuffer } from "./record_buffer.ts";
 
 /** A contiguous range of log records. */
@@ -28,14 +28,14 @@
   readonly #recentRecords = new RecordBuffer();
   readonly #listeners = new Set<() => void>();
   readonly #clock: SteadyClock;
-  readonly #logger: PartLogger;
+  readonly #logger: ComponentLogger;
   #confirmedAt: Instant | undefined;
 
   /**
    * @param clock The clock of this node.
    * @param logger Reports records and snapshots that can't be used.
    */
-  constructor(clock: SteadyClock, logger: PartLogger) {
+  constructor(clock: SteadyClock, logger: ComponentLogger) {
     this.#clock = clock;
     this.#logger = logger;
   }
--- a/packages/node/src/configuration/log_source.ts
+++ b/packages/node/src/configuration/log_source.ts
@@ -11,7 +11,7 @@
   type StoredRecord,
 } from "@foxtailwind/core";
 import type { LogClient, LogPage } from "@foxtailwind/edges";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { ConfigurationStore } from "./configuration_store.ts";
 import { unpackChunk } from "./snapshot_packing.ts";
 
@@ -21,7 +21,7 @@
 export class LogSource {
   readonly #log: LogClient;
   readonly #store: ConfigurationStore;
-  readonly #logger: PartLogger;
+  readonly #logger: ComponentLogger;
   #firstKept = logOffset(0);
 
   /**
@@ -30,7 +30,7 @@
    */
   constructor(log: LogClient, parts: {
     readonly store: ConfigurationStore;
-    readonly logger: PartLogger;
+    readonly logger: ComponentLogger;
   }) {
     this.#log = log;
     this.#store = parts.store;
--- a/packages/node/src/configuration/mod.ts
+++ b/packages/node/src/configuration/mod.ts
@@ -4,4 +4,4 @@
 export * from "./configuration_store.ts";
 export * from "./publish_failure.ts";
 export * from "./snapshot_writer.ts";
-export * from "./spread_service.ts";
+export * from "./configuration_distribution_service.ts";
--- a/packages/node/src/configuration/peer_source.ts
+++ b/packages/node/src/configuration/peer_source.ts
@@ -48,7 +48,7 @@
     const client = new ConfigurationClient(
       address,
       credentials.createInsecure(),
-      { channelOverride: this.#channels.channel(address) },
+      { channelOverride: this.#channels.getChannel(address) },
     );
     const call = client.follow({ from: this.#store.reader.nextOffset });
     this.#call = call;
--- a/packages/node/src/configuration/publish_failure.ts
+++ b/packages/node/src/configuration/publish_failure.ts
@@ -39,7 +39,7 @@
     case "conflict": {
       const { item, winner: offset, author, change } = verdict;
       return {
-        ...publishFailure("conflict", {
+        ...createPublishFailure("conflict", {
           message: `${item} was changed by ${author} at offset ${offset}, ` +
             "after the configuration that this change was made from.",
           remedy: "Look at the item again, and publish under a new id.",
@@ -48,7 +48,7 @@
       };
     }
     case "base_out_of_range":
-      return publishFailure("conflict", {
+      return createPublishFailure("conflict", {
         message: `The base must lie between offset ${verdict.oldest} and ` +
           `${verdict.newest}.`,
         remedy: "Read the configuration again, and publish under a new id.",
@@ -62,7 +62,7 @@
  * @param text The message and remedy for the operator.
  * @returns The failure.
  */
-export function publishFailure(
+export function createPublishFailure(
   reason: Failure["reason"],
   text: { readonly message: string; readonly remedy: string },
 ): PublishFailure {
--- a/packages/node/src/configuration/snapshot_writer.ts
+++ b/packages/node/src/configuration/snapshot_writer.ts
@@ -14,7 +14,7 @@
 } from "@foxtailwind/core";
 import type { LogClient } from "@foxtailwind/edges";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { VmDirectory } from "../platform/vm_directory.ts";
 import type { ConfigurationFollower } from "./configuration_follower.ts";
 import { packChunk } from "./snapshot_packing.ts";
@@ -28,7 +28,7 @@
   readonly follower: ConfigurationFollower;
   readonly directory: VmDirectory;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
   readonly schedule?: {
     readonly interval: number;
     readonly records: number;
--- a/packages/node/src/crashes/crash_memory.ts
+++ b/packages/node/src/crashes/crash_memory.ts
@@ -13,7 +13,7 @@
 import type { LogClient, LogRecord } from "@foxtailwind/edges";
 import { setTimeout as sleep } from "node:timers/promises";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 
 const PAGE_RECORDS = 1_000;
 const LONG_POLL_MILLISECONDS = 10_000;
@@ -26,7 +26,7 @@
 export interface CrashMemoryParts {
   readonly log: LogClient;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
 }
 
 /**
--- a/packages/node/src/crashes/engine_suspects.ts
+++ b/packages/node/src/crashes/engine_suspects.ts
@@ -46,7 +46,7 @@
    * @param content The digest of the request's content.
    * @param ranFor The time since its first token, if there was one.
    */
-  broke(
+  recordBrokenStream(
     now: Instant,
     content: ContentDigest,
     ranFor: Duration | undefined,
@@ -66,7 +66,7 @@
    * @returns Whether it is unknown for some broken stream if the engine still
    * runs.
    */
-  arePending(now: Instant): boolean {
+  hasPending(now: Instant): boolean {
     return this.#broken.some((one) =>
       elapsed(one.brokeAt, now) <= MAXIMUM_DETECTION_DELAY
     );
@@ -76,7 +76,7 @@
    * Records that the engine still runs.
    * @param askedAt When it was asked; streams that broke later stay pending.
    */
-  lives(askedAt: Instant): void {
+  recordAlive(askedAt: Instant): void {
     this.#broken = this.#broken.filter(({ brokeAt }) => brokeAt > askedAt);
   }
 
@@ -85,7 +85,7 @@
    * @param now The present time.
    * @param bootId The boot id of the run.
    */
-  ended(now: Instant, bootId: string): void {
+  recordRunEnd(now: Instant, bootId: string): void {
     const server = engineRun(this.#engine, bootId);
     for (const { brokeAt, content, runTime } of this.#broken) {
       if (elapsed(brokeAt, now) > MAXIMUM_DETECTION_DELAY) continue;
--- a/packages/node/src/crashes/generation_content.ts
+++ b/packages/node/src/crashes/generation_content.ts
@@ -8,7 +8,7 @@
  * @param generation The request.
  * @returns The digest of model, adapter, messages and length.
  */
-export function contentOf(
+export function digestGenerationContent(
   { model, adapter, messages, maximumTokens }: Pick<
     GenerationRequest,
     "model" | "adapter" | "messages" | "maximumTokens"
--- a/packages/node/src/daemon.ts
+++ b/packages/node/src/daemon.ts
@@ -20,14 +20,14 @@
 import {
   ClusterAssignment,
   type ClusterNode,
-  ClusterOrderRight,
-  clusterService,
+  ClusterOrderAuthorizer,
+  createClusterService,
 } from "./cluster/mod.ts";
 import { readClusterStatus } from "./configuration/cluster_status.ts";
 import { ConfigurationFollower } from "./configuration/configuration_follower.ts";
 import { ConfigurationPublisher } from "./configuration/configuration_publisher.ts";
 import { SnapshotWriter } from "./configuration/snapshot_writer.ts";
-import { SpreadService } from "./configuration/spread_service.ts";
+import { ConfigurationDistributionService } from "./configuration/configuration_distribution_service.ts";
 import { DaemonParts } from "./daemon_parts.ts";
 import {
   DeliveryParts,
@@ -36,9 +36,9 @@
 } from "./delivery/mod.ts";
 import { type Drain, LeavingEngines, WorkInProgress } from "./drain/mod.ts";
 import { createHttpApplication } from "./http_application.ts";
-import type { LoggerFactory } from "./logging/part_logger.ts";
+import type { LoggerFactory } from "./logging/component_logger.ts";
 import type { MetricsSink } from "./metrics/mod.ts";
-import { generationService } from "./peers/generation_service.ts";
+import { createGenerationService } from "./peers/generation_service.ts";
 import { PeerChannels } from "./peers/peer_channels.ts";
 import { PeerClients } from "./peers/peer_clients.ts";
 import { PeerServer } from "./peers/peer_server.ts";
@@ -83,7 +83,7 @@
   readonly #channels = new PeerChannels();
   readonly #cluster: ClusterNode;
   readonly #serving: ServingParts;
-  readonly #spread: SpreadService;
+  readonly #spread: ConfigurationDistributionService;
   readonly #snapshots: SnapshotWriter;
   readonly #leavingEngines: LeavingEngines;
   readonly #peers = new PeerClients(this.#channels);
@@ -104,7 +104,7 @@
     this.services = new HttpServiceClient({ dispatcher });
     this.directory = new VmDirectory(
       platform.vmList,
-      loggers.forPart("membership"),
+      loggers.forComponent("membership"),
     );
     this.follower = new ConfigurationFollower({
       self: {
@@ -115,7 +115,7 @@
       directory: this.directory,
       channels: this.#channels,
       clock: this.clock,
-      logger: loggers.forPart("configuration"),
+      logger: loggers.forComponent("configuration"),
     });
     this.publisher = new ConfigurationPublisher(this);
     this.#snapshots = new SnapshotWriter({
@@ -124,9 +124,9 @@
       follower: this.follower,
       directory: this.directory,
       clock: this.clock,
-      logger: loggers.forPart("configuration"),
+      logger: loggers.forComponent("configuration"),
     });
-    this.#spread = new SpreadService(
+    this.#spread = new ConfigurationDistributionService(
       this.follower.store,
       () => this.follower.status(),
     );
@@ -145,9 +145,9 @@
       peers: this.#peers,
       channels: this.#channels,
       clock: this.clock,
-      logger: loggers.forPart("serving"),
+      logger: loggers.forComponent("serving"),
       observer: this.observer,
-      right: new ClusterOrderRight(this.#cluster),
+      orderAuthorizer: new ClusterOrderAuthorizer(this.#cluster),
       assignment: new ClusterAssignment(this.#cluster),
       store: settings.platform.weight_store_id,
       storeClient: platform.weightStore,
@@ -172,11 +172,11 @@
       channels: this.#channels,
     });
     this.#peerServer = new PeerServer([
-      generationService({ router: this.router, clock, work: this.work }),
+      createGenerationService({ router: this.router, clock, work: this.work }),
       this.delivery.registration,
       this.telemetry.registration,
       this.#spread.registration,
-      clusterService((message) => {
+      createClusterService((message) => {
         this.#cluster.receive(message);
       }),
       ...this.#serving.registrations,
@@ -192,7 +192,7 @@
       directory: this.directory,
       engines: this.router,
       engineClient: (vm) => this.#engineClient(engineId(vm.id), vm.address),
-      logger: loggers.forPart("serving"),
+      logger: loggers.forComponent("serving"),
     });
     this.serviceDispatcher = new ServiceDispatcher({
       failureDomain: settings.node.failure_domain,
@@ -200,7 +200,7 @@
       directory: this.directory,
       configuration: this.follower.configuration,
       clock: this.clock,
-      logger: loggers.forPart("services"),
+      logger: loggers.forComponent("services"),
     });
     this.keyedExecution = this.delivery.execution;
     this.serviceDelivery = new ServiceDelivery(
@@ -227,7 +227,7 @@
     const grpcPort = await this.#peerServer.listen(grpc);
     this.#application = await createHttpApplication(
       this,
-      this.#loggers.forPart("callers"),
+      this.#loggers.forComponent("callers"),
     );
     await this.#application.listen(http.port, http.host);
     await this.directory.start();
@@ -267,7 +267,7 @@
       this.#peerServer.close(),
       sleep(CONTROL_STREAM_CLOSE_MILLISECONDS),
     ]);
-    this.#peerServer.cutConnections();
+    this.#peerServer.abortConnections();
     this.#cluster.stop();
     this.follower.stop();
     this.telemetry.stop();
@@ -287,7 +287,7 @@
   /** Ends requests in progress after the operator's maximum wait. */
   #cutConnections(): void {
     this.#application?.getHttpServer().closeAllConnections();
-    this.#peerServer.cutConnections();
+    this.#peerServer.abortConnections();
   }
 
   #engineClient(engine: EngineId, address: string): HttpEngineClient {
--- a/packages/node/src/delivery/generation_attempts.ts
+++ b/packages/node/src/delivery/generation_attempts.ts
@@ -16,7 +16,7 @@
 } from "@foxtailwind/edges";
 import { err, ok, type Result } from "neverthrow";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import { contentOf, type CrashMemory } from "../crashes/mod.ts";
+import { type CrashMemory, digestGenerationContent } from "../crashes/mod.ts";
 import type { GenerationRouter } from "../serving/generation_router.ts";
 import type { DeliveryCounters } from "./delivery_counters.ts";
 import type { GenerationDeliveryRequest } from "./generation_delivery.ts";
@@ -150,7 +150,7 @@
     const { crashes, deliveryRequest } = this.#parts;
     if (crashes.isEmpty) return undefined;
     const wait = crashes.remainingQuarantine(
-      contentOf(deliveryRequest.generation),
+      digestGenerationContent(deliveryRequest.generation),
     );
     if (wait === undefined) return undefined;
     return {
@@ -180,7 +180,7 @@
     const { sink, observer, clock, deliveryRequest, counters, crashes } =
       this.#parts;
     if (result.isOk() && !crashes.isEmpty) {
-      crashes.recordServed(contentOf(deliveryRequest.generation));
+      crashes.recordServed(digestGenerationContent(deliveryRequest.generation));
     }
     counters.addDropped(this.#delivery.droppedFrames);
     observer.record(clock.now(), {
--- a/packages/node/src/delivery/keyed_execution.ts
+++ b/packages/node/src/delivery/keyed_execution.ts
@@ -58,5 +58,5 @@
    * retries are accepted for some time longer.
    * @returns The prefix.
    */
-  abstract scopeText(lifetimeMilliseconds: number): string;
+  abstract createScopePrefix(lifetimeMilliseconds: number): string;
 }
--- a/packages/node/src/delivery/node_keyed_execution.ts
+++ b/packages/node/src/delivery/node_keyed_execution.ts
@@ -80,7 +80,7 @@
     this.#handlers.set(name, handler);
   }
 
-  override scopeText(lifetimeMilliseconds: number): string {
+  override createScopePrefix(lifetimeMilliseconds: number): string {
     const { self, incarnation, clock } = this.#parts;
     const lifetime = milliseconds(
       lifetimeMilliseconds + SCOPED_KEY_RETRY_WINDOW,
--- a/packages/node/src/delivery/outcome_peer_client.ts
+++ b/packages/node/src/delivery/outcome_peer_client.ts
@@ -88,7 +88,7 @@
     if (vm === undefined) return undefined;
     const address = vm.peerAddress ?? vm.address;
     return new OutcomesClient(address, credentials.createInsecure(), {
-      channelOverride: this.#channels.channel(address),
+      channelOverride: this.#channels.getChannel(address),
     });
   }
 }
--- a/packages/node/src/delivery/service_delivery.ts
+++ b/packages/node/src/delivery/service_delivery.ts
@@ -1,5 +1,5 @@
 import type { Failure } from "@foxtailwind/core";
-import type { Header, ServiceAnswer } from "@foxtailwind/edges";
+import type { Header, ServiceResponse } from "@foxtailwind/edges";
 import { err, ok, type Result } from "neverthrow";
 import * as z from "zod";
 import type { KeyedExecution } from "./keyed_execution.ts";
@@ -25,7 +25,7 @@
    */
   abstract runOnce(
     request: ServiceRequest,
-  ): Promise<Result<ServiceAnswer, Failure>>;
+  ): Promise<Result<ServiceResponse, Failure>>;
 }
 
 const HANDLER_NAME = "service_call";
@@ -75,7 +75,7 @@
   async deliver(
     request: ServiceRequest,
     key: string | undefined,
-  ): Promise<Result<ServiceAnswer, Failure>> {
+  ): Promise<Result<ServiceResponse, Failure>> {
     if (key === undefined) return await this.#runner.runOnce(request);
     const answer = await this.#execution.execute({
       work: HANDLER_NAME,
@@ -101,7 +101,7 @@
 /** Fails if the server states that the call did not run, to free its key. */
 function toKeyedResult(
   request: ServiceRequest,
-  answer: ServiceAnswer,
+  answer: ServiceResponse,
 ): Result<Uint8Array, Failure> {
   if (answer.statedOutcome !== "not_run") return ok(encodeAnswer(answer));
   return err({
@@ -129,12 +129,12 @@
   return { ...parsed.data, body: Buffer.from(parsed.data.body, "base64") };
 }
 
-function encodeAnswer(answer: ServiceAnswer): Uint8Array {
+function encodeAnswer(answer: ServiceResponse): Uint8Array {
   const { status, headers, leaving } = answer;
   return encode({ status, headers, leaving, body: toBase64(answer.body) });
 }
 
-function decodeAnswer(payload: Uint8Array): Result<ServiceAnswer, Failure> {
+function decodeAnswer(payload: Uint8Array): Result<ServiceResponse, Failure> {
   const parsed = answerSchema.safeParse(decode(payload));
   if (!parsed.success) return err(unreadableMessage("ran"));
   return ok({ ...parsed.data, body: Buffer.from(parsed.data.body, "base64") });
--- a/packages/node/src/drain/drain.ts
+++ b/packages/node/src/drain/drain.ts
@@ -5,17 +5,17 @@
   type StopPhase,
 } from "@foxtailwind/core";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { HandOver } from "./hand_over.ts";
 import type { WorkInProgress } from "./work_in_progress.ts";
 
 /** The dependencies of {@link Drain}. */
 export interface DrainParts {
-  readonly terms: PlannedStopOptions;
+  readonly options: PlannedStopOptions;
   readonly work: WorkInProgress;
   readonly handOver: HandOver;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
 }
 
 /** Executes a planned stop of this node. */
@@ -29,7 +29,7 @@
   /** @param parts The dependencies. */
   constructor(parts: DrainParts) {
     this.#parts = parts;
-    this.#stop = new PlannedStop(parts.terms);
+    this.#stop = new PlannedStop(parts.options);
     parts.work.onIdle(() => {
       this.#advance();
     });
--- a/packages/node/src/drain/leaving_engines.ts
+++ b/packages/node/src/drain/leaving_engines.ts
@@ -1,7 +1,7 @@
 import { type EngineId, engineId } from "@foxtailwind/core";
 import type { EngineClient } from "@foxtailwind/edges";
 import { setTimeout as sleep } from "node:timers/promises";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { VmDirectory, VmOfRole } from "../platform/vm_directory.ts";
 
 const POLL_MILLISECONDS = 500;
@@ -19,7 +19,7 @@
   readonly directory: VmDirectory;
   readonly engines: ControlledEngines;
   readonly engineClient: (vm: VmOfRole<"engine">) => EngineClient;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
 }
 
 /**
--- a/packages/node/src/http_application.ts
+++ b/packages/node/src/http_application.ts
@@ -11,7 +11,7 @@
 import { answerUnreadable } from "./callers/unreadable_request.ts";
 import { DaemonParts } from "./daemon_parts.ts";
 import { countRequests } from "./drain/mod.ts";
-import type { PartLogger } from "./logging/part_logger.ts";
+import type { ComponentLogger } from "./logging/component_logger.ts";
 import { OPERATOR_CONTROLLERS } from "./operators/mod.ts";
 import type { Settings } from "./settings/settings.ts";
 import { TELEMETRY_CONTROLLERS } from "./telemetry/mod.ts";
@@ -31,7 +31,7 @@
  */
 export async function createHttpApplication(
   parts: DaemonParts,
-  logger: PartLogger,
+  logger: ComponentLogger,
 ): Promise<NestFastifyApplication> {
   const module: DynamicModule = {
     module: HttpModule,
--- a/packages/node/src/logging/part_logger.ts
+++ b/packages/node/src/logging/component_logger.ts
@@ -7,7 +7,7 @@
 } from "./log_reporters.ts";
 
 /** A component of the daemon; prefixes its log lines. */
-export type LogPart =
+export type LogComponent =
   | "daemon"
   | "settings"
   | "callers"
@@ -33,45 +33,47 @@
 }
 
 /** Logs short sentences with the prefix of one component. */
-export class PartLogger {
+export class ComponentLogger {
   readonly #consola: ConsolaInstance;
-  readonly #part: LogPart;
+  readonly #component: LogComponent;
 
-  constructor(consola: ConsolaInstance, part: LogPart) {
+  constructor(consola: ConsolaInstance, part: LogComponent) {
     this.#consola = consola;
-    this.#part = part;
+    this.#component = part;
   }
 
   /** Logs details for troubleshooting, too verbose for normal operation. */
   debug(sentence: string, fields: LogFields = {}): void {
-    this.#consola.debug(`${this.#part}: ${sentence}`, fields);
+    this.#consola.debug(`${this.#component}: ${sentence}`, fields);
   }
 
   /** Logs an event of normal operation. */
   info(sentence: string, fields: LogFields = {}): void {
-    this.#consola.info(`${this.#part}: ${sentence}`, fields);
+    this.#consola.info(`${this.#component}: ${sentence}`, fields);
   }
 
   /** Logs an event that may need an operator's attention. */
   warn(sentence: string, fields: LogFields = {}): void {
-    this.#consola.warn(`${this.#part}: ${sentence}`, fields);
+    this.#consola.warn(`${this.#component}: ${sentence}`, fields);
   }
 
   /** Logs a failure. */
   error(sentence: string, fields: LogFields = {}): void {
-    this.#consola.error(`${this.#part}: ${sentence}`, fields);
+    this.#consola.error(`${this.#component}: ${sentence}`, fields);
   }
 }
 
 /** Separate outputs for the log lines of single components. */
-export type PartWriters = Readonly<Partial<Record<LogPart, WriteLine>>>;
+export type ComponentWriters = Readonly<
+  Partial<Record<LogComponent, WriteLine>>
+>;
 
 /** Creates the loggers of all components. */
 export class LoggerFactory {
   readonly #format: LogFormat;
   readonly #level: number;
   readonly #consola: ConsolaInstance;
-  readonly #partWriters: PartWriters;
+  readonly #componentWriters: ComponentWriters;
 
   /**
    * @param format The output format.
@@ -83,12 +85,12 @@
     format: LogFormat,
     level: number,
     write: WriteLine = writeToStandardError,
-    partWriters: PartWriters = {},
+    partWriters: ComponentWriters = {},
   ) {
     this.#format = format;
     this.#level = level;
     this.#consola = this.#makeConsola(write);
-    this.#partWriters = partWriters;
+    this.#componentWriters = partWriters;
   }
 
   /**
@@ -96,12 +98,12 @@
    * @param part The component.
    * @returns Its logger.
    */
-  forPart(part: LogPart): PartLogger {
-    const write = this.#partWriters[part];
+  forComponent(part: LogComponent): ComponentLogger {
+    const write = this.#componentWriters[part];
     const consola = write === undefined
       ? this.#consola
       : this.#makeConsola(write);
-    return new PartLogger(consola, part);
+    return new ComponentLogger(consola, part);
   }
 
   #makeConsola(write: WriteLine): ConsolaInstance {
--- a/packages/node/src/main.ts
+++ b/packages/node/src/main.ts
@@ -3,7 +3,7 @@
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
 import { Daemon } from "./daemon.ts";
-import { LoggerFactory } from "./logging/part_logger.ts";
+import { LoggerFactory } from "./logging/component_logger.ts";
 import {
   formatSettingsProblem,
   loadSettings,
@@ -43,7 +43,7 @@
 
 const { format, level } = settings.value.logs;
 const loggers = new LoggerFactory(format, CONSOLA_LEVELS[level]);
-const logger = loggers.forPart("daemon");
+const logger = loggers.forComponent("daemon");
 const daemon = new Daemon(settings.value, loggers);
 const addresses = await daemon.start();
 process.stdout.write(`${JSON.stringify({ ready: addresses })}\n`);
--- a/packages/node/src/metrics/statsd_metrics.ts
+++ b/packages/node/src/metrics/statsd_metrics.ts
@@ -1,5 +1,5 @@
 import { StatsD } from "hot-shots";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { SocketAddress } from "../settings/settings.ts";
 import { MetricsSink, type MetricTags } from "./metrics_sink.ts";
 
@@ -8,7 +8,7 @@
   readonly address: SocketAddress;
   /** Tags added to every metric, such as the node's id. */
   readonly tags: MetricTags;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
 }
 
 const PREFIX = "foxtailwind.";
--- a/packages/node/src/mod.ts
+++ b/packages/node/src/mod.ts
@@ -13,7 +13,7 @@
 export * from "./cluster/mod.ts";
 export * from "./daemon.ts";
 export * from "./daemon_parts.ts";
-export * from "./logging/part_logger.ts";
+export * from "./logging/component_logger.ts";
 export * from "./metrics/mod.ts";
 export * from "./platform/vm_directory.ts";
 export * from "./settings/load_settings.ts";
@@ -22,5 +22,8 @@
 export * from "./peers/mod.ts";
 export type { GenerationRequest } from "./serving/generation_request.ts";
 export { EngineOrders } from "./serving/engine_orders.ts";
-export { ConstantOrderRight, OrderRight } from "./serving/order_right.ts";
+export {
+  ConstantOrderAuthorizer,
+  OrderAuthorizer,
+} from "./serving/order_authorizer.ts";
 export * from "./telemetry/telemetry_metrics.ts";
--- a/packages/node/src/operators/configuration_controller.ts
+++ b/packages/node/src/operators/configuration_controller.ts
@@ -14,7 +14,7 @@
   Res,
 } from "@nestjs/common";
 import type { FastifyReply } from "fastify";
-import { publishFailure } from "../configuration/publish_failure.ts";
+import { createPublishFailure } from "../configuration/publish_failure.ts";
 import { DaemonParts } from "../daemon_parts.ts";
 import { sendOperatorProblem } from "./operator_problem.ts";
 import { readPublishBody } from "./publish_body.ts";
@@ -119,7 +119,7 @@
     }
     await sendOperatorProblem(
       reply,
-      publishFailure("not_found", {
+      createPublishFailure("not_found", {
         message: `No change ${id} is known at offset ${offset}.`,
         remedy: "Publish it again under the same id to settle it.",
       }),
--- a/packages/node/src/operators/item_changes_controller.ts
+++ b/packages/node/src/operators/item_changes_controller.ts
@@ -8,7 +8,7 @@
   Res,
 } from "@nestjs/common";
 import type { FastifyReply } from "fastify";
-import { publishFailure } from "../configuration/publish_failure.ts";
+import { createPublishFailure } from "../configuration/publish_failure.ts";
 import { DaemonParts } from "../daemon_parts.ts";
 import { sendOperatorProblem } from "./operator_problem.ts";
 import { readPublishBody } from "./publish_body.ts";
@@ -90,7 +90,7 @@
   const known = Object.keys(ITEM_KIND_BY_COLLECTION).join(", ");
   await sendOperatorProblem(
     reply,
-    publishFailure("not_found", {
+    createPublishFailure("not_found", {
       message: `There are no items called ${seen}.`,
       remedy: `Name one of ${known}.`,
     }),
--- a/packages/node/src/operators/publish_body.ts
+++ b/packages/node/src/operators/publish_body.ts
@@ -7,8 +7,8 @@
 import { randomUUID } from "node:crypto";
 import * as z from "zod";
 import {
+  createPublishFailure,
   type PublishFailure,
-  publishFailure,
 } from "../configuration/publish_failure.ts";
 
 const DEFAULT_AUTHOR = "operator";
@@ -38,14 +38,14 @@
     ...fields,
   });
   if (record.success) return ok(record.data);
-  return err(publishFailure("invalid", {
+  return err(createPublishFailure("invalid", {
     message: `The record cannot be read. ${describeIssues(record.error)}`,
     remedy: "Correct these keys; nothing was published.",
   }));
 }
 
 /** Without a base, a late retry would get a new base and be applied again. */
-const ID_WITHOUT_BASE = publishFailure("invalid", {
+const ID_WITHOUT_BASE = createPublishFailure("invalid", {
   message: "base: must be given together with an id.",
   remedy: "Give the offset of the configuration that the change was made from.",
 });
--- a/packages/node/src/peers/generation_service.ts
+++ b/packages/node/src/peers/generation_service.ts
@@ -48,7 +48,7 @@
  * @param parts The dependencies.
  * @returns The gRPC service to register.
  */
-export function generationService(
+export function createGenerationService(
   parts: GenerationServiceParts,
 ): PeerRegistration {
   const sessions = new Set<HandOverSession>();
--- a/packages/node/src/peers/peer_channels.ts
+++ b/packages/node/src/peers/peer_channels.ts
@@ -24,7 +24,7 @@
    * @param address The IP literal and port.
    * @returns The channel.
    */
-  channel(address: string): Channel {
+  getChannel(address: string): Channel {
     const known = this.#channels.get(address);
     if (known !== undefined) return known;
     const channel = new Channel(
@@ -40,7 +40,7 @@
    * Closes the connections to all peers but the given ones.
    * @param kept The addresses of the remaining peers.
    */
-  retain(kept: ReadonlySet<string>): void {
+  retainOnly(kept: ReadonlySet<string>): void {
     for (const [address, channel] of this.#channels) {
       if (kept.has(address)) continue;
       channel.close();
@@ -51,6 +51,6 @@
   /** Closes all connections. */
   close(): void {
     this.#isClosed = true;
-    this.retain(new Set());
+    this.retainOnly(new Set());
   }
 }
--- a/packages/node/src/peers/peer_clients.ts
+++ b/packages/node/src/peers/peer_clients.ts
@@ -42,7 +42,7 @@
     const known = this.#links.get(address);
     if (known?.isUsable === true) return known;
     const client = new PeerClient(address, credentials.createInsecure(), {
-      channelOverride: this.#channels.channel(address),
+      channelOverride: this.#channels.getChannel(address),
     });
     const link = new HandOverLink(client, peer.id);
     this.#links.set(address, link);
--- a/packages/node/src/peers/peer_server.ts
+++ b/packages/node/src/peers/peer_server.ts
@@ -46,7 +46,7 @@
   }
 
   /** Stops immediately and aborts the calls in progress. */
-  cutConnections(): void {
+  abortConnections(): void {
     this.#server.forceShutdown();
   }
 
--- a/packages/node/src/platform/vm_directory.ts
+++ b/packages/node/src/platform/vm_directory.ts
@@ -1,5 +1,5 @@
 import type { Vm, VmListClient } from "@foxtailwind/edges";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 
 const POLL_MILLISECONDS = 500;
 
@@ -11,14 +11,14 @@
 /** Polls the platform's VM list and caches the latest one. */
 export class VmDirectory {
   readonly #client: VmListClient;
-  readonly #logger: PartLogger;
+  readonly #logger: ComponentLogger;
   readonly #listeners: (() => void)[] = [];
   /** VMs that have announced that they are leaving. */
   readonly #leavingIds = new Set<string>();
   #vms: readonly Vm[] = [];
   #timer: NodeJS.Timeout | undefined;
 
-  constructor(client: VmListClient, logger: PartLogger) {
+  constructor(client: VmListClient, logger: ComponentLogger) {
     this.#client = client;
     this.#logger = logger;
   }
--- a/packages/node/src/relay/adapter_grants.ts
+++ b/packages/node/src/relay/adapter_grants.ts
@@ -20,7 +20,7 @@
 import type { PeerChannels } from "../peers/peer_channels.ts";
 import type { EngineOwners } from "./engine_owners.ts";
 import type { UseAnswer, UseRequest } from "./engine_use.ts";
-import { readStart, writeStart } from "./start_message.ts";
+import { decodeStart, encodeStart } from "./start_message.ts";
 
 /** Timeout of a call that reports a miss to an engine's owner. */
 const MISS_REPORT_TIMEOUT_MILLISECONDS = 500;
@@ -82,9 +82,9 @@
    * hears of the next miss.
    * @param target The engine and its owner.
    */
-  missed({ engine, owner, address }: EngineOwnerAddress): void {
+  reportMiss({ engine, owner, address }: EngineOwnerAddress): void {
     if (owner === this.#self) {
-      this.#owners.find(engine)?.missed();
+      this.#owners.find(engine)?.recordMiss();
       return;
     }
     this.#client(address).noteMiss(
@@ -97,7 +97,7 @@
 
   #client(address: string): RelayPeersClient {
     return new RelayPeersClient(address, credentials.createInsecure(), {
-      channelOverride: this.#channels.channel(address),
+      channelOverride: this.#channels.getChannel(address),
     });
   }
 
@@ -146,7 +146,7 @@
  * @param owners The engines that this node owns.
  * @param call The peer's call.
  */
-export async function serveUse(
+export async function serveAdapterUse(
   owners: EngineOwners,
   call: ServerWritableStream<AdapterUse, AdapterGrant>,
 ): Promise<void> {
@@ -188,7 +188,7 @@
   call.write({
     outcome: GrantOutcome.GRANTED,
     version: answer.version,
-    start: writeStart(answer.start),
+    start: encodeStart(answer.start),
     waitMilliseconds: owner.digest.waitMilliseconds,
   });
 }
@@ -211,7 +211,7 @@
       return {
         kind: "granted",
         version: grant.version,
-        start: readStart(grant.start),
+        start: decodeStart(grant.start),
         endSignal,
         release,
       };
--- a/packages/node/src/relay/answer_passage.ts
+++ b/packages/node/src/relay/answer_forwarder.ts
@@ -16,10 +16,10 @@
   type HeadDecision,
 } from "./backend_call.ts";
 import { CallerAnswer, type NodeRefusal } from "./caller_answer.ts";
-import { KeptAnswer } from "./kept_answer.ts";
+import { BufferedAnswer } from "./buffered_answer.ts";
 import type { AnswerKind, AnswerListener } from "./answer_kind.ts";
 import type { RelayParts } from "./relay_parts.ts";
-import type { ReadRequest } from "./read_request.ts";
+import type { RoutedRequest } from "./routed_request.ts";
 
 const BAD_GATEWAY = 502;
 const FIRST_SUCCESS_STATUS = 200;
@@ -28,8 +28,8 @@
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** Forwards the answers of servers to one caller. */
-export class AnswerPassage extends AnswerHandler {
-  readonly #request: ReadRequest;
+export class AnswerForwarder extends AnswerHandler {
+  readonly #request: RoutedRequest;
   readonly #parts: RelayParts;
   readonly #answer: CallerAnswer;
   /** Set if incomplete events must not be forwarded. */
@@ -39,7 +39,7 @@
   /** How the server marks the end of the answer's body. */
   #framing: AnswerFraming | undefined;
   /** An answer that isn't forwarded until it is known how it ends. */
-  #bufferedAnswer: KeptAnswer | undefined;
+  #bufferedAnswer: BufferedAnswer | undefined;
   #lastEventId: string | undefined;
   #sentAt: Instant;
   #lastBytesAt: Instant;
@@ -50,7 +50,7 @@
    * @param request The request.
    * @param parts The collaborators.
    */
-  constructor(request: ReadRequest, parts: RelayParts) {
+  constructor(request: RoutedRequest, parts: RelayParts) {
     super();
     this.#request = request;
     this.#parts = parts;
@@ -127,7 +127,7 @@
    * @param now The present time.
    * @returns The time since its last bytes, or since the send.
    */
-  silence(now: Instant): Duration {
+  silenceDuration(now: Instant): Duration {
     return elapsed(this.#lastBytesAt, now);
   }
 
@@ -144,12 +144,12 @@
       this.#answerKind = "foreign";
       return "cut";
     }
-    if (facts.requestLimit !== undefined || facts.isAttested) {
+    if (facts.requestLimit !== undefined || facts.hasSeal) {
       this.#listener?.onRequestLimit(facts.requestLimit);
     }
     // Servers name the request that they refuse. A refusal that names none may
     // be a late repeat of an earlier one while this request runs.
-    if (facts.notRun && facts.requestId !== undefined) {
+    if (facts.isNotRun && facts.requestId !== undefined) {
       this.#answerKind = "not_run";
       this.#isMisdirected = facts.isMisdirected;
       return "drop";
@@ -158,10 +158,10 @@
       head.status < FIRST_REDIRECT_STATUS;
     if (!isSuccess) {
       this.#answerKind = "failure";
-      this.#bufferedAnswer = new KeptAnswer(head);
+      this.#bufferedAnswer = new BufferedAnswer(head);
       return "take";
     }
-    const isForwardable = facts.isAttested &&
+    const isForwardable = facts.hasSeal &&
       head.headers["content-encoding"] === undefined;
     if (!isForwardable) {
       this.#answerKind = "foreign";
@@ -181,7 +181,7 @@
     const isFailure = this.#answerKind === "failure";
     // A failure that is too large is not forwarded.
     if (isFailure && this.#bufferedAnswer.isLarge) return true;
-    this.#bufferedAnswer.add(bytes);
+    this.#bufferedAnswer.append(bytes);
     return isFailure || !this.#bufferedAnswer.isLarge ||
       this.#forwardPartial(this.#bufferedAnswer);
   }
@@ -260,19 +260,19 @@
       this.#splitter ??= new EventSplitter();
       this.#beginAnswer(head);
     } else if (!this.hasBegun) {
-      this.#bufferedAnswer = new KeptAnswer(head);
+      this.#bufferedAnswer = new BufferedAnswer(head);
     }
   }
 
   /** Forwards what has arrived of a buffered answer, and stops buffering. */
-  #forwardPartial({ head, body }: KeptAnswer): boolean {
+  #forwardPartial({ head, body }: BufferedAnswer): boolean {
     this.#bufferedAnswer = undefined;
     this.#beginAnswer(head);
     return this.#forward(body);
   }
 
   /** Forwards a buffered answer whose end, and therefore length, is known. */
-  #forwardComplete({ head, body }: KeptAnswer): void {
+  #forwardComplete({ head, body }: BufferedAnswer): void {
     this.#bufferedAnswer = undefined;
     this.#beginAnswer(head, this.#isCloseDelimited ? body.length : undefined);
     this.#answer.write(body);
--- a/packages/node/src/relay/backend_call.ts
+++ b/packages/node/src/relay/backend_call.ts
@@ -1,4 +1,4 @@
-import { failureOfEnd } from "@foxtailwind/edges";
+import { hasEndingConnectionFailed } from "@foxtailwind/edges";
 import { type Dispatcher, errors } from "undici";
 
 /** Status and headers of a server's answer. */
@@ -91,7 +91,7 @@
    * Aborts the call and its connection.
    * @param reason The reason, for the log.
    */
-  cut(reason: string): void {
+  abort(reason: string): void {
     if (this.#abortReason !== undefined) return;
     this.#abortReason = reason;
     this.#controller?.abort(new Error(reason));
@@ -138,7 +138,7 @@
   }
 
   onResponseEnd(): void {
-    const failure = failureOfEnd();
+    const failure = hasEndingConnectionFailed();
     if (failure === undefined) {
       this.#resolveEnd({ kind: "complete" });
       return;
--- a/packages/node/src/relay/backend_pools.ts
+++ b/packages/node/src/relay/backend_pools.ts
@@ -4,7 +4,7 @@
   type RegisteredServer,
   type ServerStart,
 } from "@foxtailwind/core";
-import { noteConnectionEnds } from "@foxtailwind/edges";
+import { trackConnectionEnds } from "@foxtailwind/edges";
 import { buildConnector, Client, type Dispatcher, Pool } from "undici";
 
 /** An attempt to connect that takes longer counts as failed. */
@@ -30,7 +30,7 @@
 /** Connection pools for backend servers, separate for each server start. */
 export class BackendPools {
   readonly #pools = new Map<BackendServerId, PoolEntry>();
-  readonly #connect = noteConnectionEnds(buildConnector({
+  readonly #connect = trackConnectionEnds(buildConnector({
     timeout: CONNECT_TIMEOUT_MILLISECONDS,
     keepAlive: true,
     keepAliveInitialDelay: TCP_KEEP_ALIVE_DELAY_MILLISECONDS,
@@ -45,7 +45,7 @@
    * @param nodeCount The number of nodes that share them.
    * @returns The pool.
    */
-  pool(
+  getPool(
     server: RegisteredServer,
     connectionLimit: number,
     nodeCount: number,
@@ -120,7 +120,7 @@
    * requests on them have ended.
    * @param servers The registered servers.
    */
-  retain(servers: readonly RegisteredServer[]): void {
+  retainOnly(servers: readonly RegisteredServer[]): void {
     const starts = new Map(servers.map(({ id, start }) => [id, start]));
     for (const [id, { start }] of this.#pools) {
       const isCurrent = starts.has(id) &&
--- a/packages/node/src/relay/kept_answer.ts
+++ b/packages/node/src/relay/buffered_answer.ts
@@ -7,7 +7,7 @@
 const LARGE_ANSWER_BYTES = 256 * 1_024;
 
 /** An answer that is buffered until it is decided whether to pass it on. */
-export class KeptAnswer {
+export class BufferedAnswer {
   readonly head: AnswerHead;
   readonly #chunks: Buffer[] = [];
   #length = 0;
@@ -31,7 +31,7 @@
    * Appends bytes to the body.
    * @param bytes The next bytes.
    */
-  add(bytes: Buffer): void {
+  append(bytes: Buffer): void {
     this.#chunks.push(Buffer.from(bytes));
     this.#length += bytes.length;
   }
--- a/packages/node/src/relay/call_watch.ts
+++ b/packages/node/src/relay/call_watch.ts
@@ -1,7 +1,7 @@
 import { type Duration } from "@foxtailwind/core";
 import { afterPendingInput } from "@foxtailwind/edges";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { AnswerPassage } from "./answer_passage.ts";
+import type { AnswerForwarder } from "./answer_forwarder.ts";
 import type { BackendCall } from "./backend_call.ts";
 
 /** A silent call that may be replaced is cut after this many targets. */
@@ -19,13 +19,13 @@
 /** How a call is watched. */
 export interface CallWatch {
   readonly clock: SteadyClock;
-  readonly passage: AnswerPassage;
+  readonly passage: AnswerForwarder;
   /** The target latency of the answer or of its first event. */
   readonly target: Duration;
   /** Whether the request may be sent to another server instead. */
   readonly mayBeReplaced: boolean;
   /** Called before a call is cut because of silence. */
-  readonly fellSilent: () => void;
+  readonly onSilence: () => void;
 }
 
 /**
@@ -39,7 +39,7 @@
   let isOver = false;
   const connectionTimer = setTimeout(() => {
     afterPendingInput(() => {
-      if (!isOver && !call.wasSent) call.cut("No connection was ready.");
+      if (!isOver && !call.wasSent) call.abort("No connection was ready.");
     });
   }, CONNECTION_TIMEOUT_MILLISECONDS);
   const silenceTimer = watch.mayBeReplaced
@@ -62,10 +62,13 @@
   const maximumSilence = passage.hasBegun
     ? Math.max(MINIMUM_STREAM_SILENCE_MILLISECONDS, limit)
     : limit;
-  return passage.silence(clock.now()) >= maximumSilence;
+  return passage.silenceDuration(clock.now()) >= maximumSilence;
 }
 
-function cutSilent(call: BackendCall, { fellSilent }: CallWatch): void {
-  fellSilent();
-  call.cut("The server is silent.");
+function cutSilent(
+  call: BackendCall,
+  { onSilence }: CallWatch,
+): void {
+  onSilence();
+  call.abort("The server is silent.");
 }
--- a/packages/node/src/relay/caller_wire.ts
+++ b/packages/node/src/relay/caller_wire.ts
@@ -37,7 +37,7 @@
   /** 0 is the most urgent; set if the server is an engine. */
   readonly urgency?: number;
   /** The event to resume a stream after, instead of the caller's last one. */
-  readonly resumeAfter?: string;
+  readonly resumeAfterEventId?: string;
 }
 
 /** What the status and headers of a server's answer state. */
@@ -45,13 +45,13 @@
   /** The request that it answers, if stated. */
   readonly requestId?: string;
   /** Whether the server reports that it has not run the request. */
-  readonly notRun: boolean;
+  readonly isNotRun: boolean;
   /** Whether another server now uses the address. */
   readonly isMisdirected: boolean;
   /** Requests per second that the server accepts from all nodes together. */
   readonly requestLimit?: number;
   /** Whether it has the header that is required of successes with a body. */
-  readonly isAttested: boolean;
+  readonly hasSeal: boolean;
 }
 
 /** The header format of callers' requests and servers' answers. */
--- a/packages/node/src/relay/crash_reports.ts
+++ b/packages/node/src/relay/crash_reports.ts
@@ -15,7 +15,7 @@
 import { afterPendingInput } from "@foxtailwind/edges";
 import { setTimeout as sleep } from "node:timers/promises";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { Knowledge } from "./knowledge.ts";
 import type { RequestContent } from "./request_content.ts";
 import type { SharedLog, SuspicionChange } from "./shared_log.ts";
@@ -39,7 +39,7 @@
   readonly knowledge: Knowledge;
   readonly log: Pick<SharedLog, "changeSuspicions">;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
 }
 
 /** A call that was broken off on the server's side. */
@@ -67,12 +67,12 @@
   constructor(parts: CrashReportsParts) {
     this.#parts = parts;
     const { knowledge } = parts;
-    this.#quarantine = knowledge.suspicions.quarantine;
-    knowledge.suspicions.unwritten = () =>
+    this.#quarantine = knowledge.suspicionTracker.quarantine;
+    knowledge.suspicionTracker.pendingSuspicions = () =>
       [...this.#unwritten.values()].flatMap((change) =>
         change.kind === "added" ? [change.suspicion] : []
       );
-    knowledge.suspicions.onServersLive = (dropped) => {
+    knowledge.suspicionTracker.onSuspicionsDisproved = (dropped) => {
       if (knowledge.isWatcher) this.#writeDropped(dropped);
     };
   }
@@ -83,7 +83,7 @@
    * @returns The time until it may be tried again, or `undefined` if it isn't
    * refused.
    */
-  refusedFor(content: RequestContent): Duration | undefined {
+  remainingQuarantine(content: RequestContent): Duration | undefined {
     if (this.#quarantine.isEmpty) return undefined;
     const now = this.#parts.clock.now();
     return this.#quarantine.remainingTime(now, content.digest);
@@ -93,7 +93,7 @@
    * Records that a request was served completely.
    * @param content The request's content.
    */
-  served(content: RequestContent): void {
+  recordServed(content: RequestContent): void {
     if (this.#quarantine.isEmpty) return;
     this.#writeDropped(this.#quarantine.recordServed(content.digest));
   }
@@ -103,7 +103,7 @@
    * @param content The request's content.
    * @param call The call.
    */
-  broke(content: RequestContent, call: BrokenCall): void {
+  recordBrokenCall(content: RequestContent, call: BrokenCall): void {
     const time = suspectRunTime(call.ranFor);
     if (time === undefined) return;
     const brokeAt = this.#parts.clock.now();
--- a/packages/node/src/relay/engine_candidates.ts
+++ b/packages/node/src/relay/engine_candidates.ts
@@ -9,7 +9,7 @@
 import type { EngineOwners } from "./engine_owners.ts";
 import type { Knowledge } from "./knowledge.ts";
 import type { ServerLoads } from "./server_loads.ts";
-import { readStart } from "./start_message.ts";
+import { decodeStart } from "./start_message.ts";
 
 /** An engine as a candidate for a request, with the owner to ask for a use. */
 export interface EngineCandidate extends EngineState {
@@ -59,7 +59,7 @@
     use: VersionedModelUse,
   ): EngineCandidate | undefined {
     const { loads } = this.#parts;
-    const load = loads.of(server);
+    const load = loads.loadOf(server);
     const prefillTime = load.prefillTimes.estimate(use.promptTokens);
     const found = this.#findDigest(now, server);
     if (found?.digest.isFull === true) return undefined;
@@ -111,9 +111,9 @@
     }
     const owner = knowledge.claims.owner(id);
     if (owner === undefined) return undefined;
-    const found = knowledge.peers.engine(now, id, owner);
+    const found = knowledge.peers.findEngine(now, id, owner);
     if (found === undefined) return undefined;
-    const isOutdated = isOlderStart(readStart(found.digest.start), start);
+    const isOutdated = isOlderStart(decodeStart(found.digest.start), start);
     return isOutdated ? undefined : found;
   }
 }
--- a/packages/node/src/relay/engine_orders.ts
+++ b/packages/node/src/relay/engine_orders.ts
@@ -7,7 +7,7 @@
   type ServerStart,
   type SlotOrder,
 } from "@foxtailwind/core";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type {
   EngineControl,
   EngineOrder,
@@ -24,7 +24,7 @@
 export interface EngineOrdersParts {
   readonly self: NodeId;
   readonly control: EngineControl;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
   /** Whether to accept a report that names a start. */
   readonly acceptsReport: (start: ServerStart | undefined) => boolean;
   /** Called when a load got no answer, with the order count it expects. */
--- a/packages/node/src/relay/engine_owner.ts
+++ b/packages/node/src/relay/engine_owner.ts
@@ -66,7 +66,7 @@
    * Records that the engine lacked an adapter or model whose use was granted:
    * it may have restarted.
    */
-  missed(): void {
+  recordMiss(): void {
     this.#run.recordMiss();
   }
 
--- a/packages/node/src/relay/engine_owner_parts.ts
+++ b/packages/node/src/relay/engine_owner_parts.ts
@@ -1,6 +1,6 @@
 import type { ServerStart, UnansweredLoads } from "@foxtailwind/core";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { EngineControl } from "./engine_control.ts";
 import type { Knowledge } from "./knowledge.ts";
 import type { RelaySettings } from "./relay_settings.ts";
@@ -11,7 +11,7 @@
   readonly knowledge: Knowledge;
   readonly control: EngineControl;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
   /** Unanswered loads that this node sent before this owner was created. */
   readonly earlierUnansweredLoads: UnansweredLoads;
 }
--- a/packages/node/src/relay/engine_owners.ts
+++ b/packages/node/src/relay/engine_owners.ts
@@ -22,7 +22,7 @@
   /** Whether this node is stopping and hands its engines over. */
   readonly isLeaving: () => boolean;
   /** Called when this node has gained an engine, to inform other nodes. */
-  readonly gained: () => void;
+  readonly onEngineGained: () => void;
 }
 
 /** After its start, a node listens to its peers this long before it claims. */
@@ -120,13 +120,13 @@
     const owner = new EngineOwner(server, specification, parts);
     this.#owners.set(id, owner);
     void owner.runDueSteps();
-    this.#parts.gained();
+    this.#parts.onEngineGained();
   }
 
   async #claim(): Promise<void> {
     const { knowledge, clock, log, logger } = this.#parts;
     const now = clock.now();
-    if (this.#isClaiming || !knowledge.isInContact(now)) return;
+    if (this.#isClaiming || !knowledge.isLogReachable(now)) return;
     if (this.#nextClaimAt !== undefined && now < this.#nextClaimAt) return;
     if (this.#enginesToClaim(now).length === 0) return;
     this.#isClaiming = true;
@@ -134,7 +134,7 @@
     const added = await this.#addClaims(clock.now());
     this.#isClaiming = false;
     if (added?.isOk() === true && !added.value) {
-      const delay = CLAIM_SPACING_MILLISECONDS * knowledge.readers *
+      const delay = CLAIM_SPACING_MILLISECONDS * knowledge.readerCount *
         Math.random();
       this.#nextClaimAt = later(clock.now(), milliseconds(delay));
     }
@@ -151,7 +151,7 @@
     now: Instant,
   ): Promise<Result<boolean, Failure> | undefined> {
     const { knowledge, log } = this.#parts;
-    const stoppedNodes = knowledge.peers.left(now);
+    const stoppedNodes = knowledge.peers.stoppedNodes(now);
     const claims = this.#enginesToClaim(now)
       .map((engine) => this.#createClaim(engine, stoppedNodes));
     return claims.length === 0 ? undefined : await log.claim(claims);
@@ -159,7 +159,7 @@
 
   #enginesToClaim(now: Instant): readonly BackendServerId[] {
     const { knowledge, settings } = this.#parts;
-    const stoppedNodes = knowledge.peers.left(now);
+    const stoppedNodes = knowledge.peers.stoppedNodes(now);
     const engines = knowledge.engines.map((engine) => engine.id);
     if (now - this.#startedAt < INITIAL_LISTENING_MILLISECONDS) {
       return knowledge.claims.enginesToReclaim(engines);
--- a/packages/node/src/relay/engine_run.ts
+++ b/packages/node/src/relay/engine_run.ts
@@ -21,7 +21,7 @@
 import type { EngineRunParts } from "./engine_owner_parts.ts";
 import { handleOrderRejection } from "./order_rejection.ts";
 import type { UseAnswer, UseRequest } from "./engine_use.ts";
-import { writeStart } from "./start_message.ts";
+import { encodeStart } from "./start_message.ts";
 import { StepLoop } from "./step_loop.ts";
 
 /** The interval between checks whether a load has finished. */
@@ -99,7 +99,7 @@
   get digest(): EngineDigest {
     const now = this.#now();
     return buildEngineDigest(this.#server, this.#slots.slots, {
-      start: writeStart(this.#parts.start()),
+      start: encodeStart(this.#parts.start()),
       waitMilliseconds: this.#uses.expectedWait(now),
       room: this.#canOrderSoon() ? this.#slots.availableSlots(now) : 0,
       isReachable: this.#orders.isReachable,
--- a/packages/node/src/relay/exchange_partner.ts
+++ b/packages/node/src/relay/exchange_partner.ts
@@ -88,7 +88,7 @@
       this.#receivedEngines = scope.wantsEngines;
     }
     this.#acknowledgedEngines = answer.knownEngines;
-    const isStatusChange = this.#peers.heard(now, own);
+    const isStatusChange = this.#peers.applyDigest(now, own);
     return this.#applyRelayedNews(now, answer) || isStatusChange;
   }
 
@@ -108,7 +108,7 @@
       const age = decodeAge(ages[index]);
       if (age === undefined || id === this.#self) continue;
       const origin = { age, isRelayed: true };
-      if (this.#peers.heard(now, digest, origin)) isStatusChange = true;
+      if (this.#peers.applyDigest(now, digest, origin)) isStatusChange = true;
     }
     for (const [index, { id, incarnation }] of this.#reportedNodes) {
       const age = decodeAge(ages[index]);
--- a/packages/node/src/relay/front_server.ts
+++ b/packages/node/src/relay/front_server.ts
@@ -18,10 +18,10 @@
 import { writeRefusal } from "./caller_answer.ts";
 import { CallerConnections } from "./caller_connections.ts";
 import type { CallerRequest } from "./caller_wire.ts";
-import { requestTimeLimit } from "./read_request.ts";
+import { requestTimeLimit } from "./routed_request.ts";
 import type { RelayParts } from "./relay_parts.ts";
 import { RequestRelay } from "./request_relay.ts";
-import { isTakenWhileStopping } from "./relay_stop.ts";
+import { isAcceptedWhileStopping } from "./relay_stop.ts";
 import { RequestContent } from "./request_content.ts";
 
 const BAD_REQUEST = 400;
@@ -80,7 +80,7 @@
   }
 
   /** The number of requests in progress. */
-  get running(): number {
+  get requestsInProgress(): number {
     return this.#connections.requestsInProgress;
   }
 
@@ -108,7 +108,7 @@
    * answers that have begun are aborted so that they aren't taken as complete.
    * Just closing the connections would do neither.
    */
-  async cut(): Promise<void> {
+  async abortAll(): Promise<void> {
     this.#shutdown.abort();
     for (const request of this.#requests) request.endForShutdown();
     // Answers are written to their connections at the end of this turn of the
@@ -118,7 +118,7 @@
   }
 
   /** Refuses waiting requests whose content has been quarantined. */
-  endCrashing(): void {
+  applyQuarantine(): void {
     for (const request of this.#requests) request.applyQuarantine();
   }
 
@@ -142,7 +142,7 @@
     });
     fastify.all("*", (request, reply) => {
       reply.hijack();
-      const caughtUp = this.#parts.asked();
+      const caughtUp = this.#parts.onRequest();
       this.#connections.trackRequest(request.raw.socket, reply.raw);
       void this.#relay(request.raw, reply.raw, caughtUp);
     });
@@ -215,7 +215,7 @@
     const stop = this.#parts.plannedStop();
     if (stop === undefined) return true;
     const timeLimit = requestTimeLimit({ route, caller });
-    return isTakenWhileStopping(this.#parts.clock.now(), stop, timeLimit);
+    return isAcceptedWhileStopping(this.#parts.clock.now(), stop, timeLimit);
   }
 
   /** Waits briefly for the first configuration after the start. */
--- a/packages/node/src/relay/knowledge.ts
+++ b/packages/node/src/relay/knowledge.ts
@@ -23,7 +23,7 @@
 } from "@foxtailwind/core";
 import type { NodeDigest } from "@foxtailwind/protocol";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import { PeerTable } from "./peer_table.ts";
 import { logRestart, logServerChange } from "./registry_logging.ts";
 import type { RelaySettings } from "./relay_settings.ts";
@@ -55,7 +55,7 @@
   readonly settings: RelaySettings;
   readonly incarnation: string;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
 }
 
 /** The part of {@link ServingNodes} that {@link Knowledge} uses. */
@@ -76,9 +76,9 @@
   readonly registry = new ServerRegistry();
   readonly peers = new PeerTable();
   /** Suspicions that requests crash servers. */
-  readonly suspicions: SuspicionTracker;
+  readonly suspicionTracker: SuspicionTracker;
   /** Counts of the calls and checks that keep nodes informed. */
-  readonly work = new WorkCounts();
+  readonly workCounts = new WorkCounts();
   readonly claims: EngineClaims;
   readonly #parts: KnowledgeParts;
   #routes: RouteTable | undefined;
@@ -98,7 +98,7 @@
   constructor(parts: KnowledgeParts) {
     super();
     this.#parts = parts;
-    this.suspicions = new SuspicionTracker(parts);
+    this.suspicionTracker = new SuspicionTracker(parts);
     const { settings, incarnation } = parts;
     this.claims = new EngineClaims(
       { id: settings.node.id, incarnation },
@@ -138,11 +138,11 @@
    * @param now The present time.
    * @returns Whether it has answered recently.
    */
-  isInContact(now: Instant): boolean {
+  isLogReachable(now: Instant): boolean {
     if (this.#lastLogReadAt === undefined) return false;
     // A node that is notified by others calls the log too rarely to use a
     // timeout, so the result of its last call decides.
-    if (hasManyReaders(this.readers) && !this.isWatcher) {
+    if (hasManyReaders(this.readerCount) && !this.isWatcher) {
       return this.#lastLogCallSucceeded;
     }
     return now - this.#lastLogReadAt < LOG_CONTACT_TIMEOUT;
@@ -154,7 +154,7 @@
   }
 
   /** True for the nodes that would watch if every node reached the log. */
-  override get triesFirst(): boolean {
+  override get retriesAtFullRate(): boolean {
     return this.#countPreferredWatchers(() => true) < WATCHER_COUNT;
   }
 
@@ -162,7 +162,7 @@
     return this.serving.isActive(this.#parts.clock.now());
   }
 
-  override get readers(): number {
+  override get readerCount(): number {
     return this.peers.contacts(this.#parts.clock.now()).length + 1;
   }
 
@@ -201,7 +201,7 @@
     const before = this.registry.revision;
     const id = entry.kind === "gone" ? entry.id : entry.server.id;
     const known = this.registry.find(id);
-    this.suspicions.recordServerEntry(this.registry, entry);
+    this.suspicionTracker.recordServerEntry(this.registry, entry);
     const outcome = this.registry.apply(this.#parts.clock.now(), entry);
     logRestart(this.#parts.logger, entry, outcome);
     if (this.registry.revision === before) return;
@@ -215,7 +215,7 @@
   ): void {
     const now = this.#parts.clock.now();
     for (const entry of entries) {
-      this.suspicions.recordServerEntry(this.registry, entry);
+      this.suspicionTracker.recordServerEntry(this.registry, entry);
     }
     const outcomes = this.registry.replace(now, entries, end);
     for (const [index, entry] of entries.entries()) {
@@ -242,28 +242,28 @@
   }
 
   override suspicion(change: SuspicionChange): void {
-    this.suspicions.applyChange(change);
+    this.suspicionTracker.applyChange(change);
   }
 
   override suspicionsListed(suspicions: readonly CrashSuspicion[]): void {
-    this.suspicions.applyListing(suspicions);
+    this.suspicionTracker.applyListing(suspicions);
   }
 
   override recordSkipped(topic: RecordTopic, reason: SkipReason): void {
     this.onRecordSkipped(topic, reason);
   }
 
-  override reached(): void {
-    this.work.count("log_answered");
+  override caughtUp(): void {
+    this.workCounts.increment("log_answered");
     this.#lastLogReadAt = this.#parts.clock.now();
-    this.suspicions.reportRefused();
+    this.suspicionTracker.reportRefused();
     if (this.#lastLogCallSucceeded) return;
     this.#lastLogCallSucceeded = true;
     this.#parts.logger.info("The platform's log is reachable.");
   }
 
-  override failed(failure: Failure): void {
-    this.work.count("log_failed");
+  override callFailed(failure: Failure): void {
+    this.workCounts.increment("log_failed");
     const now = this.#parts.clock.now();
     this.registry.recordStoreFailure(now);
     if (!this.#lastLogCallSucceeded) return;
@@ -281,7 +281,7 @@
    * @param engine The engine.
    * @param fence The fencing number.
    */
-  fenced(engine: BackendServerId, fence: FencingNumber): void {
+  recordFenced(engine: BackendServerId, fence: FencingNumber): void {
     this.claims.recordRefusal(engine, fence);
     this.#parts.logger.warn("An engine has a newer owner.", { engine, fence });
     this.onChange();
--- a/packages/node/src/relay/knowledge_fetcher.ts
+++ b/packages/node/src/relay/knowledge_fetcher.ts
@@ -6,7 +6,7 @@
 } from "@foxtailwind/protocol";
 import { Metadata } from "@grpc/grpc-js";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { Knowledge } from "./knowledge.ts";
 import { readKnowledge } from "./knowledge_message.ts";
 
@@ -27,7 +27,7 @@
 export interface KnowledgeFetcherParts {
   readonly knowledge: Knowledge;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
   /** Returns the client of the peer at an address. */
   readonly client: (address: string) => RelayPeersClient;
 }
@@ -53,7 +53,7 @@
    */
   fetchDuringLogOutage(now: Instant): void {
     const { knowledge } = this.#parts;
-    if (knowledge.isInContact(now)) return;
+    if (knowledge.isLogReachable(now)) return;
     const since = this.#lastOutageFetchAt ?? this.#startedAt;
     if (elapsed(since, now) < LOG_OUTAGE_DELAY) return;
     const peer = pickRandom(knowledge.peers.alive(now));
@@ -99,7 +99,7 @@
 
   #fetchFrom(peer: NodeDigest, onEnd: () => void): void {
     const { knowledge, logger, client } = this.#parts;
-    knowledge.work.count("knowledge_asked");
+    knowledge.workCounts.increment("knowledge_asked");
     client(peer.address).fetchKnowledge(
       {
         configurationVersion: knowledge.routes?.configuration.version ?? 0,
--- a/packages/node/src/relay/make_relay_parts.ts
+++ b/packages/node/src/relay/make_relay_parts.ts
@@ -21,7 +21,7 @@
     | "loads"
     | "logger"
     | "pools"
-    | "record"
+    | "recordRequest"
     | "wire"
   > {
   readonly settings: RelaySettings;
@@ -41,8 +41,16 @@
  */
 export function makeRelayParts(options: RelayPartsOptions): RelayParts {
   const { clock, knowledge, loads, logger, pools } = options;
-  const { record, wire, settings, owners, presence, serving, channels, log } =
-    options;
+  const {
+    recordRequest: record,
+    wire,
+    settings,
+    owners,
+    presence,
+    serving,
+    channels,
+    log,
+  } = options;
   const { node, retries } = settings;
   const nodes = () => presence.countNodes(clock.now());
   const limits = new RequestLimits({
@@ -50,24 +58,25 @@
     knowledge,
     clock,
     logger,
-    changed: options.onLimitsChanged,
+    onChange: options.onLimitsChanged,
   });
   const window = seconds(retries.window_seconds);
   return {
     knowledge,
-    crashes: new CrashReports({ knowledge, log, clock, logger }),
+    crashReports: new CrashReports({ knowledge, log, clock, logger }),
     limits,
     clock,
-    nodes,
+    countNodes: nodes,
     pools,
     loads,
     wire,
     logger,
-    record,
-    patience: new CallerTimeouts(),
+    recordRequest: record,
+    callerTimeouts: new CallerTimeouts(),
     plannedStop: () => presence.plannedStop,
-    asked: () => serving.recordRequest(clock.now()) ? log.catchUp() : undefined,
-    allowances: new RetryBudgets({
+    onRequest: () =>
+      serving.recordRequest(clock.now()) ? log.catchUp() : undefined,
+    retryBudgets: new RetryBudgets({
       retriesPerRequest: retries.share,
       reserve: retries.reserve,
       window,
--- a/packages/node/src/relay/mod.ts
+++ b/packages/node/src/relay/mod.ts
@@ -2,7 +2,10 @@
  * The relay: forwards whole requests by route to the backend servers.
  * @module
  */
-export { LoggerFactory, type PartLogger } from "../logging/part_logger.ts";
+export {
+  type ComponentLogger,
+  LoggerFactory,
+} from "../logging/component_logger.ts";
 export { connectionHeaders } from "../http/connection_headers.ts";
 export { ProcessClock } from "../clock/steady_clock.ts";
 export { formatSettingsProblem } from "../settings/load_settings.ts";
--- a/packages/node/src/relay/node_presence.ts
+++ b/packages/node/src/relay/node_presence.ts
@@ -131,7 +131,7 @@
       operatorsEnd: knowledge.operatorsEnd,
       registryEnd: knowledge.registry.changedAt,
       sequence: 0,
-      reachesLog: knowledge.isInContact(now),
+      reachesLog: knowledge.isLogReachable(now),
       capacity,
       load: serving.load,
       periodMilliseconds: exchangePeriodMilliseconds(),
--- a/packages/node/src/relay/operations_server.ts
+++ b/packages/node/src/relay/operations_server.ts
@@ -88,7 +88,7 @@
     });
     fastify.get(this.#wire.addressesPath, (request, reply) => {
       const query = request.query as Record<string, string | undefined>;
-      const { failureDomain } = this.#wire.readQuestion(query);
+      const { failureDomain } = this.#wire.readAddressQuery(query);
       const addresses = this.#handlers.addresses(failureDomain);
       if (addresses.length === 0) {
         void reply.status(NOT_READY).send("");
--- a/packages/node/src/relay/operations_wire.ts
+++ b/packages/node/src/relay/operations_wire.ts
@@ -1,5 +1,5 @@
 /** A caller's query for node addresses. */
-export interface AddressQuestion {
+export interface CallerAddressQuery {
   /** The failure domain of the caller, if stated. */
   readonly failureDomain?: string;
 }
@@ -16,9 +16,9 @@
    * @param query The fields of the query string.
    * @returns The address query.
    */
-  abstract readQuestion(
+  abstract readAddressQuery(
     query: Readonly<Record<string, string | undefined>>,
-  ): AddressQuestion;
+  ): CallerAddressQuery;
 
   /**
    * Formats the answer to an address query.
--- a/packages/node/src/relay/order_rejection.ts
+++ b/packages/node/src/relay/order_rejection.ts
@@ -21,7 +21,7 @@
 ): RejectionAction {
   switch (rejection.kind) {
     case "fenced":
-      knowledge.fenced(engine, permission.fence);
+      knowledge.recordFenced(engine, permission.fence);
       return "go_on";
     case "misdirected":
       knowledge.registry.removeReplaced(engine, start());
--- a/packages/node/src/relay/peer_exchange.ts
+++ b/packages/node/src/relay/peer_exchange.ts
@@ -24,10 +24,10 @@
   type ServerWritableStream,
 } from "@grpc/grpc-js";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { PeerChannels } from "../peers/peer_channels.ts";
 import type { PeerRegistration } from "../peers/peer_server.ts";
-import { serveUse } from "./adapter_grants.ts";
+import { serveAdapterUse } from "./adapter_grants.ts";
 import type { EngineOwners } from "./engine_owners.ts";
 import {
   answerExchange,
@@ -51,7 +51,7 @@
   readonly owners: EngineOwners;
   readonly channels: PeerChannels;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
   /** Returns the digest of this node. */
   readonly digest: () => NodeDigest;
 }
@@ -93,14 +93,14 @@
       definition: RelayPeersService,
       implementation: {
         useAdapter: (call: ServerWritableStream<AdapterUse, AdapterGrant>) => {
-          this.#parts.knowledge.work.count("use_answered");
-          void serveUse(owners, call);
+          this.#parts.knowledge.workCounts.increment("use_answered");
+          void serveAdapterUse(owners, call);
         },
         noteMiss: (
           call: ServerUnaryCall<EngineMiss, EngineMissNoted>,
           answer: sendUnaryData<EngineMissNoted>,
         ) => {
-          owners.find(backendServerId(call.request.engine))?.missed();
+          owners.find(backendServerId(call.request.engine))?.recordMiss();
           answer(null, {});
         },
         exchange: (
@@ -114,7 +114,7 @@
           answer: sendUnaryData<KnowledgeMessage>,
         ) => {
           const { knowledge } = this.#parts;
-          knowledge.work.count("knowledge_answered");
+          knowledge.workCounts.increment("knowledge_answered");
           answer(null, writeKnowledge(knowledge, call.request));
         },
       },
@@ -173,7 +173,7 @@
   ): void {
     if (this.#pending.has(address)) return;
     this.#pending.add(address);
-    this.#parts.knowledge.work.count("exchange_asked");
+    this.#parts.knowledge.workCounts.increment("exchange_asked");
     const partner = this.#partnerAt(address);
     this.#client(address).exchange(
       partner.nextQuestion(own, scope),
@@ -194,7 +194,7 @@
 
   /** Removes channels and exchange state of all but the given addresses. */
   #retainPartners(kept: ReadonlySet<string>): void {
-    this.#parts.channels.retain(kept);
+    this.#parts.channels.retainOnly(kept);
     for (const address of this.#partnersByAddress.keys()) {
       if (!kept.has(address)) this.#partnersByAddress.delete(address);
     }
@@ -217,9 +217,11 @@
   #answer(question: ExchangeQuestion): ExchangeAnswer {
     const { knowledge, clock } = this.#parts;
     const now = clock.now();
-    knowledge.work.count("exchange_answered");
+    knowledge.workCounts.increment("exchange_answered");
     const { own } = question;
-    if (own !== undefined) this.#reactToDigest(knowledge.peers.heard(now, own));
+    if (own !== undefined) {
+      this.#reactToDigest(knowledge.peers.applyDigest(now, own));
+    }
     return answerExchange(now, knowledge.peers, this.#parts.digest(), question);
   }
 
@@ -230,7 +232,7 @@
 
   #client(address: string): RelayPeersClient {
     return new RelayPeersClient(address, credentials.createInsecure(), {
-      channelOverride: this.#parts.channels.channel(address),
+      channelOverride: this.#parts.channels.getChannel(address),
     });
   }
 }
--- a/packages/node/src/relay/peer_table.ts
+++ b/packages/node/src/relay/peer_table.ts
@@ -84,7 +84,7 @@
    * @param origin How it came; directly from the node by default.
    * @returns Whether the node has joined, begun to stop or restarted.
    */
-  heard(now: Instant, digest: NodeDigest, origin = DIRECT): boolean {
+  applyDigest(now: Instant, digest: NodeDigest, origin = DIRECT): boolean {
     const id = nodeId(digest.node);
     const known = this.#peers.get(id);
     const heardAt = instant(now - origin.age);
@@ -218,7 +218,7 @@
    * @param now The present time.
    * @returns The nodes.
    */
-  left(now: Instant): ReadonlySet<NodeId> {
+  stoppedNodes(now: Instant): ReadonlySet<NodeId> {
     const stopped = [...this.#peers.values()].filter((peer) =>
       peer.digest?.isLeaving === true && isFresh(peer, now, STOP_RETENTION)
     );
@@ -254,7 +254,7 @@
    * @param owner Its owner.
    * @returns The engine, or undefined if unknown or too old.
    */
-  engine(
+  findEngine(
     now: Instant,
     engine: BackendServerId,
     owner: NodeId,
--- a/packages/node/src/relay/place_finder.ts
+++ b/packages/node/src/relay/placement_finder.ts
@@ -6,13 +6,13 @@
   type RegisteredServer,
   type Route,
 } from "@foxtailwind/core";
-import { BoundedSignal } from "@foxtailwind/edges";
+import { TimeLimitedSignal } from "@foxtailwind/edges";
 import { setTimeout as sleep } from "node:timers/promises";
-import type { ReadRequest } from "./read_request.ts";
+import type { RoutedRequest } from "./routed_request.ts";
 import type { LimitQueuePlace } from "./request_limits.ts";
 import type { RelayParts } from "./relay_parts.ts";
-import type { Place, PlaceAnswer } from "./request_placer.ts";
-import type { SendRecord } from "./send_record.ts";
+import type { Placement, PlacementAnswer } from "./request_placer.ts";
+import type { SendHistory } from "./send_history.ts";
 
 /** The delay between two attempts to find a placement. */
 const RETRY_DELAY_MILLISECONDS = 40;
@@ -27,23 +27,23 @@
 const MAXIMUM_LOGGED_ANSWERS = 8;
 
 /** The bounds of the search for a placement. */
-export interface PlaceTerms {
+export interface PlacementTerms {
   /** When the first event is due, counted from the caller's first attempt. */
-  readonly wantedBy: Instant;
+  readonly firstEventDeadline: Instant;
   /** Returns the request's deadline; a stop of this node may shorten it. */
-  readonly endsAt: () => Instant;
+  readonly deadline: () => Instant;
   /** The servers that the request was sent to before. */
-  readonly sent: SendRecord;
+  readonly sendRecord: SendHistory;
   /** Aborted when nobody waits for the request any longer. */
-  readonly over: AbortSignal;
+  readonly abandonSignal: AbortSignal;
 }
 
 /** Searches for servers that can run one request. */
-export class PlaceFinder {
+export class PlacementFinder {
   readonly #parts: RelayParts;
-  readonly #request: ReadRequest;
-  readonly #terms: PlaceTerms;
-  readonly #asked: PlaceAnswer[] = [];
+  readonly #request: RoutedRequest;
+  readonly #terms: PlacementTerms;
+  readonly #asked: PlacementAnswer[] = [];
   #queuePlace: LimitQueuePlace | undefined;
   #comeBackAfter: Duration | undefined;
 
@@ -52,19 +52,23 @@
    * @param request The request.
    * @param terms The bounds of the search.
    */
-  constructor(parts: RelayParts, request: ReadRequest, terms: PlaceTerms) {
+  constructor(
+    parts: RelayParts,
+    request: RoutedRequest,
+    terms: PlacementTerms,
+  ) {
     this.#parts = parts;
     this.#request = request;
     this.#terms = terms;
   }
 
   /** The first engines that were asked for a placement, with their answers. */
-  get asked(): readonly PlaceAnswer[] {
+  get askedEngines(): readonly PlacementAnswer[] {
     return this.#asked;
   }
 
   /** When a placement is expected, if the servers' limits leave none now. */
-  get comeBackAfter(): Duration | undefined {
+  get retryAfter(): Duration | undefined {
     return this.#comeBackAfter;
   }
 
@@ -72,21 +76,26 @@
    * Searches until a placement is found or it is too late for one.
    * @returns The placement, or `undefined`.
    */
-  async find(): Promise<Place | undefined> {
+  async find(): Promise<Placement | undefined> {
     const { arrivedAt, route } = this.#request;
     const timeout = Math.min(
-      this.#terms.endsAt() - arrivedAt,
+      this.#terms.deadline() - arrivedAt,
       firstEventTimeout(route),
     );
     // A stream that resumes elsewhere has long used up its first waiting time.
-    const startsAt = this.#terms.sent.sends === 0 ? arrivedAt : this.#now();
+    const startsAt = this.#terms.sendRecord.sends === 0
+      ? arrivedAt
+      : this.#now();
     const searchEnd = later(startsAt, milliseconds(timeout * SEARCH_SHARE));
     const timeLeft = Math.max(1, Math.ceil(searchEnd - this.#now()));
-    const searchSignal = new BoundedSignal(this.#terms.over, timeLeft);
+    const searchSignal = new TimeLimitedSignal(
+      this.#terms.abandonSignal,
+      timeLeft,
+    );
     try {
       for (;;) {
         const placement = await this.#tryPlace(searchSignal.signal);
-        if (placement !== undefined || this.#terms.over.aborted) {
+        if (placement !== undefined || this.#terms.abandonSignal.aborted) {
           return placement;
         }
         if (this.#now() >= searchEnd || this.#exceedsQueueWait(searchEnd)) {
@@ -108,10 +117,10 @@
   #exceedsQueueWait(searchEnd: Instant): boolean {
     const { limits } = this.#parts;
     const servers = this.#servers();
-    if (!limits.areReached(servers)) return false;
+    if (!limits.areAllReached(servers)) return false;
     const isQueued = this.#queuePlace !== undefined;
-    this.#queuePlace ??= limits.queue(this.#request.service.id);
-    const wait = limits.waitBehind(servers, this.#queuePlace.ahead);
+    this.#queuePlace ??= limits.enqueue(this.#request.service.id);
+    const wait = limits.estimateQueueWait(servers, this.#queuePlace.ahead);
     this.#comeBackAfter = wait;
     if (wait === undefined) return true;
     return !isQueued && later(this.#now(), wait) > searchEnd;
@@ -123,12 +132,12 @@
     const available = this.#parts.knowledge.servers(service.id)
       .filter((one) => !one.leaving);
     const untried = available.filter((one) =>
-      !this.#terms.sent.hasTried(one.id)
+      !this.#terms.sendRecord.hasTried(one.id)
     );
     return untried.length > 0 ? untried : available;
   }
 
-  async #tryPlace(signal: AbortSignal): Promise<Place | undefined> {
+  async #tryPlace(signal: AbortSignal): Promise<Placement | undefined> {
     const { service, caller } = this.#request;
     const { placer } = this.#parts;
     const servers = this.#servers();
@@ -137,7 +146,7 @@
     }
     return await placer.placeOnEngine(caller.use, servers, {
       signal,
-      firstEventDeadline: this.#terms.wantedBy,
+      firstEventDeadline: this.#terms.firstEventDeadline,
       longestPause: this.#request.route.longestPause,
       onAnswer: (answer) => {
         if (this.#asked.length < MAXIMUM_LOGGED_ANSWERS) {
--- a/packages/node/src/relay/registry_logging.ts
+++ b/packages/node/src/relay/registry_logging.ts
@@ -4,7 +4,7 @@
   type RegistryEntry,
   RELAY_SENTENCE,
 } from "@foxtailwind/core";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 
 /**
  * Logs an entry that is of a different start of its server.
@@ -13,7 +13,7 @@
  * @param outcome The result of applying the entry.
  */
 export function logRestart(
-  logger: PartLogger,
+  logger: ComponentLogger,
   entry: RegistryEntry,
   outcome: EntryOutcome | undefined,
 ): void {
@@ -37,7 +37,7 @@
  * @param known The server as known before the entry.
  */
 export function logServerChange(
-  logger: PartLogger,
+  logger: ComponentLogger,
   entry: RegistryEntry,
   known: RegisteredServer | undefined,
 ): void {
--- a/packages/node/src/relay/relay_daemon.ts
+++ b/packages/node/src/relay/relay_daemon.ts
@@ -7,7 +7,10 @@
 import { randomUUID } from "node:crypto";
 import { setTimeout as sleep } from "node:timers/promises";
 import { ProcessClock } from "../clock/steady_clock.ts";
-import type { LoggerFactory, PartLogger } from "../logging/part_logger.ts";
+import type {
+  ComponentLogger,
+  LoggerFactory,
+} from "../logging/component_logger.ts";
 import { PeerChannels } from "../peers/peer_channels.ts";
 import { PeerServer } from "../peers/peer_server.ts";
 import { announceNode } from "./announce_node.ts";
@@ -35,7 +38,7 @@
 import type { SharedLog } from "./shared_log.ts";
 
 /** The implementations of the relay's interfaces for one platform. */
-export interface RelayEdges {
+export interface RelayPlatform {
   readonly log: SharedLog;
   readonly wire: RelayWire;
   readonly control: EngineControl;
@@ -51,9 +54,9 @@
 /** A node that relays requests by route, assembled from its parts. */
 export class RelayDaemon {
   readonly #settings: RelaySettings;
-  readonly #platform: RelayEdges;
+  readonly #platform: RelayPlatform;
   readonly #clock = new ProcessClock();
-  readonly #logger: PartLogger;
+  readonly #logger: ComponentLogger;
   readonly #incarnation = randomUUID();
   readonly #channels = new PeerChannels();
   readonly #knowledge: Knowledge;
@@ -80,19 +83,19 @@
    */
   constructor(
     settings: RelaySettings,
-    platform: RelayEdges,
+    platform: RelayPlatform,
     loggers: LoggerFactory,
   ) {
     this.#settings = settings;
     this.#platform = platform;
-    this.#logger = loggers.forPart("daemon");
+    this.#logger = loggers.forComponent("daemon");
     this.#lastRequestAt = this.#clock.now();
     this.#loads = new ServerLoads(settings.node.failure_domain);
     this.#knowledge = new Knowledge({
       settings,
       incarnation: this.#incarnation,
       clock: this.#clock,
-      logger: loggers.forPart("configuration"),
+      logger: loggers.forComponent("configuration"),
     });
     const knowledge = this.#knowledge;
     const clock = this.#clock;
@@ -106,7 +109,7 @@
       isLeaving: () => this.#presence.isLeaving,
       onActivated: () => {
         this.#exchange.exchangeSoon();
-        this.#platform.log.hurry();
+        this.#platform.log.catchUpSoon();
       },
     });
     knowledge.serving = this.#serving;
@@ -115,11 +118,11 @@
       knowledge,
       control: platform.control,
       clock,
-      logger: loggers.forPart("ownership"),
+      logger: loggers.forComponent("ownership"),
       log: platform.log,
       incarnation: this.#incarnation,
       isLeaving: () => this.#presence.isLeaving,
-      gained: () => {
+      onEngineGained: () => {
         this.#exchange.exchangeSoon();
       },
     });
@@ -139,23 +142,23 @@
       owners: this.#owners,
       channels: this.#channels,
       clock,
-      logger: loggers.forPart("peers"),
+      logger: loggers.forComponent("peers"),
       digest: () => this.#presence.digest,
     });
     this.#peerServer = new PeerServer([this.#exchange.registration]);
     this.#parts = this.#createRelayParts(loggers);
     this.#front = new FrontServer(this.#parts);
     this.#metrics = new RelayMetrics({
-      requestsInProgress: () => this.#front.running,
+      requestsInProgress: () => this.#front.requestsInProgress,
       configurationVersion: () => knowledge.routes?.configuration.version ?? 0,
       enginesOwned: () => this.#owners.digests.length,
       nodesAlive: () => knowledge.peers.alive(clock.now()).length,
       nodesServing: () => this.#serving.count,
       isActive: () => this.#serving.isActive(clock.now()) ? 1 : 0,
       contentsRefused: () =>
-        knowledge.suspicions.quarantine.quarantinedContents.size,
+        knowledge.suspicionTracker.quarantine.quarantinedContents.size,
       serversLimited: () => this.#parts.limits.limitedRunCount,
-      work: () => knowledge.work.counts,
+      work: () => knowledge.workCounts.counts,
     });
     this.#operations = new OperationsServer(platform.operations, {
       isReady: () => this.#presence.isReady,
@@ -170,8 +173,8 @@
     knowledge.onRecordSkipped = (topic, reason) => {
       this.#metrics.recordSkipped(topic, reason);
     };
-    knowledge.suspicions.onContentsRefused = () => {
-      this.#front.endCrashing();
+    knowledge.suspicionTracker.onContentsRefused = () => {
+      this.#front.applyQuarantine();
     };
     knowledge.onChange = () => {
       this.#front.applyLimits();
@@ -219,13 +222,13 @@
       grace: seconds(this.#settings.stop.grace_seconds),
     };
     this.#presence.plannedStop = stop;
-    this.#logger.info("Stopping.", { running: this.#front.running });
+    this.#logger.info("Stopping.", { running: this.#front.requestsInProgress });
     this.#exchange.exchange();
     this.#owners.refresh();
     for (;;) {
       const step = nextStopStep(this.#clock.now(), {
         ...stop,
-        running: this.#front.running,
+        running: this.#front.requestsInProgress,
         lastRequestAt: this.#lastRequestAt,
       });
       if (step === "end") break;
@@ -233,7 +236,7 @@
       await sleep(STOP_CHECK_INTERVAL_MILLISECONDS);
     }
     this.#logger.info("Stopped.", {
-      cut: this.#front.running,
+      cut: this.#front.requestsInProgress,
       took: Math.round(elapsed(stop.begunAt, this.#clock.now())),
     });
     await this.#close();
@@ -243,11 +246,11 @@
     clearTimeout(this.#refreshTimer);
     this.#exchange.stop();
     this.#owners.stop();
-    this.#parts.crashes.stop();
+    this.#parts.crashReports.stop();
     this.#platform.log.stop();
     this.#front.stopListening();
-    await this.#front.cut();
-    this.#peerServer.cutConnections();
+    await this.#front.abortAll();
+    this.#peerServer.abortConnections();
     this.#channels.close();
     await this.#operations.close();
     await this.#pools.destroy();
@@ -269,8 +272,8 @@
         this.#exchange.exchangeSoon();
       },
       clock: this.#clock,
-      logger: loggers.forPart("callers"),
-      record: (route, outcome, took, firstAfter) => {
+      logger: loggers.forComponent("callers"),
+      recordRequest: (route, outcome, took, firstAfter) => {
         this.#lastRequestAt = this.#clock.now();
         this.#metrics.recordRequest(route, outcome, took, firstAfter);
       },
@@ -289,9 +292,9 @@
 
   #refresh(): void {
     const now = this.#clock.now();
-    const { registry, work } = this.#knowledge;
-    work.count("look");
-    this.#parts.crashes.expire(now);
+    const { registry, workCounts: work } = this.#knowledge;
+    work.increment("look");
+    this.#parts.crashReports.expire(now);
     registry.expire(now);
     this.#serving.refresh(now);
     this.#owners.refresh();
@@ -299,7 +302,7 @@
     this.#parts.limits.refresh(now);
     if (registry.revision === this.#retainedRevision) return;
     this.#retainedRevision = registry.revision;
-    this.#pools.retain(registry.all);
+    this.#pools.retainOnly(registry.all);
     this.#loads.retain(new Set(registry.all.map((server) => server.id)));
   }
 }
--- a/packages/node/src/relay/relay_parts.ts
+++ b/packages/node/src/relay/relay_parts.ts
@@ -1,6 +1,6 @@
 import type { CallerTimeouts, Duration, Route } from "@foxtailwind/core";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { BackendPools } from "./backend_pools.ts";
 import type { RelayWire } from "./caller_wire.ts";
 import type { CrashReports } from "./crash_reports.ts";
@@ -17,24 +17,24 @@
   readonly placer: RequestPlacer;
   readonly pools: BackendPools;
   readonly loads: ServerLoads;
-  readonly allowances: RetryBudgets;
-  readonly crashes: CrashReports;
+  readonly retryBudgets: RetryBudgets;
+  readonly crashReports: CrashReports;
   readonly limits: RequestLimits;
-  readonly patience: CallerTimeouts;
+  readonly callerTimeouts: CallerTimeouts;
   readonly wire: RelayWire;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
   /**
    * Called for each arriving request. If the node was on standby, it returns a
    * promise that resolves once the node has caught up with the log.
    */
-  readonly asked: () => Promise<void> | undefined;
+  readonly onRequest: () => Promise<void> | undefined;
   /** Counts the nodes that share limits, including this one. */
-  readonly nodes: () => number;
+  readonly countNodes: () => number;
   /** The stop in progress, if this node is stopping. */
   readonly plannedStop: () => PlannedStop | undefined;
   /** Counts a request that has ended. */
-  readonly record: (
+  readonly recordRequest: (
     route: Route,
     outcome: string,
     took: Duration,
--- a/packages/node/src/relay/relay_stop.ts
+++ b/packages/node/src/relay/relay_stop.ts
@@ -38,7 +38,7 @@
  * @param stop The stop.
  * @returns The time, early enough to answer them before the forced end.
  */
-export function lastMoment({ begunAt, grace }: PlannedStop): Instant {
+export function workDeadline({ begunAt, grace }: PlannedStop): Instant {
   return later(begunAt, milliseconds(grace - FINAL_ANSWER_TIME));
 }
 
@@ -50,7 +50,7 @@
  * @param maximumDuration How long the request may take.
  * @returns Whether it is accepted.
  */
-export function isTakenWhileStopping(
+export function isAcceptedWhileStopping(
   now: Instant,
   { begunAt, grace }: PlannedStop,
   maximumDuration: Duration,
--- a/packages/node/src/relay/request_end.ts
+++ b/packages/node/src/relay/request_end.ts
@@ -1,8 +1,8 @@
 import type { BackendServerId, Duration } from "@foxtailwind/core";
-import type { LogFields } from "../logging/part_logger.ts";
+import type { LogFields } from "../logging/component_logger.ts";
 import type { AnswerFraming } from "./answer_framing.ts";
-import type { ReadRequest } from "./read_request.ts";
-import type { PlaceAnswer } from "./request_placer.ts";
+import type { RoutedRequest } from "./routed_request.ts";
+import type { PlacementAnswer } from "./request_placer.ts";
 
 /** Facts about a request that has ended. */
 export interface RequestEnd {
@@ -19,7 +19,7 @@
   /** Time from the last answer's first bytes to the end of a broken call. */
   readonly bodyDuration: Duration | undefined;
   /** The engines that were asked for a place, and their answers. */
-  readonly placeAnswers: readonly PlaceAnswer[];
+  readonly placeAnswers: readonly PlacementAnswer[];
   /** Time until a place was likely, if rate limits of servers left none. */
   readonly limitWait: Duration | undefined;
   /** Time from arrival until a server was found. */
@@ -40,7 +40,7 @@
  * @returns The fields; times are in milliseconds.
  */
 export function formatRequestEnd(
-  { caller, route, service, response, content }: ReadRequest,
+  { caller, route, service, response, content }: RoutedRequest,
   end: RequestEnd,
 ): LogFields {
   const placeAnswers = end.placeAnswers.map(formatPlaceAnswer).join(" ");
@@ -77,7 +77,7 @@
   return broke !== undefined || outcome === "quarantined";
 }
 
-function formatPlaceAnswer({ engine, owner, answer }: PlaceAnswer): string {
+function formatPlaceAnswer({ engine, owner, answer }: PlacementAnswer): string {
   return `${engine}@${owner ?? "none"}:${answer}`;
 }
 
--- a/packages/node/src/relay/request_limits.ts
+++ b/packages/node/src/relay/request_limits.ts
@@ -18,7 +18,7 @@
 } from "@foxtailwind/core";
 import type { ServerLimit } from "@foxtailwind/protocol";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { Knowledge } from "./knowledge.ts";
 
 /** The interval at which the limits reported by other nodes are read. */
@@ -32,9 +32,9 @@
   readonly self: NodeId;
   readonly knowledge: Knowledge;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
   /** Called when a server states a new limit or no longer states one. */
-  readonly changed: () => void;
+  readonly onChange: () => void;
 }
 
 /** A request's place in the queue for rate-share servers. */
@@ -78,9 +78,13 @@
    * @param sentAt When the request was sent.
    * @param limit The limit in requests per second, if stated.
    */
-  answered(run: ServerRun, sentAt: Instant, limit: number | undefined): void {
+  applyAnswer(
+    run: ServerRun,
+    sentAt: Instant,
+    limit: number | undefined,
+  ): void {
     if (limit === undefined && this.#rateLimits.isEmpty) return;
-    const { clock, logger, changed } = this.#parts;
+    const { clock, logger, onChange: changed } = this.#parts;
     const hasChanged = this.#rateLimits.applyAnswer(
       clock.now(),
       startKey(run.id, run.start),
@@ -101,7 +105,7 @@
    * @param run The run of the server.
    * @returns The time, or undefined if this node may send it no requests.
    */
-  wait(run: ServerRun): Duration | undefined {
+  waitTime(run: ServerRun): Duration | undefined {
     const now = this.#parts.clock.now();
     const share = this.#findShare(now, run);
     return share === undefined
@@ -114,8 +118,8 @@
    * @param runs The runs of the servers.
    * @returns Whether there are servers and this node may send to none now.
    */
-  areReached(runs: readonly ServerRun[]): boolean {
-    return runs.length > 0 && runs.every((run) => this.wait(run) !== 0);
+  areAllReached(runs: readonly ServerRun[]): boolean {
+    return runs.length > 0 && runs.every((run) => this.waitTime(run) !== 0);
   }
 
   /**
@@ -124,7 +128,10 @@
    * @param ahead The number of requests queued before it.
    * @returns The time, or undefined if this node may send them no requests.
    */
-  waitBehind(runs: readonly ServerRun[], ahead: number): Duration | undefined {
+  estimateQueueWait(
+    runs: readonly ServerRun[],
+    ahead: number,
+  ): Duration | undefined {
     const now = this.#parts.clock.now();
     const servers = runs.flatMap((run) => {
       const share = this.#findShare(now, run);
@@ -140,7 +147,7 @@
    * @param service The service.
    * @returns The number of requests ahead and a function that leaves the queue.
    */
-  queue(service: ServiceId): LimitQueuePlace {
+  enqueue(service: ServiceId): LimitQueuePlace {
     const ahead = this.#queueLengths.get(service) ?? 0;
     this.#queueLengths.set(service, ahead + 1);
     return {
@@ -159,7 +166,7 @@
    * @param run The run of the server.
    * @returns Whether the request may be sent now.
    */
-  take(run: ServerRun): boolean {
+  tryTake(run: ServerRun): boolean {
     const now = this.#parts.clock.now();
     const share = this.#findShare(now, run);
     return share === undefined || share.pacer.tryTake(now, share.rate);
@@ -169,7 +176,7 @@
    * Refunds a request that was taken and not sent.
    * @param run The run of the server.
    */
-  giveBack(run: ServerRun): void {
+  refund(run: ServerRun): void {
     this.#pacers.get(startKey(run.id, run.start))?.pacer.refund();
   }
 
--- a/packages/node/src/relay/request_placer.ts
+++ b/packages/node/src/relay/request_placer.ts
@@ -10,7 +10,7 @@
   RecentRefusals,
   type RegisteredServer,
 } from "@foxtailwind/core";
-import { BoundedSignal } from "@foxtailwind/edges";
+import { TimeLimitedSignal } from "@foxtailwind/edges";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type {
   AdapterGrants,
@@ -25,18 +25,18 @@
 import type { ServerLoads } from "./server_loads.ts";
 
 /** The server chosen for a request, with the callbacks for its end. */
-export interface Place {
+export interface Placement {
   readonly server: RegisteredServer;
   /** The adapter version that must serve the request, if known. */
   readonly adapterVersion?: number;
   /** Ends the use, if one was granted. */
   readonly release: () => void;
   /** Called if the server lacked the model or adapter of the request. */
-  readonly missed: () => void;
+  readonly reportMiss: () => void;
 }
 
 /** An engine that was asked for a placement, and its answer. */
-export interface PlaceAnswer {
+export interface PlacementAnswer {
   readonly engine: BackendServerId;
   /** The owner that was asked; `undefined` if none is known. */
   readonly owner?: NodeId;
@@ -52,7 +52,7 @@
   /** Cancels the search. */
   readonly signal: AbortSignal;
   /** Called with the answer of each engine that was asked. */
-  readonly onAnswer: (answer: PlaceAnswer) => void;
+  readonly onAnswer: (answer: PlacementAnswer) => void;
 }
 
 /** Dependencies of `RequestPlacer`. */
@@ -98,13 +98,13 @@
   placeOnServer(
     now: Instant,
     servers: readonly RegisteredServer[],
-  ): Place | undefined {
+  ): Placement | undefined {
     const { loads, limits } = this.#parts;
-    const available = servers.filter((server) => limits.wait(server) === 0);
+    const available = servers.filter((server) => limits.waitTime(server) === 0);
     const server = loads.choose(now, available, Math.random());
-    return server === undefined || !limits.take(server)
+    return server === undefined || !limits.tryTake(server)
       ? undefined
-      : { server, release: noop, missed: noop };
+      : { server, release: noop, reportMiss: noop };
   }
 
   /**
@@ -118,14 +118,14 @@
     use: ModelUse,
     servers: readonly RegisteredServer[],
     search: PlacementSearch,
-  ): Promise<Place | undefined> {
+  ): Promise<Placement | undefined> {
     const now = this.#parts.clock.now();
     const minimumVersion = use.adapter === undefined
       ? 0
       : this.#parts.knowledge.versions.newest(use.model, use.adapter);
     const candidates = servers
-      .filter((server) => !this.#parts.loads.of(server).isPaused(now))
-      .filter((server) => this.#parts.limits.wait(server) === 0)
+      .filter((server) => !this.#parts.loads.loadOf(server).isPaused(now))
+      .filter((server) => this.#parts.limits.waitTime(server) === 0)
       .map((server) =>
         this.#candidates.describe(now, server, { ...use, minimumVersion })
       )
@@ -138,7 +138,9 @@
       if (engine === undefined || search.signal.aborted) break;
       const { server } = engine;
       if (!this.#takesRequests(server)) continue;
-      if (!this.#hasRoom(engine) || !this.#parts.limits.take(server)) continue;
+      if (!this.#hasRoom(engine) || !this.#parts.limits.tryTake(server)) {
+        continue;
+      }
       const placement = await this.#requestUse(
         engine,
         use,
@@ -146,7 +148,7 @@
         search,
       );
       if (placement !== undefined) return placement;
-      this.#parts.limits.giveBack(server);
+      this.#parts.limits.refund(server);
     }
     return undefined;
   }
@@ -162,12 +164,12 @@
     use: ModelUse,
     minimumVersion: number,
     { signal, onAnswer, firstEventDeadline, longestPause }: PlacementSearch,
-  ): Promise<Place | undefined> {
+  ): Promise<Placement | undefined> {
     const { server, owner, address } = engine;
     if (owner === undefined || address === undefined) {
       onAnswer({ engine: engine.id, answer: "no_owner" });
       return engine.holdsAdapter
-        ? { server, release: noop, missed: noop }
+        ? { server, release: noop, reportMiss: noop }
         : undefined;
     }
     const answerTimeout = engine.holdsAdapter
@@ -176,9 +178,9 @@
     const timeout = Math.ceil(engine.expectedWait + answerTimeout);
     const target = { engine: engine.id, owner, address };
     if (owner !== this.#parts.self) {
-      this.#parts.knowledge.work.count("use_asked");
+      this.#parts.knowledge.workCounts.increment("use_asked");
     }
-    const answerSignal = new BoundedSignal(signal, timeout);
+    const answerSignal = new TimeLimitedSignal(signal, timeout);
     const answer = await this.#parts.grants.requestUse(
       target,
       {
@@ -189,7 +191,7 @@
         timeLeft: milliseconds(firstEventDeadline - this.#parts.clock.now()),
         needsBreak: longestPause !== undefined &&
           needsBreaks(
-            this.#parts.loads.of(server).prefillTimes.tokenTime,
+            this.#parts.loads.loadOf(server).prefillTimes.tokenTime,
             longestPause,
           ),
       },
@@ -211,14 +213,14 @@
         server,
         ...(version === 0 ? {} : { adapterVersion: version }),
         release,
-        missed: () => {
-          this.#parts.grants.missed(target);
+        reportMiss: () => {
+          this.#parts.grants.reportMiss(target);
         },
       };
     }
     const runsWithoutGrant = engine.holdsAdapter && answer.kind !== "no_room";
     return runsWithoutGrant && takesRequests && !signal.aborted
-      ? { server, release: noop, missed: noop }
+      ? { server, release: noop, reportMiss: noop }
       : undefined;
   }
 
