--- a/packages/node/src/relay/request_relay.ts
+++ b/packages/node/src/relay/request_relay.ts
@@ -8,20 +8,20 @@
   RELAY_SENTENCE,
 } from "@foxtailwind/core";
 import { afterPendingInput } from "@foxtailwind/edges";
-import { AnswerPassage } from "./answer_passage.ts";
+import { AnswerForwarder } from "./answer_forwarder.ts";
 import type { CallEnd } from "./backend_call.ts";
-import { PlaceFinder } from "./place_finder.ts";
+import { PlacementFinder } from "./placement_finder.ts";
 import {
   mayRunAgain,
-  type ReadRequest,
   requestDeadline,
   requestTimeLimit,
-} from "./read_request.ts";
+  type RoutedRequest,
+} from "./routed_request.ts";
 import type { RelayParts } from "./relay_parts.ts";
 import { chooseRefusalAnswer, type RelayRefusal } from "./relay_refusal.ts";
 import { formatRequestEnd } from "./request_end.ts";
 import { RequestSender } from "./request_sender.ts";
-import { SendRecord } from "./send_record.ts";
+import { SendHistory } from "./send_history.ts";
 
 /**
  * Relays one request: sends it to servers until one answers it, retries are
@@ -29,12 +29,12 @@
  */
 export class RequestRelay {
   readonly #parts: RelayParts;
-  readonly #request: ReadRequest;
+  readonly #request: RoutedRequest;
   readonly #cancellation = new AbortController();
-  readonly #sendRecord = new SendRecord();
+  readonly #sendRecord = new SendHistory();
   readonly #timeSinceStop: Duration | undefined;
-  readonly #answer: AnswerPassage;
-  readonly #finder: PlaceFinder;
+  readonly #answer: AnswerForwarder;
+  readonly #finder: PlacementFinder;
   readonly #sender: RequestSender;
   #outcome = "";
   #callFailure: string | undefined;
@@ -46,27 +46,27 @@
    * @param parts The collaborators.
    * @param request The request.
    */
-  constructor(parts: RelayParts, request: ReadRequest) {
+  constructor(parts: RelayParts, request: RoutedRequest) {
     this.#parts = parts;
     this.#request = request;
     const stop = parts.plannedStop();
     this.#timeSinceStop = stop && elapsed(stop.begunAt, request.arrivedAt);
-    this.#answer = new AnswerPassage(request, parts);
-    const earlierWait = parts.patience.estimateEarlierWait(
+    this.#answer = new AnswerForwarder(request, parts);
+    const earlierWait = parts.callerTimeouts.estimateEarlierWait(
       request.arrivedAt,
       request.route.name,
       requestTimeLimit(request),
     );
     const terms = {
-      wantedBy: later(
+      firstEventDeadline: later(
         request.arrivedAt,
         milliseconds(request.route.target - earlierWait),
       ),
-      endsAt: () => this.#deadline,
-      sent: this.#sendRecord,
-      over: this.#cancellation.signal,
+      deadline: () => this.#deadline,
+      sendRecord: this.#sendRecord,
+      abandonSignal: this.#cancellation.signal,
     };
-    this.#finder = new PlaceFinder(parts, request, terms);
+    this.#finder = new PlacementFinder(parts, request, terms);
     this.#sender = new RequestSender(parts, request, {
       ...terms,
       answer: this.#answer,
@@ -86,7 +86,10 @@
     response.on("drain", () => {
       this.#sender.call?.resume();
     });
-    this.#parts.allowances.earn(this.#now(), this.#request.service.id);
+    this.#parts.retryBudgets.recordRequest(
+      this.#now(),
+      this.#request.service.id,
+    );
     let continues = true;
     while (continues) continues = await this.#attempt();
     clearTimeout(this.#timer);
@@ -127,7 +130,7 @@
     if (place === undefined) {
       this.#refuse(
         this.#isEngine ? "no_engine" : "no_server",
-        this.#finder.comeBackAfter,
+        this.#finder.retryAfter,
       );
       return false;
     }
@@ -150,7 +153,7 @@
       this.#answer.isComplete
     ) {
       this.#answer.finish();
-      this.#parts.crashes.served(this.#request.content);
+      this.#parts.crashReports.recordServed(this.#request.content);
       this.#outcome = "answered";
       return false;
     }
@@ -195,7 +198,7 @@
       this.#sendRecord;
     if (possibleRuns >= route.attempts && possibleRuns > 0) return false;
     if (isSendLimitReached || this.#now() >= this.#deadline) return false;
-    const isAllowed = this.#parts.allowances.take(this.#now(), service.id);
+    const isAllowed = this.#parts.retryBudgets.tryTake(this.#now(), service.id);
     this.#parts.logger.info(
       isAllowed
         ? "A request is retried."
@@ -214,7 +217,7 @@
   }
 
   #endIfQuarantined(): boolean {
-    const quarantineTime = this.#parts.crashes.refusedFor(
+    const quarantineTime = this.#parts.crashReports.remainingQuarantine(
       this.#request.content,
     );
     if (quarantineTime === undefined) return false;
@@ -266,7 +269,7 @@
 
   #cancel(reason: string): void {
     this.#cancellation.abort(reason);
-    this.#sender.call?.cut(reason);
+    this.#sender.call?.abort(reason);
   }
 
   #isCancelled(): boolean {
@@ -288,7 +291,7 @@
   #logEnd(): void {
     const { route, arrivedAt } = this.#request;
     const duration = elapsed(arrivedAt, this.#now());
-    this.#parts.record(
+    this.#parts.recordRequest(
       route,
       this.#outcome,
       duration,
@@ -304,8 +307,8 @@
         framing: this.#answer.framing,
         callFailure: this.#callFailure,
         bodyDuration: this.#bodyDuration,
-        placeAnswers: this.#finder.asked,
-        limitWait: this.#finder.comeBackAfter,
+        placeAnswers: this.#finder.askedEngines,
+        limitWait: this.#finder.retryAfter,
         placementTime: this.#placementTime,
         timeToFirstByte: this.#answer.timeToFirstByte,
         duration,
--- a/packages/node/src/relay/request_sender.ts
+++ b/packages/node/src/relay/request_sender.ts
@@ -5,27 +5,27 @@
   requestUrgency,
   type SendResult,
 } from "@foxtailwind/core";
-import type { AnswerPassage } from "./answer_passage.ts";
+import type { AnswerForwarder } from "./answer_forwarder.ts";
 import { BackendCall, type CallEnd } from "./backend_call.ts";
 import { watchCall } from "./call_watch.ts";
-import type { PlaceTerms } from "./place_finder.ts";
-import { mayRunAgain, type ReadRequest } from "./read_request.ts";
+import type { PlacementTerms } from "./placement_finder.ts";
+import { mayRunAgain, type RoutedRequest } from "./routed_request.ts";
 import type { RelayParts } from "./relay_parts.ts";
-import type { Place } from "./request_placer.ts";
+import type { Placement } from "./request_placer.ts";
 
 /** The cancellation reason of requests that a server didn't answer in time. */
 const TIME_LIMIT = "time_limit";
 
 /** What all sends of a request have in common. */
-export interface SenderTerms extends PlaceTerms {
+export interface SenderTerms extends PlacementTerms {
   /** Handles the answers. */
-  readonly answer: AnswerPassage;
+  readonly answer: AnswerForwarder;
 }
 
 /** Sends one request to the servers that are chosen for it. */
 export class RequestSender {
   readonly #parts: RelayParts;
-  readonly #request: ReadRequest;
+  readonly #request: RoutedRequest;
   readonly #terms: SenderTerms;
   #call: BackendCall | undefined;
 
@@ -34,7 +34,7 @@
    * @param request The request.
    * @param terms What all its sends have in common.
    */
-  constructor(parts: RelayParts, request: ReadRequest, terms: SenderTerms) {
+  constructor(parts: RelayParts, request: RoutedRequest, terms: SenderTerms) {
     this.#parts = parts;
     this.#request = request;
     this.#terms = terms;
@@ -50,15 +50,15 @@
    * @param place The chosen server.
    * @returns How the call ended.
    */
-  async send(place: Place): Promise<CallEnd> {
-    const { pools, loads, nodes } = this.#parts;
+  async send(place: Placement): Promise<CallEnd> {
+    const { pools, loads, countNodes: nodes } = this.#parts;
     const { message, service, body } = this.#request;
     const { server } = place;
     const sentAt = this.#now();
-    const serverLoad = loads.of(server);
+    const serverLoad = loads.loadOf(server);
     const isResumed = this.#terms.answer.lastEventId !== undefined;
-    const isRepeat = this.#terms.sent.hasTried(server.id);
-    this.#terms.sent.recordSend(server.id);
+    const isRepeat = this.#terms.sendRecord.hasTried(server.id);
+    this.#terms.sendRecord.recordSend(server.id);
     serverLoad.recordSend(sentAt);
     const headers = this.#sendHeaders(place, sentAt);
     this.#terms.answer.beginSend(sentAt, {
@@ -66,7 +66,7 @@
         serverLoad.recordBytes(now);
       },
       onRequestLimit: (limit) => {
-        this.#parts.limits.answered(server, sentAt, limit);
+        this.#parts.limits.applyAnswer(server, sentAt, limit);
       },
     });
     const call = new BackendCall(this.#terms.answer);
@@ -75,7 +75,7 @@
     // repeat of the first answer could arrive, which has the same request id.
     const connections = isRepeat
       ? pools.createSingleUseClient(server)
-      : pools.pool(server, service.connectionLimit, nodes());
+      : pools.getPool(server, service.connectionLimit, nodes());
     call.send(connections, {
       method: message.method ?? "GET",
       path: message.url ?? "/",
@@ -87,8 +87,8 @@
       passage: this.#terms.answer,
       target: this.#request.route.target,
       mayBeReplaced: mayRunAgain(this.#request) &&
-        this.#terms.sent.possibleRuns < this.#request.route.attempts,
-      fellSilent: () => {
+        this.#terms.sendRecord.possibleRuns < this.#request.route.attempts,
+      onSilence: () => {
         pools.retire(server.id);
       },
     });
@@ -102,9 +102,9 @@
       serverLoad.prefillTimes.observe(this.#promptTokens, result.took);
     }
     const { answerKind, isMisdirected } = this.#terms.answer;
-    if (answerKind === "not_run" && isMisdirected) place.missed();
+    if (answerKind === "not_run" && isMisdirected) place.reportMiss();
     if (end.kind === "broken" && end.isConnectionLost && end.wasSent) {
-      this.#parts.crashes.broke(this.#request.content, {
+      this.#parts.crashReports.recordBrokenCall(this.#request.content, {
         server,
         load: serverLoad,
         isConnected: () => pools.isConnected(server),
@@ -114,30 +114,30 @@
     return end;
   }
 
-  #sendHeaders({ server, adapterVersion }: Place, now: Instant): string[] {
+  #sendHeaders({ server, adapterVersion }: Placement, now: Instant): string[] {
     const resumeAfter = this.#terms.answer.lastEventId;
     return this.#parts.wire.sendHeaders(this.#request.message.rawHeaders, {
       server: server.id,
-      timeLeft: milliseconds(Math.floor(this.#terms.endsAt() - now)),
+      timeLeft: milliseconds(Math.floor(this.#terms.deadline() - now)),
       ...(adapterVersion === undefined ? {} : { adapterVersion }),
       ...(this.#isEngine ? { urgency: this.#urgency(server, now) } : {}),
-      ...(resumeAfter === undefined ? {} : { resumeAfter }),
+      ...(resumeAfter === undefined ? {} : { resumeAfterEventId: resumeAfter }),
     });
   }
 
   #urgency(server: RegisteredServer, now: Instant): number {
     const { route } = this.#request;
-    const { prefillTimes } = this.#parts.loads.of(server);
+    const { prefillTimes } = this.#parts.loads.loadOf(server);
     return requestUrgency({
       target: route.target,
-      remaining: milliseconds(this.#terms.wantedBy - now),
+      remaining: milliseconds(this.#terms.firstEventDeadline - now),
       prefillTime: prefillTimes.estimate(this.#promptTokens),
       priority: route.priority,
     });
   }
 
   #classifyEnd(end: CallEnd): SendResult {
-    const { over } = this.#terms;
+    const { abandonSignal } = this.#terms;
     const { answerKind, timeToFirstByte } = this.#terms.answer;
     if (answerKind === "not_run") {
       return { kind: this.#terms.answer.isMisdirected ? "neutral" : "full" };
@@ -145,8 +145,8 @@
     if (answerKind === "passed" && timeToFirstByte !== undefined) {
       return { kind: "answered", took: timeToFirstByte };
     }
-    if (over.aborted) {
-      return { kind: over.reason === TIME_LIMIT ? "dead" : "neutral" };
+    if (abandonSignal.aborted) {
+      return { kind: abandonSignal.reason === TIME_LIMIT ? "dead" : "neutral" };
     }
     if (this.#terms.answer.hasFailure) return { kind: "failed" };
     return { kind: end.kind === "broken" ? "dead" : "failed" };
--- a/packages/node/src/relay/retry_budgets.ts
+++ b/packages/node/src/relay/retry_budgets.ts
@@ -25,7 +25,7 @@
    * @param now The present time.
    * @param service The service of the request.
    */
-  earn(now: Instant, service: ServiceId): void {
+  recordRequest(now: Instant, service: ServiceId): void {
     this.#budgetOf(service).recordRequest(now);
   }
 
@@ -35,7 +35,7 @@
    * @param service The service.
    * @returns Whether the retry is allowed.
    */
-  take(now: Instant, service: ServiceId): boolean {
+  tryTake(now: Instant, service: ServiceId): boolean {
     return this.#budgetOf(service).tryTake(
       now,
       Math.max(1, this.#countNodes()),
--- a/packages/node/src/relay/read_request.ts
+++ b/packages/node/src/relay/routed_request.ts
@@ -9,11 +9,11 @@
 } from "@foxtailwind/core";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { CallerRequest } from "./caller_wire.ts";
-import { lastMoment, type PlannedStop } from "./relay_stop.ts";
+import { type PlannedStop, workDeadline } from "./relay_stop.ts";
 import type { RequestContent } from "./request_content.ts";
 
 /** A caller's request that has been read completely and has a route. */
-export interface ReadRequest {
+export interface RoutedRequest {
   readonly message: IncomingMessage;
   readonly response: ServerResponse;
   readonly caller: CallerRequest;
@@ -31,7 +31,7 @@
  * @returns The time limit, from the request's arrival.
  */
 export function requestTimeLimit(
-  { route, caller }: Pick<ReadRequest, "route" | "caller">,
+  { route, caller }: Pick<RoutedRequest, "route" | "caller">,
 ): Duration {
   const { timeLimit } = route;
   return milliseconds(Math.min(timeLimit, caller.patience ?? timeLimit));
@@ -45,13 +45,13 @@
  * @returns The deadline.
  */
 export function requestDeadline(
-  request: Pick<ReadRequest, "route" | "caller" | "arrivedAt">,
+  request: Pick<RoutedRequest, "route" | "caller" | "arrivedAt">,
   stop: PlannedStop | undefined,
 ): Instant {
   const deadline = later(request.arrivedAt, requestTimeLimit(request));
   return stop === undefined
     ? deadline
-    : instant(Math.min(deadline, lastMoment(stop)));
+    : instant(Math.min(deadline, workDeadline(stop)));
 }
 
 /**
@@ -60,6 +60,6 @@
  * @param request The request.
  * @returns Whether its route allows that.
  */
-export function mayRunAgain({ route }: ReadRequest): boolean {
+export function mayRunAgain({ route }: RoutedRequest): boolean {
   return route.streams ? route.resumable : route.repeatable;
 }
--- a/packages/node/src/relay/send_record.ts
+++ b/packages/node/src/relay/send_history.ts
@@ -6,7 +6,7 @@
 const MAXIMUM_CONNECTION_FAILURES = 4;
 
 /** Records the sends of one request, and how many of them may have run it. */
-export class SendRecord {
+export class SendHistory {
   readonly #triedServers = new Set<BackendServerId>();
   #sends = 0;
   #possibleRuns = 0;
--- a/packages/node/src/relay/server_loads.ts
+++ b/packages/node/src/relay/server_loads.ts
@@ -32,7 +32,7 @@
    * @param server The server, as it is known now.
    * @returns The observed load.
    */
-  of({ id, start }: Pick<RegisteredServer, "id" | "start">): ServerLoad {
+  loadOf({ id, start }: Pick<RegisteredServer, "id" | "start">): ServerLoad {
     const known = this.#loads.get(id);
     if (known !== undefined && !isDifferentStart(known.start, start)) {
       known.start ??= start;
@@ -57,7 +57,7 @@
   ): RegisteredServer | undefined {
     const loaded = servers.map((server) => ({
       server,
-      load: this.of(server),
+      load: this.loadOf(server),
       isNear: server.failureDomain === this.#failureDomain,
     }));
     return chooseServer(now, loaded, random);
--- a/packages/node/src/relay/shared_log.ts
+++ b/packages/node/src/relay/shared_log.ts
@@ -59,9 +59,9 @@
    * Whether this node is one of the few that keep calling an unreachable log as
    * often as in a small cluster.
    */
-  abstract get triesFirst(): boolean;
+  abstract get retriesAtFullRate(): boolean;
   /** The number of nodes that read the log, including this one. */
-  abstract get readers(): number;
+  abstract get readerCount(): number;
   /** Whether this node places requests and so needs new claims at once. */
   abstract get isActive(): boolean;
   /** A configuration, which may be older than one received before. */
@@ -95,9 +95,9 @@
   /** A record can't be read and was skipped; called once for each record. */
   abstract recordSkipped(topic: RecordTopic, reason: SkipReason): void;
   /** The log has been read up to its end. */
-  abstract reached(): void;
+  abstract caughtUp(): void;
   /** A call to the log has failed. */
-  abstract failed(failure: Failure): void;
+  abstract callFailed(failure: Failure): void;
 }
 
 /** The platform's log as used by the relay. */
@@ -121,7 +121,7 @@
   abstract catchUp(): Promise<void>;
 
   /** Reads the claims soon, because this node has begun to place requests. */
-  abstract hurry(): void;
+  abstract catchUpSoon(): void;
 
   /**
    * Announces this node.
--- a/packages/node/src/relay/start_message.ts
+++ b/packages/node/src/relay/start_message.ts
@@ -8,7 +8,7 @@
  * @param start The start, if known.
  * @returns The start in Unix milliseconds; 0 if unknown.
  */
-export function writeStart(start: ServerStart | undefined): number {
+export function encodeStart(start: ServerStart | undefined): number {
   return start ?? UNKNOWN_START;
 }
 
@@ -17,6 +17,6 @@
  * @param value The start in Unix milliseconds; 0 if unknown.
  * @returns The start, if known.
  */
-export function readStart(value: number): ServerStart | undefined {
+export function decodeStart(value: number): ServerStart | undefined {
   return value === UNKNOWN_START ? undefined : serverStart(value);
 }
--- a/packages/node/src/relay/suspicion_tracker.ts
+++ b/packages/node/src/relay/suspicion_tracker.ts
@@ -8,13 +8,13 @@
   type SuspicionKey,
 } from "@foxtailwind/core";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { SuspicionChange } from "./shared_log.ts";
 
 /** The dependencies of {@link SuspicionTracker}. */
 export interface SuspicionTrackerParts {
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
 }
 
 /** Applies the log's suspicions that requests crash servers. */
@@ -23,11 +23,12 @@
   readonly #parts: SuspicionTrackerParts;
   #refusedContents: ReadonlySet<ContentDigest> = new Set();
   /** Called with suspicions dropped because their servers are alive. */
-  onServersLive: (dropped: readonly SuspicionKey[]) => void = () => undefined;
+  onSuspicionsDisproved: (dropped: readonly SuspicionKey[]) => void = () =>
+    undefined;
   /** Called when further request contents are refused. */
   onContentsRefused: () => void = () => undefined;
   /** Returns the suspicions of this node that the log may not hold yet. */
-  unwritten: () => readonly SuspicionKey[] = () => [];
+  pendingSuspicions: () => readonly SuspicionKey[] = () => [];
 
   /** @param parts The dependencies. */
   constructor(parts: SuspicionTrackerParts) {
@@ -51,7 +52,7 @@
    * @param suspicions The suspicions.
    */
   applyListing(suspicions: readonly CrashSuspicion[]): void {
-    this.quarantine.retainOnly([...suspicions, ...this.unwritten()]);
+    this.quarantine.retainOnly([...suspicions, ...this.pendingSuspicions()]);
     for (const suspicion of suspicions) {
       this.applyChange({ kind: "added", suspicion });
     }
@@ -82,6 +83,8 @@
     const known = registry.newestOffset(id);
     if (known === undefined || entry.offset <= known) return;
     const now = this.#parts.clock.now();
-    this.onServersLive(this.quarantine.recordServerWrite(now, id, start));
+    this.onSuspicionsDisproved(
+      this.quarantine.recordServerWrite(now, id, start),
+    );
   }
 }
--- a/packages/node/src/relay/work_counts.ts
+++ b/packages/node/src/relay/work_counts.ts
@@ -31,7 +31,7 @@
    * Increments a count.
    * @param kind The kind of work.
    */
-  count(kind: WorkKind): void {
+  increment(kind: WorkKind): void {
     this.#counts.set(kind, (this.#counts.get(kind) ?? 0) + 1);
   }
 }
--- a/packages/node/src/routing/address_directory.ts
+++ b/packages/node/src/routing/address_directory.ts
@@ -30,7 +30,7 @@
 }
 
 /** Finds the node that controls the engine likely to serve an adapter. */
-export abstract class AdapterControllers {
+export abstract class AdapterControllerFinder {
   /**
    * Finds the node.
    * @param adapter The adapter, with or without a version.
@@ -43,8 +43,8 @@
 export interface AddressDirectoryParts {
   readonly directory: VmDirectory;
   readonly peers: PeerViews;
-  readonly controllers: AdapterControllers;
-  readonly longestLifetime: Duration;
+  readonly controllers: AdapterControllerFinder;
+  readonly maximumLifetime: Duration;
 }
 
 /** What a caller states about itself and its work. */
@@ -84,7 +84,7 @@
       entries.map((vm) => this.#toCandidate(vm)),
       this.#toQuery(request),
       {
-        maximumLifetime: this.#parts.longestLifetime,
+        maximumLifetime: this.#parts.maximumLifetime,
         random: this.#random,
       },
     );
--- a/packages/node/src/routing/local_peer_views.ts
+++ b/packages/node/src/routing/local_peer_views.ts
@@ -2,18 +2,18 @@
 import { PeerViews } from "./address_directory.ts";
 
 /** The state of this node. */
-export interface OwnState {
+export interface LocalNodeState {
   readonly self: NodeId;
   readonly isLeaving: () => boolean;
   readonly load: () => number;
 }
 
 /** Knows only this node; of other nodes, only the VM list is used. */
-export class OwnView extends PeerViews {
-  readonly #localNode: OwnState;
+export class LocalPeerViews extends PeerViews {
+  readonly #localNode: LocalNodeState;
 
   /** @param own The state of this node. */
-  constructor(own: OwnState) {
+  constructor(own: LocalNodeState) {
     super();
     this.#localNode = own;
   }
--- a/packages/node/src/routing/routed_controllers.ts
+++ b/packages/node/src/routing/routed_controller_finder.ts
@@ -6,7 +6,7 @@
   type ModelId,
   type NodeId,
 } from "@foxtailwind/core";
-import { AdapterControllers } from "./address_directory.ts";
+import { AdapterControllerFinder } from "./address_directory.ts";
 
 /** Determines where requests for an adapter are likely to be sent. */
 export interface LikelyControllerFinder {
@@ -23,7 +23,7 @@
 }
 
 /** Finds controllers by means of the generation router. */
-export class RoutedControllers extends AdapterControllers {
+export class RoutedControllerFinder extends AdapterControllerFinder {
   readonly #router: LikelyControllerFinder;
   readonly #configuration: Configuration;
 
--- a/packages/node/src/routing/service_channel.ts
+++ b/packages/node/src/routing/service_channel.ts
@@ -10,14 +10,14 @@
   type ServiceRouterOptions,
   type ServiceServerView,
 } from "@foxtailwind/core";
-import type { ServiceAnswer, ServiceClient } from "@foxtailwind/edges";
+import type { ServiceClient, ServiceResponse } from "@foxtailwind/edges";
 import { err, ok, type Result } from "neverthrow";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { ServiceRequest } from "../delivery/mod.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 
 /** The result of a call to a service. */
-export type ServiceResult = Result<ServiceAnswer, Failure>;
+export type ServiceResult = Result<ServiceResponse, Failure>;
 
 /** A server and its address. */
 export interface AddressedServer extends ServiceServerView {
@@ -30,13 +30,13 @@
   readonly router: ServiceRouterOptions;
   readonly client: ServiceClient;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
 }
 
 interface PendingCall {
   readonly request: ServiceRequest;
   readonly resolve: (result: ServiceResult) => void;
-  readonly answers: Map<number, ServiceAnswer>;
+  readonly answers: Map<number, ServiceResponse>;
   readonly abortControllers: Map<number, AbortController>;
 }
 
--- a/packages/node/src/routing/service_dispatcher.ts
+++ b/packages/node/src/routing/service_dispatcher.ts
@@ -10,12 +10,12 @@
   type ServiceId,
   serviceId,
 } from "@foxtailwind/core";
-import type { ServiceAnswer, ServiceClient } from "@foxtailwind/edges";
+import type { ServiceClient, ServiceResponse } from "@foxtailwind/edges";
 import { err, type Result } from "neverthrow";
 import { randomInt, randomUUID } from "node:crypto";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import { ServiceCallRunner, type ServiceRequest } from "../delivery/mod.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { VmDirectory } from "../platform/vm_directory.ts";
 import {
   type AddressedServer,
@@ -30,7 +30,7 @@
   readonly directory: VmDirectory;
   readonly configuration: Configuration;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
 }
 
 /** Options of a service call. */
@@ -59,7 +59,7 @@
 
   override async runOnce(
     request: ServiceRequest,
-  ): Promise<Result<ServiceAnswer, Failure>> {
+  ): Promise<Result<ServiceResponse, Failure>> {
     const id = requestId(randomUUID());
     return await this.call(request, { id, repeatable: false });
   }
--- a/packages/node/src/serving/engine_generations.ts
+++ b/packages/node/src/serving/engine_generations.ts
@@ -10,7 +10,7 @@
 } from "@foxtailwind/core";
 import type { GenerationEnd, GenerationHandle } from "@foxtailwind/edges";
 import { err, type Result } from "neverthrow";
-import { contentOf } from "../crashes/mod.ts";
+import { digestGenerationContent } from "../crashes/mod.ts";
 import type { EngineGenerationsParts } from "./engine_generations_parts.ts";
 import { EngineLivenessCheck } from "./engine_liveness_check.ts";
 import { isRefusal } from "./engine_poller.ts";
@@ -170,7 +170,11 @@
           this.#parts.stateTracker.addOrphan(request);
           const now = this.#now();
           const ranFor = firstTokenAt && elapsed(firstTokenAt, now);
-          this.#parts.suspects.broke(now, contentOf(generation), ranFor);
+          this.#parts.suspects.recordBrokenStream(
+            now,
+            digestGenerationContent(generation),
+            ranFor,
+          );
         } else controller.requestEnded(this.#now(), request, generatedTokens);
         this.#handleEnd(pending, result);
       },
--- a/packages/node/src/serving/engine_liveness_check.ts
+++ b/packages/node/src/serving/engine_liveness_check.ts
@@ -41,12 +41,12 @@
 
   #isUndetermined(): boolean {
     const { clock, poller, suspects } = this.#parts;
-    return !poller.isStopped() && suspects.arePending(clock.now());
+    return !poller.isStopped() && suspects.hasPending(clock.now());
   }
 
   async #probe(): Promise<void> {
     const { clock, poller, suspects } = this.#parts;
     const probedAt = clock.now();
-    if (await poller.readState()) suspects.lives(probedAt);
+    if (await poller.readState()) suspects.recordAlive(probedAt);
   }
 }
--- a/packages/node/src/serving/engine_loads.ts
+++ b/packages/node/src/serving/engine_loads.ts
@@ -5,13 +5,13 @@
   type RequestId,
   type RequestObserver,
 } from "@foxtailwind/core";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { AdapterAggregates } from "./adapter_aggregates.ts";
 import { EngineOrders, type EngineOrdersParts } from "./engine_orders.ts";
 
 /** The dependencies of {@link EngineLoads}. */
 export interface EngineLoadsParts extends EngineOrdersParts {
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
   readonly observer: RequestObserver;
   readonly aggregates: AdapterAggregates;
 }
--- a/packages/node/src/serving/engine_orders.ts
+++ b/packages/node/src/serving/engine_orders.ts
@@ -8,7 +8,7 @@
 import { err, ok, type Result } from "neverthrow";
 import { setTimeout as sleep } from "node:timers/promises";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { OrderRight } from "./order_right.ts";
+import type { OrderAuthorizer } from "./order_authorizer.ts";
 
 /**
  * The time within which the engine may act on an order. Orders must end
@@ -22,7 +22,7 @@
   readonly engine: EngineId;
   readonly client: EngineClient;
   readonly clock: SteadyClock;
-  readonly right: OrderRight;
+  readonly orderAuthorizer: OrderAuthorizer;
   /** The time from an order's start within which the engine may act on it. */
   readonly expiresInMilliseconds?: number;
 }
@@ -68,13 +68,13 @@
     adapter: AdapterReference,
     expectsResident: boolean,
   ): Promise<Result<void, Failure>> {
-    const { client, clock, right: authorizer, engine } = this.#parts;
+    const { client, clock, orderAuthorizer: authorizer, engine } = this.#parts;
     const expiry = this.#parts.expiresInMilliseconds ??
       ORDER_EXPIRY_MILLISECONDS;
     const startedAt = clock.now();
-    const fencing = authorizer.current(engine, startedAt);
+    const fencing = authorizer.authorizeOrder(engine, startedAt);
     if (fencing.isErr()) return err(fencing.error);
-    const result = await client.order({
+    const result = await client.sendOrder({
       kind,
       adapter,
       fencing: fencing.value,
--- a/packages/node/src/serving/engine_runner.ts
+++ b/packages/node/src/serving/engine_runner.ts
@@ -18,7 +18,7 @@
 } from "@foxtailwind/edges";
 import type { Result } from "neverthrow";
 import type { SteadyClock } from "../clock/steady_clock.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import { type CrashMemory, EngineSuspects } from "../crashes/mod.ts";
 import type { AdapterAggregates } from "./adapter_aggregates.ts";
 import { EngineGenerations } from "./engine_generations.ts";
@@ -31,7 +31,7 @@
   pendingGeneration,
   type RequestWithSink,
 } from "./pending_generations.ts";
-import type { OrderRight } from "./order_right.ts";
+import type { OrderAuthorizer } from "./order_authorizer.ts";
 import type { LoadPermits } from "./permits/load_permits.ts";
 import { WishPublisher } from "./permits/wish_publisher.ts";
 
@@ -42,9 +42,9 @@
   readonly engine: EngineId;
   readonly client: EngineClient;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
   readonly observer: RequestObserver;
-  readonly right: OrderRight;
+  readonly orderAuthorizer: OrderAuthorizer;
   readonly permits: LoadPermits;
   readonly aggregates: AdapterAggregates;
   readonly views: EngineViews;
@@ -80,7 +80,7 @@
       controlledSince: () => this.#controlledSince,
       hasRequest: (request) => this.#generations.has(request),
       onRestart: (state, previousBootId) => {
-        this.#suspects.ended(this.#now(), previousBootId);
+        this.#suspects.recordRunEnd(this.#now(), previousBootId);
         this.#handleRestart(state);
       },
       setReachable: (isReachable) => {
@@ -141,7 +141,7 @@
     if (isReachable) views.put(this.#controller);
     else {
       views.remove(this.#controller);
-      this.#suspects.ended(this.#now(), this.#poller.bootId);
+      this.#suspects.recordRunEnd(this.#now(), this.#poller.bootId);
     }
     const change = isReachable ? "is reachable again" : "refuses connections";
     logger.warn(`An engine ${change}.`, { engine });
--- a/packages/node/src/serving/generation_router.ts
+++ b/packages/node/src/serving/generation_router.ts
@@ -21,7 +21,7 @@
 import { err } from "neverthrow";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import type { CrashMemory } from "../crashes/mod.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { PeerChannels } from "../peers/peer_channels.ts";
 import type { PeerClients } from "../peers/peer_clients.ts";
 import type { VmDirectory, VmOfRole } from "../platform/vm_directory.ts";
@@ -31,7 +31,7 @@
 import { EngineViews } from "./engine_views.ts";
 import { toQueuedRequest } from "./generation_estimates.ts";
 import type { GenerationRequest } from "./generation_request.ts";
-import type { OrderRight } from "./order_right.ts";
+import type { OrderAuthorizer } from "./order_authorizer.ts";
 import type { LoadPermits } from "./permits/load_permits.ts";
 import {
   callerLeftFailure,
@@ -49,9 +49,9 @@
   readonly peers: PeerClients;
   readonly channels: PeerChannels;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
   readonly observer: RequestObserver;
-  readonly right: OrderRight;
+  readonly orderAuthorizer: OrderAuthorizer;
   readonly assignment: EngineAssignment;
   readonly permits: LoadPermits;
   readonly aggregates: AdapterAggregates;
--- a/packages/node/src/serving/permits/node_load_permits.ts
+++ b/packages/node/src/serving/permits/node_load_permits.ts
@@ -9,7 +9,7 @@
 } from "@foxtailwind/core";
 import type { WeightStoreClient } from "@foxtailwind/edges";
 import type { SteadyClock } from "../../clock/steady_clock.ts";
-import type { PartLogger } from "../../logging/part_logger.ts";
+import type { ComponentLogger } from "../../logging/component_logger.ts";
 import type { PeerChannels } from "../../peers/peer_channels.ts";
 import type { VmDirectory } from "../../platform/vm_directory.ts";
 import type { MeasuredLoadEstimates } from "../adapter_aggregates.ts";
@@ -36,7 +36,7 @@
   readonly directory: VmDirectory;
   readonly channels: PeerChannels;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
   readonly loadEstimates: MeasuredLoadEstimates;
 }
 
@@ -166,7 +166,7 @@
     this.#link?.close();
     this.#link = undefined;
     if (address === undefined) return;
-    const channel = this.#parts.channels.channel(address);
+    const channel = this.#parts.channels.getChannel(address);
     const link = new PermitLink(address, channel, {
       onPermit: (engine, adapter) => {
         this.#deliverPermit({ engine, adapter });
--- a/packages/node/src/serving/serving_parts.ts
+++ b/packages/node/src/serving/serving_parts.ts
@@ -11,7 +11,7 @@
 } from "@foxtailwind/edges";
 import type { SteadyClock } from "../clock/steady_clock.ts";
 import { CrashMemory } from "../crashes/mod.ts";
-import type { PartLogger } from "../logging/part_logger.ts";
+import type { ComponentLogger } from "../logging/component_logger.ts";
 import type { PeerChannels } from "../peers/peer_channels.ts";
 import type { PeerClients } from "../peers/peer_clients.ts";
 import type { PeerRegistration } from "../peers/peer_server.ts";
@@ -22,7 +22,7 @@
   RendezvousAssignment,
 } from "./engine_assignment.ts";
 import { GenerationRouter } from "./generation_router.ts";
-import type { OrderRight } from "./order_right.ts";
+import type { OrderAuthorizer } from "./order_authorizer.ts";
 import { NodeLoadPermits } from "./permits/node_load_permits.ts";
 import { PermitService } from "./permits/permit_service.ts";
 import { SummaryService } from "./summaries/summary_service.ts";
@@ -34,9 +34,9 @@
   readonly peers: PeerClients;
   readonly channels: PeerChannels;
   readonly clock: SteadyClock;
-  readonly logger: PartLogger;
+  readonly logger: ComponentLogger;
   readonly observer: RequestObserver;
-  readonly right: OrderRight;
+  readonly orderAuthorizer: OrderAuthorizer;
   /** Which node controls each engine; by default from the directory. */
   readonly assignment?: EngineAssignment;
   readonly store: WeightStoreId;
--- a/packages/node/src/serving/summaries/summary_watcher.ts
+++ b/packages/node/src/serving/summaries/summary_watcher.ts
@@ -107,7 +107,7 @@
     const client = new EngineSummariesClient(
       address,
       credentials.createInsecure(),
-      { channelOverride: this.#parts.channels.channel(address) },
+      { channelOverride: this.#parts.channels.getChannel(address) },
     );
     const stream = client.watch({ node: this.#parts.self });
     const watch: NodeWatch = { stream, views: new Map() };
--- a/packages/node/src/telemetry/peer_collector.ts
+++ b/packages/node/src/telemetry/peer_collector.ts
@@ -69,7 +69,7 @@
     const client = new telemetry.TelemetryClient(
       address,
       credentials.createInsecure(),
-      { channelOverride: this.#channels.channel(address) },
+      { channelOverride: this.#channels.getChannel(address) },
     );
     const deadline = Date.now() + PEER_TIMEOUT_MILLISECONDS;
     return new Promise((resolve) => {
--- a/packages/node/tests/callers/callers_page_test.ts
+++ b/packages/node/tests/callers/callers_page_test.ts
@@ -18,7 +18,7 @@
   }));
   t.true(examples.length > 0);
   const cluster = await startCallerCluster(t, {
-    cold: true,
+    skipWarmUp: true,
     engineSettings: ["tokens_per_frame=64"],
   });
   await cluster.publish([{
--- a/packages/node/tests/cluster/planned_stop_test.ts
+++ b/packages/node/tests/cluster/planned_stop_test.ts
@@ -5,8 +5,12 @@
 
 test("nodes that all leave at once do not wait for each other", async (t) => {
   const { nodes } = await startCluster(t, 3);
-  await until(() => nodes.every(({ cluster }) => cluster.live.length === 3));
-  await until(() => nodes.some(({ cluster }) => cluster.controlled.length > 0));
+  await until(() =>
+    nodes.every(({ cluster }) => cluster.liveMembers.length === 3)
+  );
+  await until(() =>
+    nodes.some(({ cluster }) => cluster.controlledEngines.length > 0)
+  );
   const released = await Promise.all(nodes.map(async ({ cluster }) => {
     const handOver = new ClusterHandOver(cluster);
     await handOver.announceLeaving();
--- a/packages/node/tests/configuration/spread_test.ts
+++ b/packages/node/tests/configuration/spread_test.ts
@@ -276,7 +276,7 @@
 });
 
 function listedVm(cluster: InProcessCluster, node: InProcessNode) {
-  const vm = cluster.vmList.readShown(performance.now()).find(({ id }) =>
+  const vm = cluster.vmList.readVisible(performance.now()).find(({ id }) =>
     id === node.id
   );
   if (vm === undefined) throw new Error("The node is not listed");
--- a/packages/node/tests/delivery/generations_test.ts
+++ b/packages/node/tests/delivery/generations_test.ts
@@ -142,9 +142,10 @@
 
 for (const kind of ["free", "bound"] as const) {
   test.serial(`a generation with a ${kind} key runs once for all callers`, async (t) => {
-    const scope = getCluster().nodes[0]?.daemon.keyedExecution.scopeText(
-      60_000,
-    );
+    const scope = getCluster().nodes[0]?.daemon.keyedExecution
+      .createScopePrefix(
+        60_000,
+      );
     const key = `${kind === "bound" ? scope ?? "" : ""}draft-1`;
     const headers = { "idempotency-key": key };
     const content = `With a ${kind} key.`;
--- a/packages/node/tests/drain/leaving_engines_test.ts
+++ b/packages/node/tests/drain/leaving_engines_test.ts
@@ -2,10 +2,10 @@
 import { FakeEngine } from "@foxtailwind/standins";
 import test, { type ExecutionContext } from "ava";
 import {
+  buildVm,
   type Deployment,
   startDeployment,
   until,
-  vmOf,
 } from "../helpers/deployment.ts";
 import {
   publishAdapter,
@@ -28,7 +28,7 @@
     model: modelId("base"),
     checksFencing: true,
   } as const;
-  deployment.vmList.setVm(vmOf(engineId("engine-2"), address, role));
+  deployment.vmList.setVm(buildVm(engineId("engine-2"), address, role));
   await deployment.refresh();
   await publishAdapter(deployment);
   const [daemon] = deployment.daemons;
--- a/packages/node/tests/drain/planned_stop_test.ts
+++ b/packages/node/tests/drain/planned_stop_test.ts
@@ -79,7 +79,7 @@
 test("the operator's time limit ends a stop with work in progress", async (t) => {
   const { urls, daemons, servers } = await startDeployment(t, {
     servers: [{}],
-    longestStopSeconds: 0.2,
+    maximumStopSeconds: 0.2,
   });
   servers[0]?.setFaults({ outage: "hang" });
   const call = fetch(`${urls[0]}/v1/services/booking/slots`).catch(() => null);
--- a/packages/node/tests/helpers/cluster.ts
+++ b/packages/node/tests/helpers/cluster.ts
@@ -16,15 +16,15 @@
 import type { ExecutionContext } from "ava";
 import {
   ClusterNode,
-  clusterService,
   ClusterTransport,
+  createClusterService,
   LoggerFactory,
   PeerChannels,
   PeerServer,
   SteadyClock,
   VmDirectory,
 } from "@foxtailwind/node";
-import { vmOf } from "./deployment.ts";
+import { buildVm } from "./deployment.ts";
 
 const LOG_LEVEL_SILENT = -999;
 
@@ -36,7 +36,7 @@
   #skipped = 0;
 
   /** @param milliseconds How far to advance the clock. */
-  skip(milliseconds: number): void {
+  advance(milliseconds: number): void {
     this.#skipped += milliseconds;
   }
 
@@ -76,7 +76,7 @@
   t.teardown(() => Promise.all([log.close(), vmList.close()]));
   const model = modelId("base");
   const role = { kind: "engine", model, checksFencing: true } as const;
-  vmList.setVm(vmOf(ENGINE, "127.0.0.1:1", role));
+  vmList.setVm(buildVm(ENGINE, "127.0.0.1:1", role));
   const nodes = await Promise.all(
     Array.from(
       { length: count },
@@ -91,9 +91,11 @@
  * @param nodes The nodes.
  * @returns The node, or undefined if there is none.
  */
-export function holderOf(nodes: readonly TestNode[]): TestNode | undefined {
+export function findOrderingNode(
+  nodes: readonly TestNode[],
+): TestNode | undefined {
   return nodes.find(({ cluster, clock }) =>
-    cluster.current(ENGINE, clock.now()).isOk()
+    cluster.authorizeOrder(ENGINE, clock.now()).isOk()
   );
 }
 
@@ -106,7 +108,7 @@
   },
 ): Promise<TestNode> {
   const dispatcher = createDispatcher();
-  const logger = new LoggerFactory("human", LOG_LEVEL_SILENT).forPart(
+  const logger = new LoggerFactory("human", LOG_LEVEL_SILENT).forComponent(
     "membership",
   );
   const clock = new AdvanceableClock();
@@ -137,14 +139,14 @@
     logger,
   });
   const server = new PeerServer([
-    clusterService((message) => {
+    createClusterService((message) => {
       cluster.receive(message);
     }),
   ]);
   const port = await server.listen({ host: "127.0.0.1", port: 0 });
   const address = `127.0.0.1:${port}`;
   vmList.setVm({
-    ...vmOf(id, address, { kind: "entry" }),
+    ...buildVm(id, address, { kind: "entry" }),
     peerAddress: address,
   });
   await directory.start();
--- a/packages/node/tests/helpers/deployment.ts
+++ b/packages/node/tests/helpers/deployment.ts
@@ -25,7 +25,7 @@
   readonly servers?: readonly Partial<FakePlainServiceSettings>[];
   readonly engine?: Partial<FakeEngineSettings>;
   readonly addressLifetimeSeconds?: number;
-  readonly longestStopSeconds?: number;
+  readonly maximumStopSeconds?: number;
 }
 
 /** Daemons and stand-ins that run in the test's process. */
@@ -91,7 +91,7 @@
  * @param role Its role.
  * @returns The VM, live.
  */
-export function vmOf(id: string, address: string, role: VmRole): Vm {
+export function buildVm(id: string, address: string, role: VmRole): Vm {
   return {
     id,
     address: address.replace("http://", ""),
@@ -113,7 +113,7 @@
     const address = await server.listen();
     t.teardown(() => server.close());
     const service = serviceId("booking");
-    vmList.setVm(vmOf(id, address, { kind: "service", service }));
+    vmList.setVm(buildVm(id, address, { kind: "service", service }));
     return server;
   }));
 }
@@ -133,7 +133,7 @@
     model: modelId("base"),
     checksFencing: true,
   } as const;
-  vmList.setVm(vmOf(id, address, role));
+  vmList.setVm(buildVm(id, address, role));
   return engine;
 }
 
@@ -156,7 +156,7 @@
       weight_store: log.address,
     },
     addresses: { lifetime_seconds: size.addressLifetimeSeconds ?? 0.05 },
-    stop: { longest_wait_seconds: size.longestStopSeconds },
+    stop: { longest_wait_seconds: size.maximumStopSeconds },
   });
   const daemon = new Daemon(
     settings,
@@ -165,7 +165,7 @@
   const addresses = await daemon.start();
   t.teardown(() => daemon.stop());
   vmList.setVm({
-    ...vmOf(id, addresses.http, { kind: "entry" }),
+    ...buildVm(id, addresses.http, { kind: "entry" }),
     peerAddress: addresses.grpc,
   });
   return { daemon, url: `http://${addresses.http}` };
--- a/packages/node/tests/helpers/echo_server.ts
+++ b/packages/node/tests/helpers/echo_server.ts
@@ -3,7 +3,7 @@
 import { once } from "node:events";
 import { createServer, type IncomingHttpHeaders } from "node:http";
 import type { AddressInfo } from "node:net";
-import { type Deployment, startDeployment, vmOf } from "./deployment.ts";
+import { buildVm, type Deployment, startDeployment } from "./deployment.ts";
 
 /** A request as the server received it. */
 export interface ReceivedRequest {
@@ -47,7 +47,7 @@
   const deployment = await startDeployment(t, {});
   const service = serviceId("booking");
   deployment.vmList.setVm(
-    vmOf("echo", `127.0.0.1:${port}`, { kind: "service", service }),
+    buildVm("echo", `127.0.0.1:${port}`, { kind: "service", service }),
   );
   await deployment.refresh();
   return { ...deployment, echo: { requests } };
--- a/packages/node/tests/helpers/test_cluster.ts
+++ b/packages/node/tests/helpers/test_cluster.ts
@@ -39,7 +39,7 @@
   /** Sections to add to or replace in the daemons' settings. */
   readonly settings?: Readonly<Record<string, Readonly<object>>>;
   /** Skips the warm-up requests to each engine. */
-  readonly cold?: boolean;
+  readonly skipWarmUp?: boolean;
 }
 
 /** A daemon that runs in the test's process. */
@@ -204,7 +204,7 @@
   const cluster = new TestCluster(nodes, standIns);
   await Promise.all(nodes.map(({ daemon }) => daemon.directory.refresh()));
   await cluster.publish(WARM_UP_CHANGES);
-  if (size.cold !== true && size.engines > 0) await warmUp(cluster);
+  if (size.skipWarmUp !== true && size.engines > 0) await warmUp(cluster);
   return cluster;
 }
 
--- a/packages/node/tests/logging/part_logger_test.ts
+++ b/packages/node/tests/logging/component_logger_test.ts
@@ -9,12 +9,12 @@
   const loggers = new LoggerFactory(format, LEVEL_INFO, (line) => {
     text += line;
   });
-  const logger = loggers.forPart("callers");
+  const logger = loggers.forComponent("callers");
   logger.info("A caller was cut.", { request: "r-1", peer: "caller" });
   logger.warn("A value has spaces.", { reason: 'too "slow" to read' });
   logger.error("A field is not there.", { cause: undefined, left: 0 });
   logger.debug("Nobody sees this.");
-  loggers.forPart("daemon").info("Ready.");
+  loggers.forComponent("daemon").info("Ready.");
   return text.replaceAll(TIME, "(time)");
 }
 
--- a/packages/node/tests/metrics/statsd_metrics_test.ts
+++ b/packages/node/tests/metrics/statsd_metrics_test.ts
@@ -13,7 +13,9 @@
   const metrics = new StatsdMetrics({
     address: { host: "127.0.0.1", port: server.address().port },
     tags: { node: "node-1" },
-    logger: new LoggerFactory("human", LOG_LEVEL_SILENT).forPart("metrics"),
+    logger: new LoggerFactory("human", LOG_LEVEL_SILENT).forComponent(
+      "metrics",
+    ),
   });
   const received = once(server, "message");
   metrics.count("requests", { route: "completions", outcome: "whole" });
--- a/packages/node/tests/peers/hand_over_test.ts
+++ b/packages/node/tests/peers/hand_over_test.ts
@@ -19,8 +19,8 @@
   type Vm,
 } from "@foxtailwind/edges";
 import {
+  createGenerationService,
   type GenerationRequest,
-  generationService,
   HandOverOutbox,
   PeerChannels,
   PeerClients,
@@ -90,7 +90,7 @@
   const clock = new ProcessClock();
   const work = new WorkInProgress();
   const server = new PeerServer([
-    generationService({ router: controller, clock, work }),
+    createGenerationService({ router: controller, clock, work }),
   ]);
   const port = await server.listen({ host: "127.0.0.1", port: 0 });
   const channels = new PeerChannels();
--- a/packages/node/tests/relay/answer_delivery_test.ts
+++ b/packages/node/tests/relay/answer_delivery_test.ts
@@ -18,7 +18,7 @@
 import { fileURLToPath } from "node:url";
 import { parseBody, rawCall } from "./helpers/raw_call.ts";
 import { startWorld } from "./helpers/relay_world.ts";
-import { OPEN_ENDED, serveRaw } from "./helpers/serve_raw.ts";
+import { CLOSE_DELIMITED_HEAD, serveRaw } from "./helpers/serve_raw.ts";
 
 /** Enough for bytes in the kernel's buffers to arrive. */
 const SETTLE_MILLISECONDS = 100;
@@ -55,7 +55,7 @@
   const world = await startWorld(t);
   let finish = (): void => undefined;
   await serveRaw(t, world, "s1", (socket) => {
-    socket.write(`${OPEN_ENDED}id: 1\ndata: a\n\n`);
+    socket.write(`${CLOSE_DELIMITED_HEAD}id: 1\ndata: a\n\n`);
     finish = () => socket.end("id: 2\ndata: b\n\n");
   });
   const { socket, seen } = connectCaller(world.port, true);
@@ -66,7 +66,10 @@
   finish();
   await sleep(SETTLE_MILLISECONDS);
   socket.destroy();
-  const { body, looksWhole } = parseBody(seen.bytes, !seen.hasEnded);
+  const { body, looksComplete: looksWhole } = parseBody(
+    seen.bytes,
+    !seen.hasEnded,
+  );
   const hasLastEvent = body.endsWith("id: 2\ndata: b\n\n");
   t.true(
     hasLastEvent || !looksWhole,
@@ -95,7 +98,7 @@
   await serveRaw(t, world, "s1", (socket, request) => {
     const id = /x-id: (\w+)/i.exec(request)?.[1] ?? "";
     runs.push(id);
-    socket.end(`${OPEN_ENDED.replace("r1", id)}well ${id}`);
+    socket.end(`${CLOSE_DELIMITED_HEAD.replace("r1", id)}well ${id}`);
   });
   const { socket, seen } = connectCaller(world.port);
   socket.write(formatRequest("/once/a", "r1") + formatRequest("/once/b", "r2"));
@@ -121,9 +124,9 @@
     });
   });
   const call = rawCall(port, "/stream/a");
-  await call.heard("id: 1");
+  await call.received("id: 1");
   child.kill("SIGKILL");
-  const { body, looksWhole } = await call.ended;
+  const { body, looksComplete: looksWhole } = await call.ended;
   t.is(body, "id: 1\ndata: a\n\n");
   t.false(looksWhole, "It should look incomplete.");
 });
@@ -188,22 +191,29 @@
   socket.write(formatRequest("/patient/a", "slow"));
   while (world.outcomes.length === 0) await sleep(5);
   t.deepEqual(world.outcomes, ["answered"]);
-  t.is(world.front.running, 1, "A stop should wait for the request.");
+  t.is(
+    world.front.requestsInProgress,
+    1,
+    "A stop should wait for the request.",
+  );
   await end(world.front);
   await sleep(SETTLE_MILLISECONDS);
   socket.resume();
   await waitForClose(socket);
-  const { body, looksWhole } = parseBody(seen.bytes, seen.wasReset);
+  const { body, looksComplete: looksWhole } = parseBody(
+    seen.bytes,
+    seen.wasReset,
+  );
   return { sent, got: body.length, looksWhole };
 }
 
-const SLOW_CLOSE_DELIMITED = OPEN_ENDED.replace("r1", "slow");
+const SLOW_CLOSE_DELIMITED = CLOSE_DELIMITED_HEAD.replace("r1", "slow");
 
 test("a close-delimited answer to a slow caller does not look complete if the node ends", async (t) => {
   const { sent, got, looksWhole } = await endWithSlowReader(
     t,
     SLOW_CLOSE_DELIMITED,
-    (front) => front.cut(),
+    (front) => front.abortAll(),
   );
   t.true(got === sent || !looksWhole, `${got} of ${sent} bytes`);
 });
--- a/packages/node/tests/relay/bounded_writer_test.ts
+++ b/packages/node/tests/relay/bounded_writer_test.ts
@@ -32,9 +32,9 @@
       requests.write(line);
     },
   });
-  const callers = loggers.forPart("callers");
+  const callers = loggers.forComponent("callers");
   for (let count = 0; count < 10; count += 1) callers.info("A request ended.");
-  loggers.forPart("daemon").info("Stopping.");
+  loggers.forComponent("daemon").info("Stopping.");
   t.is(written.length, 3);
   t.regex(written.at(-1) ?? "", /daemon: Stopping\./);
 });
--- a/packages/node/tests/relay/engine_owner_test.ts
+++ b/packages/node/tests/relay/engine_owner_test.ts
@@ -20,7 +20,7 @@
   release(first);
   const second = await requestUse(owner, "b");
   t.is(second.kind, "granted");
-  t.deepEqual([...control.adapters.held], ["b"]);
+  t.deepEqual([...control.adapters.loadedAdapters], ["b"]);
   t.true(control.orders.every((order) => order.fence === 5 as never));
   owner.stop();
 });
@@ -36,7 +36,7 @@
 
 test("a new owner that may not order yet grants loaded adapters, and refuses others at once", async (t) => {
   const { owner, control, claim } = setUpOwner();
-  control.adapters.held.add(adapterId("a"));
+  control.adapters.loadedAdapters.add(adapterId("a"));
   claim("node-1", 4, 60_000);
   void owner.runDueSteps();
   while (owner.digest.adapters.length === 0) {
@@ -52,20 +52,20 @@
 test("an order without an answer is sent again, and executed once", async (t) => {
   for (const fate of ["lost", "late", "answer_lost"] as const) {
     const { owner, control, claim } = setUpOwner();
-    control.fates.nextFates = [fate];
+    control.fates.nextOutcomes = [fate];
     claim("node-1", 4);
     const answer = await requestUse(owner, "a");
     t.is(answer.kind, "granted", fate);
-    control.fates.carryOutLate();
-    t.deepEqual([...control.adapters.held], ["a"]);
-    t.is(control.adapters.count, 1, fate);
+    control.fates.executeLate();
+    t.deepEqual([...control.adapters.loadedAdapters], ["a"]);
+    t.is(control.adapters.orderCount, 1, fate);
     owner.stop();
   }
 });
 
 test("late orders never exceed the slots", async (t) => {
   const { owner, control, claim } = setUpOwner(2);
-  control.fates.nextFates = [
+  control.fates.nextOutcomes = [
     "late",
     "answered",
     "late",
@@ -76,10 +76,10 @@
   claim("node-1", 4);
   for (const adapter of ["a", "b", "c", "d", "a"]) {
     release(await requestUse(owner, adapter));
-    control.fates.carryOutLate();
+    control.fates.executeLate();
   }
-  t.false(control.adapters.isOverfull);
-  t.true(control.adapters.held.size <= 2);
+  t.false(control.adapters.hasExceededSlots);
+  t.true(control.adapters.loadedAdapters.size <= 2);
   owner.stop();
 });
 
@@ -87,10 +87,10 @@
   const { owner, control, claim } = setUpOwner();
   claim("node-1", 4);
   const waiting = requestUse(owner, "a");
-  while (control.adapters.held.size === 0) {
+  while (control.adapters.loadedAdapters.size === 0) {
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
-  control.adapters.count += 1;
+  control.adapters.orderCount += 1;
   t.is((await waiting).kind, "granted");
   t.is((await requestUse(owner, "b")).kind, "granted");
   owner.stop();
--- a/packages/node/tests/relay/engine_owners_test.ts
+++ b/packages/node/tests/relay/engine_owners_test.ts
@@ -1,4 +1,4 @@
-import { standInEngines, standInServer } from "@foxtailwind/bench";
+import { standInEngineService, standInRegistryEntry } from "@foxtailwind/bench";
 import {
   backendServerId,
   logOffset,
@@ -15,7 +15,7 @@
 import { ok, type Result } from "neverthrow";
 import { setTimeout as sleep } from "node:timers/promises";
 import { nodeRecord } from "./helpers/node_record.ts";
-import { relayBase } from "./helpers/relay_base.ts";
+import { createRelayBase } from "./helpers/relay_base.ts";
 import { ScriptedEngine } from "./helpers/scripted_engine.ts";
 
 const ENGINE = backendServerId("engine");
@@ -41,7 +41,7 @@
     return Promise.resolve();
   }
 
-  override hurry(): void {
+  override catchUpSoon(): void {
     // Nothing is read.
   }
 
@@ -60,7 +60,7 @@
 
 /** Sets up a restarted node whose earlier run owned the engine. */
 function setUpRestartedNode(t: ExecutionContext) {
-  const { base, knowledge } = relayBase({
+  const { base, knowledge } = createRelayBase({
     part: "ownership",
     incarnation: "run-2",
   });
@@ -73,18 +73,18 @@
     log,
     control: new ScriptedEngine(2),
     isLeaving: () => false,
-    gained: () => {
+    onEngineGained: () => {
       gained += 1;
     },
   });
   t.teardown(() => {
     owners.stop();
   });
-  knowledge.reached();
+  knowledge.caughtUp();
   knowledge.configuration({
     version: 1,
     routes: [],
-    services: [standInEngines(SERVICE, 2)],
+    services: [standInEngineService(SERVICE, 2)],
     limits: {
       headerBytes: 4_096,
       bodyBytes: 100_000,
@@ -95,7 +95,7 @@
   knowledge.registryEntry({
     kind: "present",
     offset: logOffset(1),
-    server: standInServer({
+    server: standInRegistryEntry({
       id: ENGINE,
       service: SERVICE,
       address: "127.0.0.1:1",
--- a/packages/node/tests/relay/engine_restart_test.ts
+++ b/packages/node/tests/relay/engine_restart_test.ts
@@ -51,7 +51,7 @@
     0,
     "Its count starts from zero.",
   );
-  t.deepEqual([...control.adapters.held], ["a"]);
+  t.deepEqual([...control.adapters.loadedAdapters], ["a"]);
   owner.stop();
 });
 
@@ -77,7 +77,10 @@
   const { owner, control, claim } = setUpOwner();
   claim("node-1", 4);
   release(await requestUse(owner, "a"));
-  control.fates.nextFates = Array.from({ length: 50 }, () => "lost" as const);
+  control.fates.nextOutcomes = Array.from(
+    { length: 50 },
+    () => "lost" as const,
+  );
   const waiting = requestUse(owner, "b", 60_000);
   await sleep(0);
   owner.update(restart(control));
@@ -161,11 +164,11 @@
   claim("node-1", 4);
   release(await requestUse(owner, "a"));
   release(await requestUse(owner, "b"));
-  control.fates.nextFates = ["answered", ...ALL_SENDS_LATE];
+  control.fates.nextOutcomes = ["answered", ...ALL_SENDS_LATE];
   void requestUse(owner, "c");
   while (control.fates.lateCount < ALL_SENDS_LATE.length) await sleep(5);
   // The loads of the model and two adapters bring it to the expected count.
-  control.fates.carryOutLateAt = 3;
+  control.fates.executeLateAtCount = 3;
   return restart(control, SECOND_START, []);
 }
 
@@ -178,7 +181,7 @@
     release(await requestUse(owner, adapter));
   }
   t.is(control.fates.lateCount, 0);
-  t.false(control.adapters.isOverfull);
+  t.false(control.adapters.hasExceededSlots);
   t.is((await requestUse(owner, "h")).kind, "granted");
   owner.stop();
 }
@@ -208,7 +211,7 @@
   await waiting;
   t.is((await requestUse(owner, "c")).kind, "granted");
   t.is(owner.digest.start, third);
-  t.false(control.adapters.isOverfull);
+  t.false(control.adapters.hasExceededSlots);
   owner.stop();
 });
 
@@ -218,7 +221,7 @@
   release(await requestUse(owner, "a"));
   const reports = control.reportCount;
   restart(control);
-  for (let misses = 0; misses < 5; misses += 1) owner.missed();
+  for (let misses = 0; misses < 5; misses += 1) owner.recordMiss();
   await waitForStart(owner, SECOND_START);
   t.deepEqual(adaptersOf(owner), []);
   t.is((await requestUse(owner, "a")).kind, "granted");
--- a/packages/node/tests/relay/exchange_partner_test.ts
+++ b/packages/node/tests/relay/exchange_partner_test.ts
@@ -26,7 +26,7 @@
   const asker = { book: new PeerTable(), own: nodeDigest("asker") };
   const hub = { book: new PeerTable(), own: nodeDigest("hub") };
   for (let node = 0; node < others; node += 1) {
-    hub.book.heard(instant(0), nodeDigest(`n${node}`, { sequence: 1 }));
+    hub.book.applyDigest(instant(0), nodeDigest(`n${node}`, { sequence: 1 }));
   }
   const partner = new ExchangePartner(ASKER, asker.book);
   const exchange = (
@@ -36,7 +36,7 @@
   ) => {
     const at = instant(now);
     const question = partner.nextQuestion(own, scope);
-    if (question.own !== undefined) hub.book.heard(at, question.own);
+    if (question.own !== undefined) hub.book.applyDigest(at, question.own);
     const answer = answerExchange(at, hub.book, hub.own, question);
     const isStatusChange = partner.applyAnswer(at, answer, scope);
     return { question, answer, isNews: isStatusChange };
@@ -49,7 +49,10 @@
   t.true(exchange(0).isNews);
   t.is(asker.book.alive(instant(100)).length, 196);
   for (let node = 0; node < 195; node += 1) {
-    hub.book.heard(instant(1_000), nodeDigest(`n${node}`, { sequence: 1 }));
+    hub.book.applyDigest(
+      instant(1_000),
+      nodeDigest(`n${node}`, { sequence: 1 }),
+    );
   }
   const { answer, isNews } = exchange(1_000);
   t.false(isNews);
@@ -65,14 +68,14 @@
 test("a change is sent once", (t) => {
   const { asker, hub, exchange } = setUp(20);
   exchange(0);
-  hub.book.heard(
+  hub.book.applyDigest(
     instant(100),
     nodeDigest("n3", { sequence: 2, isLeaving: true }),
   );
   const { answer, isNews } = exchange(300);
   t.deepEqual(answer.news.map(({ digest }) => digest?.node), ["n3"]);
   t.true(isNews);
-  t.true(asker.book.left(instant(300)).has(nodeId("n3")));
+  t.true(asker.book.stoppedNodes(instant(300)).has(nodeId("n3")));
   t.is(exchange(600).answer.news.length, 0);
 });
 
@@ -100,7 +103,7 @@
   );
   hub.own = nodeDigest("hub", { incarnation: "run-2" });
   hub.book = new PeerTable();
-  hub.book.heard(instant(400), nodeDigest("n9", { sequence: 1 }));
+  hub.book.applyDigest(instant(400), nodeDigest("n9", { sequence: 1 }));
   const { answer } = exchange(600, EVERYTHING, asker.own);
   t.deepEqual(answer.news.map(({ digest }) => digest?.node), ["n9", "asker"]);
   const { question } = exchange(900, EVERYTHING, asker.own);
@@ -109,7 +112,7 @@
 
 test("a node that begins to place requests receives all engine states", (t) => {
   const { asker, hub, exchange } = setUp(0);
-  hub.book.heard(
+  hub.book.applyDigest(
     instant(0),
     nodeDigest("n1", { engineStates: engineStates(3) }),
   );
@@ -130,8 +133,11 @@
 test("ages of a node's earlier run do not keep its later run alive", (t) => {
   const { asker, hub, exchange } = setUp(1);
   exchange(0);
-  asker.book.heard(instant(100), nodeDigest("n0", { incarnation: "run-2" }));
-  hub.book.heard(instant(5_000), nodeDigest("n0", { sequence: 1 }));
+  asker.book.applyDigest(
+    instant(100),
+    nodeDigest("n0", { incarnation: "run-2" }),
+  );
+  hub.book.applyDigest(instant(5_000), nodeDigest("n0", { sequence: 1 }));
   exchange(5_000);
   t.deepEqual(asker.book.alive(instant(5_000)).map(({ node }) => node), [
     "hub",
--- a/packages/node/tests/relay/foreign_answer_test.ts
+++ b/packages/node/tests/relay/foreign_answer_test.ts
@@ -8,7 +8,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { rawCall } from "./helpers/raw_call.ts";
 import { startWorld } from "./helpers/relay_world.ts";
-import { OPEN_ENDED, serveRaw } from "./helpers/serve_raw.ts";
+import { CLOSE_DELIMITED_HEAD, serveRaw } from "./helpers/serve_raw.ts";
 
 const NOT_RUN =
   "HTTP/1.1 503 Service Unavailable\r\nx-id: r1\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
@@ -52,7 +52,7 @@
   const world = await startWorld(t);
   await serveRaw(t, world, "s1", (socket) => {
     socket.end(
-      OPEN_ENDED.replace(
+      CLOSE_DELIMITED_HEAD.replace(
         "x-seal",
         "content-type: application/json\r\nx-seal",
       ) + '{"a":1}\n',
@@ -68,7 +68,7 @@
     const world = await startWorld(t);
     await serveRaw(t, world, "s1", (socket) => {
       const note = `x-note: a${byte}b\r\nx-seal`;
-      socket.end(`${OPEN_ENDED.replace("x-seal", note)}well`);
+      socket.end(`${CLOSE_DELIMITED_HEAD.replace("x-seal", note)}well`);
     });
     const { bytes } = await rawCall(world.port, "/once/a").ended;
     t.regex(bytes, /^HTTP\/1\.1 502 /);
--- a/packages/node/tests/relay/helpers/owned_engine.ts
+++ b/packages/node/tests/relay/helpers/owned_engine.ts
@@ -12,7 +12,7 @@
   UnansweredLoads,
 } from "@foxtailwind/core";
 import { EngineOwner, type UseAnswer } from "@foxtailwind/node/relay";
-import { relayBase } from "./relay_base.ts";
+import { createRelayBase } from "./relay_base.ts";
 import { ScriptedEngine } from "./scripted_engine.ts";
 
 /** The model of the owned engine. */
@@ -37,7 +37,7 @@
  * @returns The owner and its collaborators.
  */
 export function setUpOwner(slots = 2, write?: (line: string) => void) {
-  const { base, knowledge } = relayBase({ part: "ownership", write });
+  const { base, knowledge } = createRelayBase({ part: "ownership", write });
   const { settings, clock, logger } = base;
   const control = new ScriptedEngine(slots);
   control.adapters.models = [MODEL];
--- a/packages/node/tests/relay/helpers/raw_call.ts
+++ b/packages/node/tests/relay/helpers/raw_call.ts
@@ -10,7 +10,7 @@
   /** The body, decoded if it is chunked. */
   readonly body: string;
   /** Whether it is complete by its framing and the end of the connection. */
-  readonly looksWhole: boolean;
+  readonly looksComplete: boolean;
 }
 
 /** What was received on one connection, and how that ended. */
@@ -25,7 +25,7 @@
   /** What has been received so far. */
   readonly bytes: string;
   /** Resolves once the answer contains a text or has ended. */
-  readonly heard: (text: string) => Promise<void>;
+  readonly received: (text: string) => Promise<void>;
   readonly ended: Promise<RawAnswer>;
 }
 
@@ -64,7 +64,7 @@
       return bytes;
     },
     ended,
-    heard: async (text) => {
+    received: async (text) => {
       while (!bytes.includes(text) && !socket.destroyed) {
         await sleep(POLL_MILLISECONDS);
       }
@@ -83,13 +83,13 @@
   wasReset: boolean,
 ): ParsedBody {
   const end = bytes.indexOf(HEAD_END);
-  if (end < 0) return { body: "", looksWhole: false };
+  if (end < 0) return { body: "", looksComplete: false };
   const head = bytes.slice(0, end);
   const body = bytes.slice(end + HEAD_END.length);
   if (/^transfer-encoding: chunked/im.test(head)) return parseChunks(body);
   const length = /^content-length: (\d+)/im.exec(head)?.[1];
-  if (length === undefined) return { body, looksWhole: !wasReset };
-  return { body, looksWhole: body.length >= Number(length) };
+  if (length === undefined) return { body, looksComplete: !wasReset };
+  return { body, looksComplete: body.length >= Number(length) };
 }
 
 function parseChunks(text: string): ParsedBody {
@@ -98,8 +98,8 @@
   for (;;) {
     const [size = ""] = rest.split("\r\n", 1);
     const length = Number.parseInt(size, 16);
-    if (length === 0) return { body, looksWhole: true };
-    if (Number.isNaN(length)) return { body, looksWhole: false };
+    if (length === 0) return { body, looksComplete: true };
+    if (Number.isNaN(length)) return { body, looksComplete: false };
     rest = rest.slice(size.length + 2);
     body += rest.slice(0, length);
     rest = rest.slice(length + 2);
--- a/packages/node/tests/relay/helpers/relay_base.ts
+++ b/packages/node/tests/relay/helpers/relay_base.ts
@@ -1,7 +1,7 @@
 import {
-  STAND_IN_ENGINES,
+  STAND_IN_ENGINE_SERVICE,
   standInConfiguration,
-  standInServer,
+  standInRegistryEntry,
 } from "@foxtailwind/bench";
 import {
   type BackendServerId,
@@ -10,7 +10,7 @@
   type NodeId,
   serverStart,
 } from "@foxtailwind/core";
-import type { LogPart } from "@foxtailwind/node";
+import type { LogComponent } from "@foxtailwind/node";
 import {
   Knowledge,
   LoggerFactory,
@@ -19,9 +19,9 @@
 import { relaySettings } from "./relay_settings.ts";
 
 /** Options for a test's node. */
-export interface RelayBaseTerms {
+export interface RelayBaseOptions {
   /** The part of the node that logs. */
-  readonly part: LogPart;
+  readonly part: LogComponent;
   readonly incarnation?: string;
   readonly clock?: ProcessClock;
   /** Receives the log lines, if a test reads them. */
@@ -33,7 +33,7 @@
  * @param terms The options.
  * @returns The shared collaborators, and a `Knowledge` that uses them.
  */
-export function relayBase(terms: RelayBaseTerms) {
+export function createRelayBase(terms: RelayBaseOptions) {
   const { part, write } = terms;
   const loggers = write === undefined
     ? new LoggerFactory("json", 0, () => undefined)
@@ -42,7 +42,7 @@
     settings: relaySettings(),
     incarnation: terms.incarnation ?? "run-1",
     clock: terms.clock ?? new ProcessClock(),
-    logger: loggers.forPart(part),
+    logger: loggers.forComponent(part),
   };
   return { base, knowledge: new Knowledge(base) };
 }
@@ -59,10 +59,10 @@
  * @param knowledge The node's knowledge.
  * @param known The engine.
  */
-export function knowEngine(knowledge: Knowledge, known: KnownEngine): void {
+export function addOwnedEngine(knowledge: Knowledge, known: KnownEngine): void {
   const { engine, owner } = known;
   knowledge.configuration(standInConfiguration(1, 2));
-  registerEngine(knowledge, { engine, start: known.start, offset: 1 });
+  addRegistryEntry(knowledge, { engine, start: known.start, offset: 1 });
   knowledge.claim({
     engine,
     owner,
@@ -87,17 +87,17 @@
  * @param knowledge The node's knowledge.
  * @param entry The entry.
  */
-export function registerEngine(
+export function addRegistryEntry(
   knowledge: Knowledge,
   { engine, start, offset, leaving = false }: EngineEntry,
 ): void {
   knowledge.registryEntry({
     kind: "present",
     offset: logOffset(offset),
-    server: standInServer({
+    server: standInRegistryEntry({
       id: engine,
       start: serverStart(start),
-      service: STAND_IN_ENGINES,
+      service: STAND_IN_ENGINE_SERVICE,
       address: "127.0.0.1:1",
       isEngine: true,
       leaving,
--- a/packages/node/tests/relay/helpers/relay_routes.ts
+++ b/packages/node/tests/relay/helpers/relay_routes.ts
@@ -6,9 +6,9 @@
 } from "@foxtailwind/core";
 
 /** A service of plain backend servers. */
-export const SERVICE = serviceId("plain");
+export const PLAIN_SERVICE = serviceId("plain");
 /** A service of model engines. */
-export const ENGINES = serviceId("engines");
+export const ENGINE_SERVICE = serviceId("engines");
 
 const BASE_ROUTE: Omit<Route, "name" | "pathPrefix"> = {
   host: "one.example",
@@ -19,7 +19,7 @@
   timeLimit: milliseconds(1_500),
   target: milliseconds(200),
   priority: 0,
-  targets: [{ service: SERVICE, weight: 1 }],
+  targets: [{ service: PLAIN_SERVICE, weight: 1 }],
 };
 
 /** Routes for the tests, one of each kind. */
@@ -58,6 +58,6 @@
     name: "engine",
     pathPrefix: "/engine/",
     timeLimit: seconds(5),
-    targets: [{ service: ENGINES, weight: 1 }],
+    targets: [{ service: ENGINE_SERVICE, weight: 1 }],
   },
 ];
--- a/packages/node/tests/relay/helpers/relay_world.ts
+++ b/packages/node/tests/relay/helpers/relay_world.ts
@@ -1,7 +1,7 @@
 import {
   STAND_IN_MODEL,
-  standInEngines,
-  standInServer,
+  standInEngineService,
+  standInRegistryEntry,
   StandInWire,
 } from "@foxtailwind/bench";
 import {
@@ -38,8 +38,8 @@
 import type { AddressInfo } from "node:net";
 import { ok } from "neverthrow";
 import { request as send } from "undici";
-import { ENGINES, ROUTES, SERVICE } from "./relay_routes.ts";
-import { relayBase } from "./relay_base.ts";
+import { ENGINE_SERVICE, PLAIN_SERVICE, ROUTES } from "./relay_routes.ts";
+import { createRelayBase } from "./relay_base.ts";
 import { relaySettings } from "./relay_settings.ts";
 import { ScriptedEngine } from "./scripted_engine.ts";
 
@@ -59,12 +59,12 @@
   #offset = 0;
   port = 0;
   /** The planned stop of the front server's node, if any. */
-  stop: PlannedStop | undefined;
+  plannedStop: PlannedStop | undefined;
   readonly control = new ScriptedEngine(2);
 
   /** @param write Receives the log lines, if a test reads them. */
   constructor(write?: (line: string) => void) {
-    const { base, knowledge } = relayBase({
+    const { base, knowledge } = createRelayBase({
       part: "callers",
       incarnation: INCARNATION,
       clock: this.#clock,
@@ -79,20 +79,20 @@
       control: this.control,
       log: undefined as never,
       isLeaving: () => false,
-      gained: () => undefined,
+      onEngineGained: () => undefined,
     });
     this.limits = new RequestLimits({
       self: settings.node.id,
       knowledge,
       clock,
       logger,
-      changed: () => undefined,
+      onChange: () => undefined,
     });
     const { limits } = this;
     const parts: RelayParts = {
       knowledge,
       limits,
-      crashes: new CrashReports({
+      crashReports: new CrashReports({
         knowledge,
         log: { changeSuspicions: () => Promise.resolve(ok(undefined)) },
         clock,
@@ -103,11 +103,11 @@
       logger,
       pools: this.#pools,
       wire: new StandInWire(),
-      nodes: () => 1,
-      asked: () => undefined,
-      patience: new CallerTimeouts(),
-      plannedStop: () => this.stop,
-      allowances: new RetryBudgets({
+      countNodes: () => 1,
+      onRequest: () => undefined,
+      callerTimeouts: new CallerTimeouts(),
+      plannedStop: () => this.plannedStop,
+      retryBudgets: new RetryBudgets({
         retriesPerRequest: 0.2,
         reserve: 58,
         window: seconds(10),
@@ -125,7 +125,7 @@
         limits,
         clock,
       }),
-      record: (_route, outcome) => {
+      recordRequest: (_route, outcome) => {
         this.outcomes.push(outcome);
       },
     };
@@ -133,7 +133,7 @@
   }
 
   /** Returns the time some milliseconds ago. */
-  earlier(ago: number): Instant {
+  timeBefore(ago: number): Instant {
     return instant(this.#clock.now() - ago);
   }
 
@@ -143,8 +143,8 @@
       version: 1,
       routes: ROUTES,
       services: [
-        { id: SERVICE, connectionLimit: 100 },
-        standInEngines(ENGINES, this.control.adapters.slots),
+        { id: PLAIN_SERVICE, connectionLimit: 100 },
+        standInEngineService(ENGINE_SERVICE, this.control.adapters.slots),
       ],
       limits: {
         headerBytes: 4_096,
@@ -164,7 +164,7 @@
   async addServer(
     id: string,
     answer: RequestListener,
-    service = SERVICE,
+    service = PLAIN_SERVICE,
   ): Promise<void> {
     const server = createServer(answer);
     this.#servers.push(server);
@@ -187,7 +187,7 @@
     answer: RequestListener,
   ): Promise<void> {
     this.control.adapters.models = [STAND_IN_MODEL];
-    await this.addServer(id, answer, ENGINES);
+    await this.addServer(id, answer, ENGINE_SERVICE);
     this.#offset += 1;
     this.knowledge.claim({
       engine: backendServerId(id),
@@ -204,17 +204,17 @@
    * @param address The address.
    * @param service Its service.
    */
-  addAddress(id: string, address: string, service = SERVICE): void {
+  addAddress(id: string, address: string, service = PLAIN_SERVICE): void {
     this.#offset += 1;
     this.#addresses.set(id, address);
     this.knowledge.registryEntry({
       kind: "present",
       offset: logOffset(this.#offset),
-      server: standInServer({
+      server: standInRegistryEntry({
         id,
         service,
         address,
-        isEngine: service === ENGINES,
+        isEngine: service === ENGINE_SERVICE,
       }),
     });
   }
@@ -223,7 +223,7 @@
    * Removes a server from the registry.
    * @param id The server's id.
    */
-  leave(id: string): void {
+  removeServer(id: string): void {
     this.#offset += 1;
     this.knowledge.registryEntry({
       kind: "gone",
@@ -236,7 +236,7 @@
    * Registers a removed server again.
    * @param id The server's id.
    */
-  comeBack(id: string): void {
+  restoreServer(id: string): void {
     this.addAddress(id, this.#addresses.get(id) ?? "");
   }
 
@@ -245,7 +245,7 @@
     this.port = await this.front.listen({ host: "127.0.0.1", port: 0 });
     t.teardown(async () => {
       this.front.stopListening();
-      await this.front.cut();
+      await this.front.abortAll();
       this.#owners.stop();
       for (const server of this.#servers) {
         server.closeAllConnections();
--- a/packages/node/tests/relay/helpers/scripted_engine.ts
+++ b/packages/node/tests/relay/helpers/scripted_engine.ts
@@ -1,4 +1,4 @@
-import { FatedOrders, OrderedAdapters } from "@foxtailwind/bench";
+import { ScriptedOrderDelivery, StandInEngineState } from "@foxtailwind/bench";
 import type { Failure } from "@foxtailwind/core";
 import {
   EngineControl,
@@ -19,8 +19,8 @@
 /** An engine that counts orders and checks the counts that they expect. */
 export class ScriptedEngine extends EngineControl {
   readonly orders: EngineOrder[] = [];
-  readonly adapters: OrderedAdapters;
-  readonly fates: FatedOrders;
+  readonly adapters: StandInEngineState;
+  readonly fates: ScriptedOrderDelivery;
   isDown = false;
   /** The number of reports that were read. */
   reportCount = 0;
@@ -32,8 +32,8 @@
   /** @param slots The number of adapter slots. */
   constructor(slots: number) {
     super();
-    this.adapters = new OrderedAdapters(slots);
-    this.fates = new FatedOrders(this.adapters);
+    this.adapters = new StandInEngineState(slots);
+    this.fates = new ScriptedOrderDelivery(this.adapters);
   }
 
   override async order(
--- a/packages/node/tests/relay/helpers/serve_raw.ts
+++ b/packages/node/tests/relay/helpers/serve_raw.ts
@@ -4,7 +4,7 @@
 import type { RelayWorld } from "./relay_world.ts";
 
 /** The head of a success with a close-delimited body. */
-export const OPEN_ENDED =
+export const CLOSE_DELIMITED_HEAD =
   "HTTP/1.1 200 OK\r\nx-id: r1\r\nx-seal: s\r\nconnection: close\r\n\r\n";
 
 /** Starts a backend server that writes whatever bytes a test wants. */
--- a/packages/node/tests/relay/knowledge_message_test.ts
+++ b/packages/node/tests/relay/knowledge_message_test.ts
@@ -19,14 +19,14 @@
 } from "@foxtailwind/node/relay";
 import test from "ava";
 import { nodeDigest } from "./helpers/node_digest.ts";
-import { relayBase } from "./helpers/relay_base.ts";
+import { createRelayBase } from "./helpers/relay_base.ts";
 import { relaySettings } from "./helpers/relay_settings.ts";
 
 /** The request of a node that knows nothing yet. */
 const EMPTY_REQUEST = { configurationVersion: 0, registryEnd: 0 };
 
 function knowledge(): Knowledge {
-  return relayBase({ part: "configuration" }).knowledge;
+  return createRelayBase({ part: "configuration" }).knowledge;
 }
 
 function configuration(version: number) {
@@ -106,14 +106,14 @@
   const id = relaySettings().node.id;
   const now = new ProcessClock().now();
   t.true(node.isWatcher, "It is the only node.");
-  node.peers.heard(now, nodeDigest(`${id}-later`));
-  node.peers.heard(now, nodeDigest("a"));
+  node.peers.applyDigest(now, nodeDigest(`${id}-later`));
+  node.peers.applyDigest(now, nodeDigest("a"));
   t.true(node.isWatcher, "One node precedes it.");
-  node.peers.heard(now, nodeDigest("b"));
+  node.peers.applyDigest(now, nodeDigest("b"));
   t.false(node.isWatcher, "Two nodes precede it.");
   const later = knowledge();
-  later.peers.heard(now, nodeDigest("a"));
-  later.peers.heard(instant(now - 2_000), nodeDigest("b"));
+  later.peers.applyDigest(now, nodeDigest("a"));
+  later.peers.applyDigest(instant(now - 2_000), nodeDigest("b"));
   t.true(later.isWatcher, "One of them is silent.");
 });
 
@@ -130,7 +130,7 @@
     };
   };
   for (const before of ["a", "b", "z1", "z2"]) {
-    node.peers.heard(now, nodeDigest(before));
+    node.peers.applyDigest(now, nodeDigest(before));
   }
   serve(id);
   t.true(node.isWatcher, "No other node serves.");
@@ -143,8 +143,8 @@
 test("nodes that don't reach the log are skipped as watchers", (t) => {
   const node = knowledge();
   const now = new ProcessClock().now();
-  node.peers.heard(now, nodeDigest("a", { reachesLog: false }));
-  node.peers.heard(now, nodeDigest("b"));
+  node.peers.applyDigest(now, nodeDigest("a", { reachesLog: false }));
+  node.peers.applyDigest(now, nodeDigest("b"));
   t.true(node.isWatcher);
 });
 
@@ -171,7 +171,7 @@
   const peer = knowledge();
   const node = knowledge();
   for (const one of [peer, node]) one.registryEntry(presentEntry("i-1", 4));
-  node.failed({
+  node.callFailed({
     reason: "unavailable",
     step: "read_log",
     peer: "store",
@@ -190,28 +190,28 @@
   const clock = new ProcessClock();
   const heardAt = clock.now();
   for (let other = 0; other < 20; other += 1) {
-    node.peers.heard(heardAt, nodeDigest(`a${other}`));
+    node.peers.applyDigest(heardAt, nodeDigest(`a${other}`));
   }
   const later = instant(heardAt + 30_000);
-  t.false(node.isInContact(later), "It has not reached the log yet.");
-  node.reached();
-  t.true(node.isInContact(later));
-  node.failed({
+  t.false(node.isLogReachable(later), "It has not reached the log yet.");
+  node.caughtUp();
+  t.true(node.isLogReachable(later));
+  node.callFailed({
     reason: "unavailable",
     step: "read_log",
     peer: "store",
     message: "",
     outcome: "not_run",
   });
-  t.false(node.isInContact(later));
+  t.false(node.isLogReachable(later));
 });
 
 test("while no node reaches the log, two nodes retry it for the others", (t) => {
   const node = knowledge();
   const now = new ProcessClock().now();
   for (const other of ["a", "b", "c"]) {
-    node.peers.heard(now, nodeDigest(other, { reachesLog: false }));
+    node.peers.applyDigest(now, nodeDigest(other, { reachesLog: false }));
   }
   t.true(node.isWatcher, "It relies on no other node.");
-  t.false(node.triesFirst);
+  t.false(node.retriesAtFullRate);
 });
--- a/packages/node/tests/relay/limited_servers_test.ts
+++ b/packages/node/tests/relay/limited_servers_test.ts
@@ -63,7 +63,7 @@
   const { world, arrivals } = await startLimited(t, [0]);
   const clock = new ProcessClock();
   const report = (sequence: number, requestsPerSecond: number | undefined) => {
-    world.knowledge.peers.heard(
+    world.knowledge.peers.applyDigest(
       clock.now(),
       nodeDigest("n2", {
         sequence,
--- a/packages/node/tests/relay/node_presence_test.ts
+++ b/packages/node/tests/relay/node_presence_test.ts
@@ -9,12 +9,12 @@
 import test from "ava";
 import { nodeDigest } from "./helpers/node_digest.ts";
 import { nodeRecord } from "./helpers/node_record.ts";
-import { relayBase } from "./helpers/relay_base.ts";
+import { createRelayBase } from "./helpers/relay_base.ts";
 
 /** Creates a node that listens and has a configuration. */
 function setUp() {
   const clock = new ProcessClock();
-  const { base, knowledge } = relayBase({ part: "daemon", clock });
+  const { base, knowledge } = createRelayBase({ part: "daemon", clock });
   const { settings } = base;
   const serving = new ServingNodes({
     self: settings.node.id,
@@ -68,7 +68,7 @@
   const { clock, knowledge, serving, presence } = setUp();
   const now = clock.now();
   for (let node = 0; node < 60; node += 1) {
-    knowledge.peers.heard(
+    knowledge.peers.applyDigest(
       now,
       nodeDigest(`n${node}`, {
         failureDomain: `d${node % 3}`,
--- a/packages/node/tests/relay/peer_grants_test.ts
+++ b/packages/node/tests/relay/peer_grants_test.ts
@@ -15,7 +15,11 @@
 } from "@foxtailwind/node/relay";
 import test, { type ExecutionContext } from "ava";
 import { setTimeout as sleep } from "node:timers/promises";
-import { knowEngine, registerEngine, relayBase } from "./helpers/relay_base.ts";
+import {
+  addOwnedEngine,
+  addRegistryEntry,
+  createRelayBase,
+} from "./helpers/relay_base.ts";
 import { ScriptedEngine } from "./helpers/scripted_engine.ts";
 
 const ENGINE = backendServerId("engine");
@@ -24,7 +28,7 @@
 
 /** Sets up a node that owns an engine, and a peer that requests uses. */
 async function setUp(t: ExecutionContext) {
-  const { base, knowledge } = relayBase({ part: "peers" });
+  const { base, knowledge } = createRelayBase({ part: "peers" });
   const { settings, clock, logger } = base;
   const control = new ScriptedEngine(2);
   control.adapters.restart(FIRST_START);
@@ -35,7 +39,7 @@
     control,
     log: undefined as never,
     isLeaving: () => false,
-    gained: () => undefined,
+    onEngineGained: () => undefined,
   });
   const channels = new PeerChannels();
   const exchange = new PeerExchange({
@@ -52,14 +56,14 @@
   t.teardown(() => {
     owners.stop();
     channels.close();
-    server.cutConnections();
+    server.abortConnections();
   });
   const register = (start: number, offset: number) => {
-    registerEngine(knowledge, { engine: ENGINE, start, offset });
+    addRegistryEntry(knowledge, { engine: ENGINE, start, offset });
     owners.refresh();
   };
   const { id: owner } = settings.node;
-  knowEngine(knowledge, { engine: ENGINE, start: FIRST_START, owner });
+  addOwnedEngine(knowledge, { engine: ENGINE, start: FIRST_START, owner });
   owners.refresh();
   const target = {
     engine: ENGINE,
@@ -102,7 +106,7 @@
   const granted = await requestUse();
   t.is(granted.kind, "granted");
   control.adapters.restart(SECOND_START);
-  grants.missed(target);
+  grants.reportMiss(target);
   await waitUntil(() => owners.find(ENGINE)?.digest.start === SECOND_START);
   t.deepEqual(owners.find(ENGINE)?.digest.adapters, []);
 });
--- a/packages/node/tests/relay/quarantine_test.ts
+++ b/packages/node/tests/relay/quarantine_test.ts
@@ -13,7 +13,7 @@
 import test from "ava";
 import { err, ok } from "neverthrow";
 import { setTimeout as sleep } from "node:timers/promises";
-import { relayBase } from "./helpers/relay_base.ts";
+import { createRelayBase } from "./helpers/relay_base.ts";
 import { rawCall } from "./helpers/raw_call.ts";
 import { RelayWorld, succeed } from "./helpers/relay_world.ts";
 
@@ -45,7 +45,9 @@
   const path = "/once/crashing";
   for (const id of ["r1", "r2", "r3", "r4", "r5", "r6", "r7", "r8"]) {
     await world.call(path, { body: BODY, headers: { "x-id": id } });
-    if (world.knowledge.suspicions.quarantine.quarantinedContents.size > 0) {
+    if (
+      world.knowledge.suspicionTracker.quarantine.quarantinedContents.size > 0
+    ) {
       break;
     }
   }
@@ -71,12 +73,12 @@
 });
 
 test("a registry entry that a server writes after it broke off a call clears the request", async (t) => {
-  const { knowledge } = relayBase({ part: "callers" });
+  const { knowledge } = createRelayBase({ part: "callers" });
   const dropped: number[] = [];
-  knowledge.suspicions.onServersLive = (suspicions) => {
+  knowledge.suspicionTracker.onSuspicionsDisproved = (suspicions) => {
     dropped.push(suspicions.length);
   };
-  const { quarantine } = knowledge.suspicions;
+  const { quarantine } = knowledge.suspicionTracker;
   const world = new RelayWorld();
   world.addAddress("s1", "127.0.0.1:1");
   const [server] = world.knowledge.registry.all;
@@ -131,9 +133,9 @@
   const continued = world.call("/stream/a", { body: BODY });
   await sleep(100);
   await world.call("/stream/broken", { body: BODY });
-  t.false(world.knowledge.suspicions.quarantine.isEmpty);
+  t.false(world.knowledge.suspicionTracker.quarantine.isEmpty);
   await sleep(SETTLED_MILLISECONDS);
-  t.true(world.knowledge.suspicions.quarantine.isEmpty);
+  t.true(world.knowledge.suspicionTracker.quarantine.isEmpty);
   t.is((await continued).status, 200);
 });
 
@@ -158,7 +160,7 @@
   await world.start(t);
   const paths = ["/stream/waiting", "/stream/begun"];
   const [waiting, begun] = paths.map((path) => rawCall(world.port, path));
-  await Promise.all([isWaiting, begun?.heard("id: 1")]);
+  await Promise.all([isWaiting, begun?.received("id: 1")]);
   for (const path of paths) {
     const headers = { host: "one.example" };
     const head = { method: "POST", url: path, headers };
@@ -169,15 +171,15 @@
       world.knowledge.suspicion({ kind: "added", suspicion });
     }
   }
-  t.is(world.knowledge.suspicions.quarantine.quarantinedContents.size, 2);
-  world.front.endCrashing();
+  t.is(world.knowledge.suspicionTracker.quarantine.quarantinedContents.size, 2);
+  world.front.applyQuarantine();
   t.regex((await waiting?.ended)?.bytes ?? "", /^HTTP\/1\.1 502 /);
   finish();
   const served = await begun?.ended;
   t.regex(served?.bytes ?? "", /^HTTP\/1\.1 200 /);
-  t.true(served?.looksWhole);
+  t.true(served?.looksComplete);
   t.is(
-    world.knowledge.suspicions.quarantine.quarantinedContents.size,
+    world.knowledge.suspicionTracker.quarantine.quarantinedContents.size,
     1,
     "It was served.",
   );
@@ -190,13 +192,13 @@
   );
   t.true(answers.every(({ status }) => status === 200));
   await world.call("/once/crashing", { body: BODY });
-  t.false(world.knowledge.suspicions.quarantine.isEmpty);
+  t.false(world.knowledge.suspicionTracker.quarantine.isEmpty);
   await sleep(SETTLED_MILLISECONDS);
-  t.true(world.knowledge.suspicions.quarantine.isEmpty);
+  t.true(world.knowledge.suspicionTracker.quarantine.isEmpty);
 });
 
 test("suspicions that the log doesn't accept are written again", async (t) => {
-  const { base, knowledge } = relayBase({ part: "callers" });
+  const { base, knowledge } = createRelayBase({ part: "callers" });
   const written: SuspicionChange[] = [];
   let attempts = 0;
   new CrashReports({
@@ -217,7 +219,7 @@
     ranFor: milliseconds(1),
   };
   knowledge.suspicion({ kind: "added", suspicion });
-  knowledge.suspicions.onServersLive([suspicion]);
+  knowledge.suspicionTracker.onSuspicionsDisproved([suspicion]);
   while (written.length === 0) await sleep(20);
   t.deepEqual(written, [{ kind: "dropped", key: suspicion }]);
   t.is(attempts, 3);
--- a/packages/node/tests/relay/relay_metrics_test.ts
+++ b/packages/node/tests/relay/relay_metrics_test.ts
@@ -32,12 +32,12 @@
   const lines = async () =>
     (await metrics.text()).split("\n")
       .filter((line) => line.startsWith("foxtailwind_work_total"));
-  work.count("exchange_asked");
+  work.increment("exchange_asked");
   t.deepEqual(await lines(), [
     'foxtailwind_work_total{kind="exchange_asked"} 1',
   ]);
-  work.count("exchange_asked");
-  work.count("look");
+  work.increment("exchange_asked");
+  work.increment("look");
   t.deepEqual(await lines(), [
     'foxtailwind_work_total{kind="exchange_asked"} 2',
     'foxtailwind_work_total{kind="look"} 1',
--- a/packages/node/tests/relay/relay_stop_test.ts
+++ b/packages/node/tests/relay/relay_stop_test.ts
@@ -1,5 +1,5 @@
 import { instant, milliseconds, seconds } from "@foxtailwind/core";
-import { isTakenWhileStopping, nextStopStep } from "@foxtailwind/node/relay";
+import { isAcceptedWhileStopping, nextStopStep } from "@foxtailwind/node/relay";
 import test from "ava";
 
 function step(now: number, running: number, lastRequestAt = 0): string {
@@ -27,7 +27,7 @@
 
 test("a late request to a stopping node is accepted only if it ends in time", (t) => {
   const isTaken = (now: number, longest: number) =>
-    isTakenWhileStopping(
+    isAcceptedWhileStopping(
       instant(now),
       { begunAt: instant(0), grace: seconds(8) },
       milliseconds(longest),
--- a/packages/node/tests/relay/relay_test.ts
+++ b/packages/node/tests/relay/relay_test.ts
@@ -123,7 +123,7 @@
   const answer = await rawCall(world.port, "/once/a").ended;
   t.regex(answer.bytes, /content-length: 10\r\n/i);
   t.is(answer.body, "whole body");
-  t.true(answer.looksWhole);
+  t.true(answer.looksComplete);
 });
 
 test("a reset during an answer to a stalled caller ends only that answer", async (t) => {
@@ -140,7 +140,7 @@
   caller.pause();
   await sleep(400);
   caller.destroy();
-  world.leave("s1");
+  world.removeServer("s1");
   await serveCloseDelimited(t, world, (socket) => socket.end("whole"), "s2");
   const { bytes } = await rawCall(world.port, "/once/a").ended;
   t.true(bytes.endsWith("whole"), bytes);
@@ -155,7 +155,7 @@
     succeed(request, response, "done");
   });
   await world.start(t);
-  world.stop = { begunAt: world.earlier(3_000), grace: seconds(8) };
+  world.plannedStop = { begunAt: world.timeBefore(3_000), grace: seconds(8) };
   const refused = await world.call("/engine/a");
   t.is(refused.status, 503);
   t.is(refused.headers["connection"], "close");
@@ -381,11 +381,11 @@
     }
     response.write("id: 1\ndata: a\n\n");
     setTimeout(() => {
-      world.leave("s1");
+      world.removeServer("s1");
       response.destroy();
     }, 750);
     setTimeout(() => {
-      world.comeBack("s1");
+      world.restoreServer("s1");
     }, 800);
   });
   await world.start(t);
--- a/packages/node/tests/relay/request_placer_test.ts
+++ b/packages/node/tests/relay/request_placer_test.ts
@@ -19,7 +19,11 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { collectGarbage } from "./helpers/collect_garbage.ts";
 import { nodeDigest } from "./helpers/node_digest.ts";
-import { knowEngine, registerEngine, relayBase } from "./helpers/relay_base.ts";
+import {
+  addOwnedEngine,
+  addRegistryEntry,
+  createRelayBase,
+} from "./helpers/relay_base.ts";
 import { ScriptedEngine } from "./helpers/scripted_engine.ts";
 
 const ENGINE = backendServerId("engine");
@@ -79,17 +83,21 @@
  * @returns The placer's functions and what it works with.
  */
 function setUp(registered: number, reported: number) {
-  const { base, knowledge } = relayBase({ part: "callers" });
+  const { base, knowledge } = createRelayBase({ part: "callers" });
   const { settings, clock } = base;
   const register = (start: number, offset: number, leaving = false) => {
-    registerEngine(knowledge, {
+    addRegistryEntry(knowledge, {
       engine: ENGINE,
       start,
       offset,
       leaving,
     });
   };
-  knowEngine(knowledge, { engine: ENGINE, start: registered, owner: OWNER });
+  addOwnedEngine(knowledge, {
+    engine: ENGINE,
+    start: registered,
+    owner: OWNER,
+  });
   const digest = nodeDigest(OWNER, {
     engineStates: {
       sequence: 1,
@@ -110,14 +118,14 @@
       }],
     },
   });
-  knowledge.peers.heard(clock.now(), digest);
+  knowledge.peers.applyDigest(clock.now(), digest);
   const owners = new EngineOwners({
     ...base,
     knowledge,
     control: new ScriptedEngine(2),
     log: undefined as never,
     isLeaving: () => false,
-    gained: () => undefined,
+    onEngineGained: () => undefined,
   });
   const { id, failure_domain: failureDomain } = settings.node;
   const grants = new ScriptedGrants(id, owners, undefined as never);
@@ -132,7 +140,7 @@
       knowledge,
       clock,
       logger: base.logger,
-      changed: () => undefined,
+      onChange: () => undefined,
     }),
     clock,
   });
--- a/packages/node/tests/relay/server_starts_test.ts
+++ b/packages/node/tests/relay/server_starts_test.ts
@@ -26,18 +26,18 @@
 test("connections to one start aren't used for the next one", async (t) => {
   const pools = new BackendPools();
   t.teardown(() => pools.destroy());
-  const pool = (start?: number) => pools.pool(server(start), 10, 1);
+  const pool = (start?: number) => pools.getPool(server(start), 10, 1);
   const unknown = pool();
   const first = pool(10);
   t.is(first, unknown, "The start is reported later.");
   t.is(pool(), first, "The start isn't reported.");
   const second = pool(20);
   t.not(second, first);
-  pools.retain([server(20)]);
+  pools.retainOnly([server(20)]);
   t.is(pool(20), second);
-  pools.retain([server(30)]);
+  pools.retainOnly([server(30)]);
   t.not(pool(20), second, "It is closed before the next request.");
-  pools.retain([]);
+  pools.retainOnly([]);
   await t.throwsAsync(
     second.request({ method: "GET", path: "/" }),
     undefined,
@@ -47,14 +47,14 @@
 
 test("failures of one start don't count against the next one", (t) => {
   const loads = new ServerLoads(failureDomainId("d"));
-  const first = loads.of(server(10));
+  const first = loads.loadOf(server(10));
   for (let failure = 0; failure < 3; failure += 1) {
     first.recordSend(instant(failure));
     first.recordResult(instant(failure), { kind: "dead" });
   }
   first.recordSend(instant(5));
-  t.true(loads.of(server(10)).isPaused(instant(10)));
-  const second = loads.of(server(20));
+  t.true(loads.loadOf(server(10)).isPaused(instant(10)));
+  const second = loads.loadOf(server(20));
   t.false(second.isPaused(instant(10)));
   first.recordResult(instant(11), { kind: "dead" });
   t.is(second.running, 0);
--- a/packages/node/tests/relay/stop_end_test.ts
+++ b/packages/node/tests/relay/stop_end_test.ts
@@ -24,7 +24,7 @@
   await world.start(t);
   const call = rawCall(world.port, "/once/a");
   await arrived;
-  await world.front.cut();
+  await world.front.abortAll();
   const { bytes } = await call.ended;
   t.regex(bytes, /^HTTP\/1\.1 504 /, "The request may have run.");
 });
@@ -34,8 +34,8 @@
   world.configure();
   await world.start(t);
   const call = rawCall(world.port, "/once/a");
-  while (world.front.running === 0) await sleep(5);
-  await world.front.cut();
+  while (world.front.requestsInProgress === 0) await sleep(5);
+  await world.front.abortAll();
   const { bytes } = await call.ended;
   t.regex(bytes, /^HTTP\/1\.1 503 /);
   t.regex(bytes, /retry-after: /i);
@@ -49,7 +49,7 @@
     left.push(Number(request.headers["x-left"]));
   });
   await world.start(t);
-  world.stop = { begunAt: world.earlier(2_500), grace: seconds(3.5) };
+  world.plannedStop = { begunAt: world.timeBefore(2_500), grace: seconds(3.5) };
   const { bytes } = await rawCall(world.port, "/once/a").ended;
   t.regex(bytes, /^HTTP\/1\.1 504 /);
   const [milliseconds = Number.NaN] = left;
--- a/packages/node/tests/relay/stop_work_test.ts
+++ b/packages/node/tests/relay/stop_work_test.ts
@@ -30,7 +30,7 @@
 
 /** Waits until the front server has this many requests in progress. */
 async function waitForRunning(world: RelayWorld, count: number): Promise<void> {
-  while (world.front.running !== count) await sleep(5);
+  while (world.front.requestsInProgress !== count) await sleep(5);
 }
 
 test("a request that waits for the first configuration gets a final answer when the node ends", async (t) => {
@@ -38,7 +38,7 @@
   const call = rawCall(world.port, "/once/a");
   await waitForRunning(world, 1);
   world.front.stopListening();
-  await world.front.cut();
+  await world.front.abortAll();
   t.regex((await call.ended).bytes, /^HTTP\/1\.1 503 /);
 });
 
@@ -54,10 +54,10 @@
   const { socket, seen } = dial(world.port);
   await new Promise((resolve) => socket.once("connect", resolve));
   await sleep(50);
-  t.is(world.front.running, 0, "A stop would end now.");
+  t.is(world.front.requestsInProgress, 0, "A stop would end now.");
   socket.write(REQUEST);
   world.front.stopListening();
-  await world.front.cut();
+  await world.front.abortAll();
   await sleep(100);
   socket.destroy();
   t.true(
@@ -92,7 +92,7 @@
   await sleep(60);
   world.configure();
   await sleep(600);
-  t.is(world.front.running, 0, "A stop would take all its time.");
+  t.is(world.front.requestsInProgress, 0, "A stop would take all its time.");
 });
 
 test("a send that begins during a stop gives its server no more time than the node has left", async (t) => {
@@ -104,7 +104,10 @@
       left.push(Number(request.headers["x-left"]));
       if (left.length > 1) succeed(request, response, "well");
       else {
-        world.stop = { begunAt: world.earlier(2_000), grace: seconds(3) };
+        world.plannedStop = {
+          begunAt: world.timeBefore(2_000),
+          grace: seconds(3),
+        };
         response.destroy();
       }
     });
@@ -143,7 +146,7 @@
   const call = dial(world.port);
   call.socket.write(REQUEST.replace("/once/", "/short/"));
   await waitForRunning(world, 1);
-  world.stop = { begunAt: world.earlier(0), grace: seconds(8) };
+  world.plannedStop = { begunAt: world.timeBefore(0), grace: seconds(8) };
   await sleep(300);
   call.socket.destroy();
   t.regex(call.seen.bytes, /^HTTP\/1\.1 503 /);
@@ -161,11 +164,15 @@
   socket.write(`POST /once/a ${HEAD}content-length: 10\r\n\r\nhalf`);
   await waitForRunning(world, 1);
   world.front.stopListening();
-  t.is(world.front.running, 1, "The request keeps a stop from ending early.");
-  await world.front.cut();
+  t.is(
+    world.front.requestsInProgress,
+    1,
+    "The request keeps a stop from ending early.",
+  );
+  await world.front.abortAll();
   await sleep(60);
   t.is(seen.bytes, "");
-  t.is(world.front.running, 0);
+  t.is(world.front.requestsInProgress, 0);
   t.is(arrivals, 0);
   t.true(socket.destroyed);
 });
--- a/packages/node/tests/relay/truncated_answer_test.ts
+++ b/packages/node/tests/relay/truncated_answer_test.ts
@@ -11,13 +11,13 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { rawCall } from "./helpers/raw_call.ts";
 import { startWorld } from "./helpers/relay_world.ts";
-import { OPEN_ENDED, serveRaw } from "./helpers/serve_raw.ts";
+import { CLOSE_DELIMITED_HEAD, serveRaw } from "./helpers/serve_raw.ts";
 
 test("a close-delimited answer is forwarded only once its end is known", async (t) => {
   const world = await startWorld(t);
   const begun: Socket[] = [];
   await serveRaw(t, world, "s1", (socket) => {
-    socket.write(`${OPEN_ENDED}half a bo`);
+    socket.write(`${CLOSE_DELIMITED_HEAD}half a bo`);
     begun.push(socket);
   });
   const call = rawCall(world.port, "/once/a");
@@ -37,10 +37,10 @@
     await serveRaw(t, world, id, (socket) => {
       arrivals += 1;
       if (arrivals > 1) {
-        socket.end(`${OPEN_ENDED}whole`);
+        socket.end(`${CLOSE_DELIMITED_HEAD}whole`);
         return;
       }
-      socket.write(`${OPEN_ENDED}half a bo`);
+      socket.write(`${CLOSE_DELIMITED_HEAD}half a bo`);
       setTimeout(() => socket.resetAndDestroy(), 30);
     });
   }
@@ -51,12 +51,12 @@
 test("a close-delimited stream does not look complete if the node ends first", async (t) => {
   const world = await startWorld(t);
   await serveRaw(t, world, "s1", (socket) => {
-    socket.write(`${OPEN_ENDED}id: 1\ndata: a\n\n`);
+    socket.write(`${CLOSE_DELIMITED_HEAD}id: 1\ndata: a\n\n`);
   });
   const call = rawCall(world.port, "/stream/a");
-  await call.heard("id: 1");
-  await world.front.cut();
-  t.false((await call.ended).looksWhole);
+  await call.received("id: 1");
+  await world.front.abortAll();
+  t.false((await call.ended).looksComplete);
 });
 
 test("a close-delimited stream that ends within an event is resumed elsewhere", async (t) => {
@@ -67,14 +67,14 @@
       arrivals += 1;
       socket.end(
         arrivals === 1
-          ? `${OPEN_ENDED}id: 1\ndata: a\n\nid: 2\nda`
-          : `${OPEN_ENDED}id: 2\ndata: b\n\n`,
+          ? `${CLOSE_DELIMITED_HEAD}id: 1\ndata: a\n\nid: 2\nda`
+          : `${CLOSE_DELIMITED_HEAD}id: 2\ndata: b\n\n`,
       );
     });
   }
   const answer = await rawCall(world.port, "/resumable/a").ended;
   t.is(answer.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-  t.true(answer.looksWhole);
+  t.true(answer.looksComplete);
 });
 
 const FAILURE =
@@ -86,7 +86,7 @@
   const answer = await rawCall(world.port, "/once/a").ended;
   t.regex(answer.bytes, /^HTTP\/1\.1 500 /);
   t.is(answer.body, "half a fail");
-  t.true(answer.looksWhole);
+  t.true(answer.looksComplete);
 });
 
 test("a close-delimited failure is not forwarded if the connection is reset", async (t) => {
--- a/packages/node/tests/serving/engine_orders_test.ts
+++ b/packages/node/tests/serving/engine_orders_test.ts
@@ -13,17 +13,17 @@
 import { err, type Result } from "neverthrow";
 import { Agent } from "undici";
 import {
-  ConstantOrderRight,
+  ConstantOrderAuthorizer,
   EngineOrders,
-  OrderRight,
+  OrderAuthorizer,
   ProcessClock,
 } from "@foxtailwind/node";
 
 const ENGINE = engineId("engine-1");
 const NOTES = { adapter: adapterId("notes"), version: adapterVersion("v1") };
 
-class ExpiredOrderRight extends OrderRight {
-  override current(engine: EngineId): Result<never, Failure> {
+class ExpiredOrderAuthorizer extends OrderAuthorizer {
+  override authorizeOrder(engine: EngineId): Result<never, Failure> {
     return err({
       reason: "expired",
       step: "load_adapter",
@@ -36,7 +36,7 @@
 
 async function startOrders(
   t: ExecutionContext,
-  authorizer: OrderRight = new ConstantOrderRight(fencingNumber(1)),
+  authorizer: OrderAuthorizer = new ConstantOrderAuthorizer(fencingNumber(1)),
 ) {
   const engine = new FakeEngine({ id: ENGINE, loadMilliseconds: 1 });
   const baseAddress = await engine.listen({ host: "127.0.0.1", port: 0 });
@@ -50,7 +50,7 @@
     engine: ENGINE,
     client,
     clock: new ProcessClock(),
-    right: authorizer,
+    orderAuthorizer: authorizer,
     expiresInMilliseconds: 300,
   });
   t.teardown(async () => {
@@ -81,7 +81,7 @@
 });
 
 test("no order is sent without authorization", async (t) => {
-  const { engine, orders } = await startOrders(t, new ExpiredOrderRight());
+  const { engine, orders } = await startOrders(t, new ExpiredOrderAuthorizer());
   const result = await orders.load(NOTES);
   t.is(result._unsafeUnwrapErr().reason, "expired");
   t.is(engine.readCounters().loads, 0);
--- a/packages/standins/src/engine/generation_manager.ts
+++ b/packages/standins/src/engine/generation_manager.ts
@@ -7,7 +7,7 @@
   type AdapterReference,
   type GenerateCall,
   hashPromptPrefixes,
-  type StatedFailure,
+  type ReportedFailure,
 } from "@foxtailwind/edges";
 import { err, ok, type Result } from "neverthrow";
 import type { SeededRandom } from "../shared/random.ts";
@@ -37,7 +37,7 @@
   readonly onRequestStarted: (request: RequestId) => void;
 }
 
-type GenerationResult = Result<Generation, StatedFailure>;
+type GenerationResult = Result<Generation, ReportedFailure>;
 
 /** Accepts, resumes, cancels and kills generations. */
 export class GenerationManager {
@@ -171,7 +171,7 @@
     return ok(generation);
   }
 
-  #checkStart(call: GenerateCall): StatedFailure | undefined {
+  #checkStart(call: GenerateCall): ReportedFailure | undefined {
     const { orderExecutor, table, settings, counters } = this.#options;
     if (call.model !== orderExecutor.model) {
       return refusal("mismatch", `The model here is "${orderExecutor.model}"`);
@@ -192,7 +192,7 @@
   #checkImport(
     call: GenerateCall,
     imported: ImportedKvCache | undefined,
-  ): StatedFailure | undefined {
+  ): ReportedFailure | undefined {
     if (call.fromSequence > (imported?.generated ?? 0)) {
       return refusal("not_found", "There is nothing to resume from");
     }
--- a/packages/standins/src/engine/kv_cache.ts
+++ b/packages/standins/src/engine/kv_cache.ts
@@ -2,7 +2,7 @@
   type AdapterReference,
   type ExportedKvCache,
   parseJson,
-  type StatedFailure,
+  type ReportedFailure,
 } from "@foxtailwind/edges";
 import type { RequestId } from "@foxtailwind/core";
 import { err, ok, type Result } from "neverthrow";
@@ -50,7 +50,7 @@
    * @param exported The cache.
    * @returns The imported cache, or the refusal.
    */
-  add(exported: ExportedKvCache): Result<ImportedKvCache, StatedFailure> {
+  add(exported: ExportedKvCache): Result<ImportedKvCache, ReportedFailure> {
     const parsed = kvCacheDataSchema.safeParse(parseJson(exported.data));
     if (!parsed.success) {
       return err(refusal("invalid", "Cannot read the KV cache"));
--- a/packages/standins/src/engine/order_executor.ts
+++ b/packages/standins/src/engine/order_executor.ts
@@ -3,7 +3,7 @@
   AdapterReference,
   EngineOrder,
   EngineRole,
-  StatedFailure,
+  ReportedFailure,
 } from "@foxtailwind/edges";
 import { err, ok, type Result } from "neverthrow";
 import { setTimeout as delay } from "node:timers/promises";
@@ -15,7 +15,7 @@
 import { fetchWeights } from "./weight_fetch.ts";
 
 /** The result of an order. */
-export type OrderResult = Result<void, StatedFailure>;
+export type OrderResult = Result<void, ReportedFailure>;
 
 /** The faults of a load. */
 export interface LoadFaults {
--- a/packages/standins/src/engine/weight_fetch.ts
+++ b/packages/standins/src/engine/weight_fetch.ts
@@ -2,8 +2,8 @@
   type AdapterReference,
   adapterWeightsPath,
   parseJson,
-  type StatedFailure,
-  statedFailureSchema,
+  type ReportedFailure,
+  reportedFailureSchema,
 } from "@foxtailwind/edges";
 import { err, ok, type Result } from "neverthrow";
 import { refusal } from "../shared/refusal.ts";
@@ -24,7 +24,7 @@
 export async function fetchWeights(
   adapter: AdapterReference,
   options: WeightFetchOptions,
-): Promise<Result<void, StatedFailure>> {
+): Promise<Result<void, ReportedFailure>> {
   const path = `${adapterWeightsPath(adapter)}/weights`;
   try {
     const answer = await fetch(`${options.weightStoreAddress}${path}`, {
@@ -32,7 +32,7 @@
     });
     const body = await answer.text();
     if (answer.ok) return ok();
-    const stated = statedFailureSchema.safeParse(parseJson(body));
+    const stated = reportedFailureSchema.safeParse(parseJson(body));
     if (stated.success) return err(stated.data);
     return err(refusal("unavailable", `The store said ${answer.status}`));
   } catch (error) {
--- a/packages/standins/src/shared/parse_input.ts
+++ b/packages/standins/src/shared/parse_input.ts
@@ -1,5 +1,5 @@
 import { err, ok, type Result } from "neverthrow";
-import type { StatedFailure } from "@foxtailwind/edges";
+import type { ReportedFailure } from "@foxtailwind/edges";
 import * as z from "zod";
 import { refusal } from "./refusal.ts";
 
@@ -12,7 +12,7 @@
 export function parseInput<Value>(
   schema: z.ZodType<Value>,
   value: unknown,
-): Result<Value, StatedFailure> {
+): Result<Value, ReportedFailure> {
   const parsed = schema.safeParse(value);
   if (parsed.success) return ok(parsed.data);
   return err(refusal("invalid", z.prettifyError(parsed.error)));
--- a/packages/standins/src/shared/refusal.ts
+++ b/packages/standins/src/shared/refusal.ts
@@ -1,5 +1,5 @@
 import type { FailureReason, RunOutcome } from "@foxtailwind/core";
-import type { StatedFailure } from "@foxtailwind/edges";
+import type { ReportedFailure } from "@foxtailwind/edges";
 import type { FastifyReply } from "fastify";
 
 /** The optional fields of a refusal. */
@@ -34,7 +34,7 @@
   reason: FailureReason,
   message: string,
   options: RefusalOptions = {},
-): StatedFailure {
+): ReportedFailure {
   const { retryAfterMilliseconds } = options;
   return {
     reason,
@@ -52,7 +52,7 @@
  */
 export function sendRefusal(
   reply: FastifyReply,
-  failure: StatedFailure,
+  failure: ReportedFailure,
 ): FastifyReply {
   return reply.code(HTTP_STATUS_BY_REASON[failure.reason]).send(failure);
 }
--- a/packages/standins/src/vm_list/fake_vm_list.ts
+++ b/packages/standins/src/vm_list/fake_vm_list.ts
@@ -53,7 +53,7 @@
     this.#settings = fakeVmListSettingsSchema.parse(settings);
     this.application.get("/v1/vms", () => {
       this.#reads += 1;
-      return { vms: this.readShown(performance.now()) };
+      return { vms: this.readVisible(performance.now()) };
     });
     this.application.post("/standin/vms", (request, reply) => {
       const body = parseInput(vmListSchema, request.body);
@@ -93,7 +93,7 @@
    * @param now A reading of the process's monotonic clock in milliseconds.
    * @returns The entries.
    */
-  readShown(now: number): readonly Vm[] {
+  readVisible(now: number): readonly Vm[] {
     if (!this.faults.stale) {
       const latestVisible = now - this.#settings.lagMilliseconds;
       const visibleIndex = this.#versions.findLastIndex(({ changedAt }) =>
--- a/packages/standins/tests/engine/fake_engine_test.ts
+++ b/packages/standins/tests/engine/fake_engine_test.ts
@@ -5,7 +5,10 @@
   requestId,
 } from "@foxtailwind/core";
 import test from "ava";
-import { adapterOf, callOf } from "../../../edges/tests/helpers/calls.ts";
+import {
+  createAdapterReference,
+  createGenerateCall,
+} from "../../../edges/tests/helpers/calls.ts";
 import { CollectingSink } from "../../../edges/tests/helpers/collecting_sink.ts";
 import { startEngine } from "../helpers/start_stand_ins.ts";
 
@@ -15,7 +18,7 @@
 test("each token contains adapter, version and position", async (t) => {
   const { engine, client } = await startEngine(t);
   const sink = new CollectingSink();
-  client.generate(callOf("r"), sink);
+  client.generate(createGenerateCall("r"), sink);
   const end = (await sink.ended)._unsafeUnwrap();
   t.is(sink.text, FIRST_FIVE_TOKENS);
   t.like(end, { finishReason: "length", completionTokens: 5 });
@@ -26,7 +29,7 @@
   const { engine, client } = await startEngine(t, { tokensPerFrame: 4 });
   const sinks = Array.from({ length: 100 }, () => new CollectingSink());
   sinks.forEach((sink, index) => {
-    client.generate(callOf(`r${index}`), sink);
+    client.generate(createGenerateCall(`r${index}`), sink);
   });
   await Promise.all(sinks.map(({ ended }) => ended));
   t.true(sinks.every(({ text }) => text === FIRST_FIVE_TOKENS));
@@ -38,7 +41,10 @@
 test("a generation on an adapter that is not loaded is refused as not run", async (t) => {
   const { client } = await startEngine(t);
   const sink = new CollectingSink();
-  client.generate(callOf("r", { adapter: adapterOf("b") }), sink);
+  client.generate(
+    createGenerateCall("r", { adapter: createAdapterReference("b") }),
+    sink,
+  );
   const failure = (await sink.ended)._unsafeUnwrapErr();
   t.like(failure, { reason: "not_found", outcome: "not_run" });
 });
@@ -47,12 +53,12 @@
   const { engine, client } = await startEngine(t);
   engine.setFaults({ dropNextStreams: 1, dropStreamAfterTokens: 2 });
   const first = new CollectingSink();
-  client.generate(callOf("r"), first);
+  client.generate(createGenerateCall("r"), first);
   t.is((await first.ended)._unsafeUnwrapErr().outcome, "unknown");
   const fromSequence = first.frames.length;
   const second = new CollectingSink();
   const attempt = attemptNumber(2);
-  client.generate(callOf("r", { fromSequence, attempt }), second);
+  client.generate(createGenerateCall("r", { fromSequence, attempt }), second);
   t.true((await second.ended).isOk());
   t.is(first.text + second.text, FIRST_FIVE_TOKENS);
   t.true(second.frames.every((frame) => frame.attempt === attempt));
@@ -63,7 +69,10 @@
   const { engine, client } = await startEngine(t);
   for (const number of [1, 2]) {
     const sink = new CollectingSink();
-    client.generate(callOf("r", { attempt: attemptNumber(number) }), sink);
+    client.generate(
+      createGenerateCall("r", { attempt: attemptNumber(number) }),
+      sink,
+    );
     await sink.ended;
   }
   t.is(engine.readCounters().repeatedRequests, 1);
@@ -73,14 +82,17 @@
 test("a cancel ends the stream, or refuses an attempt that arrives later", async (t) => {
   const { client } = await startEngine(t);
   const running = new CollectingSink();
-  const handle = client.generate(callOf("r", LONG_GENERATION), running);
-  await running.gather(2);
+  const handle = client.generate(
+    createGenerateCall("r", LONG_GENERATION),
+    running,
+  );
+  await running.waitForFrames(2);
   handle.cancel();
   t.is((await running.ended)._unsafeUnwrap().finishReason, "cancelled");
   const early = await client.cancel(requestId("s"), attemptNumber(1));
   t.true(early._unsafeUnwrap());
   const late = new CollectingSink();
-  client.generate(callOf("s"), late);
+  client.generate(createGenerateCall("s"), late);
   const failure = (await late.ended)._unsafeUnwrapErr();
   t.like(failure, { reason: "cancelled", outcome: "not_run" });
 });
@@ -89,13 +101,16 @@
   const { engine, client } = await startEngine(t, { batchCapacity: 1 });
   const low = new CollectingSink();
   const high = new CollectingSink();
-  const handle = client.generate(callOf("low", LONG_GENERATION), low);
-  await low.gather(1);
-  client.generate(callOf("high", { priority: 1 }), high);
+  const handle = client.generate(
+    createGenerateCall("low", LONG_GENERATION),
+    low,
+  );
+  await low.waitForFrames(1);
+  client.generate(createGenerateCall("high", { priority: 1 }), high);
   t.true((await high.ended).isOk());
-  t.is(low.ends, 0);
+  t.is(low.endCount, 0);
   t.is(engine.readCounters().preemptions, 1);
-  await low.gather(low.frames.length + 2);
+  await low.waitForFrames(low.frames.length + 2);
   handle.cancel();
   await low.ended;
   const sequences = low.frames.map(({ sequence }) => sequence);
@@ -110,7 +125,7 @@
   const ends = [];
   for (const request of ["r", "s"]) {
     const sink = new CollectingSink();
-    client.generate(callOf(request), sink);
+    client.generate(createGenerateCall(request), sink);
     ends.push((await sink.ended)._unsafeUnwrap());
   }
   t.is(ends[0]?.cachedPromptTokens, 0);
@@ -125,9 +140,9 @@
   const source = await startEngine(t, { stepBaseMilliseconds: 20 });
   const target = await startEngine(t);
   const started = new CollectingSink();
-  const call = callOf("r", { maximumTokens: 1_000 });
+  const call = createGenerateCall("r", { maximumTokens: 1_000 });
   source.client.generate(call, started);
-  await started.gather(2);
+  await started.waitForFrames(2);
   const exported = await source.client.exportKvCache(call.request);
   await source.client.cancel(call.request, call.attempt);
   await started.ended;
@@ -136,7 +151,7 @@
   const resumed = new CollectingSink();
   const fromSequence = started.frames.length;
   target.client.generate({ ...call, fromSequence }, resumed);
-  await resumed.gather(2);
+  await resumed.waitForFrames(2);
   t.is(resumed.frames[0]?.sequence, fromSequence);
   t.is(target.engine.readCounters().prefilledTokens, 0);
   t.deepEqual([...target.engine.startsByRequest], []);
@@ -146,7 +161,7 @@
   const { engine, client } = await startEngine(t);
   engine.setFaults({ wrongAdapterNextGenerations: 1 });
   const sink = new CollectingSink();
-  client.generate(callOf("r"), sink);
+  client.generate(createGenerateCall("r"), sink);
   await sink.ended;
   t.is(sink.frames[0]?.adapter.version, adapterVersion("1-wrong"));
   t.true(sink.text.startsWith("a@1-wrong#0 "));
@@ -159,7 +174,7 @@
     misorderFrameProbability: 0.5,
   });
   const sink = new CollectingSink();
-  client.generate(callOf("r", { maximumTokens: 50 }), sink);
+  client.generate(createGenerateCall("r", { maximumTokens: 50 }), sink);
   t.true((await sink.ended).isOk());
   const sequences = sink.frames.map(({ sequence }) => sequence);
   t.is(new Set(sequences).size, 50);
@@ -171,8 +186,8 @@
   const { engine, client } = await startEngine(t);
   const before = (await client.readState())._unsafeUnwrap();
   const sink = new CollectingSink();
-  client.generate(callOf("r", LONG_GENERATION), sink);
-  await sink.gather(1);
+  client.generate(createGenerateCall("r", LONG_GENERATION), sink);
+  await sink.waitForFrames(1);
   engine.restart();
   t.is((await sink.ended)._unsafeUnwrapErr().outcome, "unknown");
   const after = (await client.readState())._unsafeUnwrap();
@@ -185,7 +200,7 @@
   const { engine, client } = await startEngine(t);
   engine.setFaults({ outage: "hang" });
   const sink = new CollectingSink();
-  client.generate(callOf("r"), sink);
+  client.generate(createGenerateCall("r"), sink);
   const read = client.readLoad();
   engine.setFaults({ outage: "none" });
   t.true((await sink.ended).isOk());
--- a/packages/standins/tests/helpers/start_stand_ins.ts
+++ b/packages/standins/tests/helpers/start_stand_ins.ts
@@ -13,7 +13,7 @@
   type FakeLogServiceSettings,
 } from "@foxtailwind/standins";
 import type { ExecutionContext } from "ava";
-import { adapterOf } from "../../../edges/tests/helpers/calls.ts";
+import { createAdapterReference } from "../../../edges/tests/helpers/calls.ts";
 
 /** A listening engine and its client. */
 export interface StartedEngine {
@@ -48,7 +48,7 @@
     await dispatcher.destroy();
     await engine.close();
   });
-  engine.placeAdapters([adapterOf("a")]);
+  engine.placeAdapters([createAdapterReference("a")]);
   const peer = "engine-1";
   const client = new HttpEngineClient({ baseAddress, dispatcher, peer });
   return { engine, client };
--- a/packages/standins/tests/plain_service/fake_plain_service_test.ts
+++ b/packages/standins/tests/plain_service/fake_plain_service_test.ts
@@ -2,7 +2,7 @@
 import {
   createDispatcher,
   HttpServiceClient,
-  type ServiceAnswer,
+  type ServiceResponse,
 } from "@foxtailwind/edges";
 import { FakePlainService } from "@foxtailwind/standins";
 import test, { type ExecutionContext } from "ava";
@@ -32,7 +32,7 @@
   return { service, call };
 }
 
-function parseBody(answer: ServiceAnswer): unknown {
+function parseBody(answer: ServiceResponse): unknown {
   return JSON.parse(Buffer.from(answer.body).toString());
 }
 
--- a/packages/standins/tests/vm_list/fake_vm_list_test.ts
+++ b/packages/standins/tests/vm_list/fake_vm_list_test.ts
@@ -41,9 +41,9 @@
   const list = new FakeVmList({ lagMilliseconds: 1_000 });
   list.setVm(VM);
   const now = performance.now();
-  t.deepEqual(list.readShown(now), []);
+  t.deepEqual(list.readVisible(now), []);
   list.setFaults({ stale: true });
-  t.deepEqual(list.readShown(now + 2_000), []);
+  t.deepEqual(list.readVisible(now + 2_000), []);
   list.setFaults({ stale: false });
-  t.deepEqual(list.readShown(now + 2_000), [VM]);
+  t.deepEqual(list.readVisible(now + 2_000), [VM]);
 });
--- a/packages/standins/tests/weight_store/fake_weight_store_test.ts
+++ b/packages/standins/tests/weight_store/fake_weight_store_test.ts
@@ -4,7 +4,7 @@
   type FakeWeightStoreSettings,
 } from "@foxtailwind/standins";
 import test, { type ExecutionContext } from "ava";
-import { adapterOf } from "../../../edges/tests/helpers/calls.ts";
+import { createAdapterReference } from "../../../edges/tests/helpers/calls.ts";
 
 async function startStore(
   t: ExecutionContext,
@@ -35,11 +35,11 @@
   });
   const limits = (await client.readLimits())._unsafeUnwrap();
   t.deepEqual(limits, { loadsPerSecond: 5, concurrentLoads: 2 });
-  const adapter = adapterOf("a/b");
-  const weights = (await client.describe(adapter))._unsafeUnwrap();
+  const adapter = createAdapterReference("a/b");
+  const weights = (await client.readAdapterWeights(adapter))._unsafeUnwrap();
   t.deepEqual(weights, { adapter, bytes: 1 });
   store.setFaults({ missingAdapters: ["a/b"] });
-  const missing = (await client.describe(adapter))._unsafeUnwrapErr();
+  const missing = (await client.readAdapterWeights(adapter))._unsafeUnwrapErr();
   t.like(missing, { reason: "not_found", step: "read_weight_store" });
 });
 
