--- a/packages/standins/src/engine/fake_engine.ts
+++ b/packages/standins/src/engine/fake_engine.ts
@@ -14,7 +14,7 @@
 import { SeededRandom } from "../shared/random.ts";
 import { refusal, sendRefusal } from "../shared/refusal.ts";
 import {
-  CONTROL_PATH_PREFIX,
+  CONTROL_ROUTE_PREFIX,
   dropConnection,
   StandIn,
 } from "../shared/stand_in.ts";
@@ -60,7 +60,7 @@
     this.#boot = this.#createBoot();
     this.application.addHook("onRequest", (request, reply, done) => {
       const isDown = performance.now() < this.#unavailableUntil;
-      if (isDown && !request.url.startsWith(CONTROL_PATH_PREFIX)) {
+      if (isDown && !request.url.startsWith(CONTROL_ROUTE_PREFIX)) {
         dropConnection(reply);
         return;
       }
--- a/packages/standins/src/plain_service/fake_plain_service.ts
+++ b/packages/standins/src/plain_service/fake_plain_service.ts
@@ -9,7 +9,7 @@
 } from "../shared/common_faults.ts";
 import { SeededRandom } from "../shared/random.ts";
 import {
-  CONTROL_PATH_PREFIX,
+  CONTROL_ROUTE_PREFIX,
   dropConnection,
   StandIn,
 } from "../shared/stand_in.ts";
@@ -91,7 +91,7 @@
       "*",
       { parseAs: "string" },
       (request, body, done) => {
-        const isControl = request.url.startsWith(CONTROL_PATH_PREFIX);
+        const isControl = request.url.startsWith(CONTROL_ROUTE_PREFIX);
         done(null, isControl ? parseJson(body.toString()) : body);
       },
     );
--- a/packages/standins/src/shared/stand_in.ts
+++ b/packages/standins/src/shared/stand_in.ts
@@ -19,7 +19,7 @@
  * The prefix of the paths with which tests control a stand-in. Faults do not
  * apply to them.
  */
-export const CONTROL_PATH_PREFIX = "/standin/";
+export const CONTROL_ROUTE_PREFIX = "/standin/";
 
 const LOOPBACK_ADDRESS = /^127(\.\d{1,3}){3}$/;
 
@@ -44,7 +44,7 @@
     this.#faults = faultsSchema.parse({});
     this.#registerControlRoutes();
     this.application.addHook("onRequest", async (request, reply) => {
-      if (!request.url.startsWith(CONTROL_PATH_PREFIX)) {
+      if (!request.url.startsWith(CONTROL_ROUTE_PREFIX)) {
         await this.#applyCommonFaults(reply);
       }
     });
